--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -97,7 +97,7 @@
 func TestEndpoints(t *testing.T) {
 	view := func(state balance.State, held time.Duration, trial bool) routing.View {
 		return routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
-			ServerView: balance.ServerView{State: state, Tracked: true, Weight: 1.5, HeldOff: held, Trial: trial}}}}
+			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: held, Probation: trial}}}}
 	}
 	p := &config.Pool{Name: "p"}
 	safety := map[uint64]bool{}
@@ -149,7 +149,7 @@
 	if silent := now + refusalKept + 1; r.percent(silent) != 0 {
 		t.Errorf("%d%% though nobody reports", r.percent(silent))
 	}
-	v := routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", ServerView: balance.ServerView{State: balance.Ready, Weight: 1}}}}
+	v := routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", EndpointView: balance.EndpointView{State: balance.Ready, Weight: 1}}}}
 	for _, percent := range []uint32{0, 40} {
 		x, err := endpointsOf(&config.Pool{Name: "p"}, v, percent)
 		if err != nil {
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	set := service.pools["a"].set
-	set.Ask = true // as a sidecar with a discovery does, whose first call comes before the list is known
+	set.PollDiscovery = true // as a sidecar with a discovery does, whose first call comes before the list is known
 	sidecar, err := routing.New(set, routing.Names{}, clock, quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -33,7 +33,7 @@
 	for _, x := range merged {
 		open, served = open+x.Inflight, served+x.QPS
 	}
-	p.refusal.take(now, p.set.Refusal(open, served)) // before the event, after which it is looked at
+	p.refusal.take(now, p.set.RejectShare(open, served)) // before the event, after which it is looked at
 	observe(p, stats, merged)
 }
 
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -138,9 +138,9 @@
 	switch {
 	case d.State == balance.Draining:
 		return core.HealthStatus_DRAINING, weight
-	case d.HeldOff > 0:
+	case d.EjectedFor > 0:
 		return core.HealthStatus_UNHEALTHY, weight
-	case d.Trial: // readmitted, not yet trusted
+	case d.Probation: // readmitted, not yet trusted
 		return core.HealthStatus_HEALTHY, max(1, weight/10)
 	}
 	return core.HealthStatus_HEALTHY, weight
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -123,8 +123,8 @@
 // module is a pool's settings for the module. The proxies together are one balancer, which tracks every destination.
 func module(f *config.File, p *config.Pool) balance.Settings {
 	set := p.Module(f.SeedOf(p.Name))
-	set.Me, set.Balancers = 0, 1
-	set.Ask = false // news come by themselves, from package membership's sources
+	set.Index, set.Balancers = 0, 1
+	set.PollDiscovery = false // news come by themselves, from package membership's sources
 	return set
 }
 
--- a/internal/listfile/listfile_test.go
+++ b/internal/listfile/listfile_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := balance.Settings{Balancers: 1, Classes: []balance.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}}, Limits: balance.Limits{MaxAttempts: 1}}
+	set := balance.Settings{Balancers: 1, Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: time.Second, Utility: 1}}, Limits: balance.Limits{MaxAttempts: 1}}
 	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -130,7 +130,7 @@
 	out.Counts = v.Metrics.Counts()
 	for _, d := range v.Destinations {
 		out.Destinations = append(out.Destinations, DestinationStatus{Name: d.Name, Address: d.Address, State: state(d), Weight: d.Weight,
-			Utilisation: d.Utilisation, Failed: d.Failed, InFlight: d.Out, HeldOffMS: d.HeldOff.Milliseconds()})
+			Utilisation: d.Utilisation, Failed: d.FailureRatio, InFlight: d.InFlight, HeldOffMS: d.EjectedFor.Milliseconds()})
 	}
 	return out
 }
@@ -140,11 +140,11 @@
 	switch {
 	case d.State == balance.Draining:
 		return "draining"
-	case d.HeldOff > 0 && d.Trial:
+	case d.EjectedFor > 0 && d.Probation:
 		return "ejected"
-	case d.HeldOff > 0:
+	case d.EjectedFor > 0:
 		return "held off"
-	case d.Trial:
+	case d.Probation:
 		return "trial"
 	case !d.Tracked:
 		return "untracked"
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -46,7 +46,7 @@
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
 	options := transport.Options{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleFor: c.ConnIdle * 7 / 10,
 		Room: transport.NewRoom(budget.Destinations), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
-	if c.Module.Report.Via != balance.NoReports {
+	if c.Module.Report.Source != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
 	destinations := transport.NewDestinations(options)
@@ -57,7 +57,7 @@
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
 	directory := transport.NewDirectory(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
+	directory.Pushed, directory.Grace = !c.Module.PollDiscovery, c.Module.Rules.DrainGrace
 	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
 	directory.Clock, directory.OnHold = clock, loop.Hold
 	directory.AtOnce = len(c.Known.Destinations) == 0
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -38,7 +38,7 @@
 func (e *AttemptError) Status() balance.Status {
 	switch {
 	case e.Progress == Waiting, e.Progress < WhollyWritten && errors.Is(e.Err, context.Canceled):
-		return balance.Moot
+		return balance.NotSent
 	case e.Progress < WhollyWritten:
 		return balance.ConnectFailed
 	case errors.Is(e.Err, context.Canceled):
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -60,7 +60,7 @@
 
 // Destination is a server that the endpoint list has named.
 type Destination struct {
-	ID       balance.ServerID
+	ID       balance.EndpointID
 	Name     string
 	Address  string
 	Zone     string
--- a/internal/routing/loop.go
+++ b/internal/routing/loop.go
@@ -77,7 +77,7 @@
 		// What is due comes before what is new, as in the module's own order of time.
 		for l.timers.Len() > 0 && l.timers[0].at <= l.Now() {
 			t := heap.Pop(&l.timers).(timer)
-			l.handle(func() { l.balancer.Timer(l.Now(), t.token) })
+			l.handle(func() { l.balancer.TimerFired(l.Now(), t.token) })
 		}
 		if l.timers.Len() > 0 {
 			alarm.Reset(l.timers[0].at - l.Now())
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -27,7 +27,7 @@
 		ids := l.pool.byAddress()
 		for _, o := range all {
 			if id, known := ids[o.Address]; known {
-				l.balancer.Observed(l.Now(), id, o.Failed, o.Load)
+				l.balancer.EndpointObserved(l.Now(), id, o.Failed, o.Load)
 			}
 		}
 	})
--- a/internal/routing/operation.go
+++ b/internal/routing/operation.go
@@ -53,8 +53,8 @@
 		l.keys[op.Key] = op
 	}
 	defer l.answerOnPanic(op)
-	l.balancer.Request(l.Now(), balance.Request{ID: op.id, Class: op.Class, Deadline: op.Deadline, Hint: op.Hint,
-		Repeat: op.Repeat, Origin: op.Origin})
+	l.balancer.RequestArrived(l.Now(), balance.Request{ID: op.id, Class: op.Class, Deadline: op.Deadline, CostHint: op.Hint,
+		ClientRetry: op.Repeat, Origin: op.Origin})
 }
 
 // Abandon says that the client of an operation has left, from any goroutine. Its Done may still be called.
@@ -68,7 +68,7 @@
 		l.end(op)
 		l.metrics.Abandoned++
 		l.traceAbandoned(op)
-		l.balancer.GoneClient(l.Now(), op.id)
+		l.balancer.ClientGone(l.Now(), op.id)
 		l.forget(op)
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 // send starts an attempt. Each has exactly one outcome, also those that never reach the carrier.
-func (l *Loop) send(id balance.RequestID, server balance.ServerID, timeout time.Duration) {
+func (l *Loop) send(id balance.RequestID, server balance.EndpointID, timeout time.Duration) {
 	op, d := l.ops[id], l.pool.byID[server]
 	if op == nil {
 		return
@@ -131,7 +131,7 @@
 		lists: l.metrics.Lists}
 	a.Context, a.cancel = context.WithCancel(context.Background())
 	if c := &l.set.Classes[op.Class]; c.Effect == balance.Keyed && op.ranAt > 0 {
-		a.Until = op.ranAt + c.Window - onTheWay
+		a.Until = op.ranAt + c.DedupWindow - onTheWay
 	}
 	repeat := l.guard.Denied(guard.MayRepeat(l.repeating(op)))
 	l.metrics.attempt(op)
@@ -154,7 +154,7 @@
 var errNotSent = errors.New("it may no longer be sent")
 
 // finish takes the end of an attempt: the client's answer goes out before the module learns of it.
-func (l *Loop) finish(a *Attempt, server balance.ServerID, r Result) {
+func (l *Loop) finish(a *Attempt, server balance.EndpointID, r Result) {
 	if a.over {
 		return
 	}
@@ -178,14 +178,14 @@
 		l.answer(op, Answer{Verdict: Served, Payload: r.Payload})
 	}
 	defer l.answerOnPanic(op)
-	l.balancer.Outcome(now, balance.Outcome{ID: op.id, Closed: op.ended.Load(), Attempt: a.number, Server: server,
+	l.balancer.AttemptDone(now, balance.Outcome{ID: op.id, Final: op.ended.Load(), Attempt: a.number, Endpoint: server,
 		Latency: now - a.sent, Status: status, Load: r.Load})
 	l.forget(op)
 }
 
 // repeating are the facts about a further attempt of an operation.
 func (l *Loop) repeating(op *Operation) guard.Repeating {
-	return guard.Repeating{Attempts: len(op.attempts), Out: op.out, MayHaveRun: op.ranAt > 0, Unsafe: l.unsafe(op), Parallel: l.set.Limits.SecondCopies}
+	return guard.Repeating{Attempts: len(op.attempts), Out: op.out, MayHaveRun: op.ranAt > 0, Unsafe: l.unsafe(op), Parallel: l.set.Limits.Hedging}
 }
 
 func (l *Loop) unsafe(op *Operation) bool { return l.set.Classes[op.Class].Effect == balance.Unsafe }
@@ -197,7 +197,7 @@
 	if c.Effect != balance.Keyed {
 		return 0
 	}
-	return began + c.Window
+	return began + c.DedupWindow
 }
 
 // drainSlack is what the platform's protocol adds to each time limit on sockets.
@@ -211,7 +211,7 @@
 	op := a.Op
 	b := guard.Began{ID: op.Key, Endpoint: a.Destination.Name, At: time.Duration(a.began.Load()), TimeTold: time.Duration(a.told.Load()),
 		Deadline: op.Deadline, ClosedAt: a.Destination.closedAt, Grace: l.set.Rules.DrainGrace + drainSlack,
-		OverAt: time.Duration(op.overAt.Load()), Held: a.heldThen.Load(), Unsafe: l.unsafe(op), Parallel: l.set.Limits.SecondCopies}
+		OverAt: time.Duration(op.overAt.Load()), Held: a.heldThen.Load(), Unsafe: l.unsafe(op), Parallel: l.set.Limits.Hedging}
 	b.NoList = a.lists == 0
 	for _, earlier := range op.attempts[:a.number] {
 		if earlier.began.Load() == 0 {
@@ -229,5 +229,5 @@
 
 // mayHaveRun tells whether an attempt that ended so may have run.
 func mayHaveRun(s balance.Status) bool {
-	return s != balance.Moot && s != balance.ConnectFailed && s != balance.FullUp
+	return s != balance.NotSent && s != balance.ConnectFailed && s != balance.Rejected
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -22,11 +22,11 @@
 type pool struct {
 	index  int64
 	byName map[string]*Destination
-	byID   map[balance.ServerID]*Destination
+	byID   map[balance.EndpointID]*Destination
 }
 
 func newPool() pool {
-	return pool{byName: map[string]*Destination{}, byID: map[balance.ServerID]*Destination{}}
+	return pool{byName: map[string]*Destination{}, byID: map[balance.EndpointID]*Destination{}}
 }
 
 // Pool takes an endpoint list, from any goroutine.
@@ -47,7 +47,7 @@
 			l.confirmedAt = l.Now()
 		}
 		l.hold.from.Store(int64(from))
-		l.balancer.Hold(l.Now(), from)
+		l.balancer.SetLeaseExpiry(l.Now(), from)
 	})
 }
 
@@ -71,7 +71,7 @@
 func (l *Loop) Lost() {
 	l.post(func() {
 		l.metrics.ListsLost++
-		l.balancer.Members(l.Now(), balance.Failed, nil)
+		l.balancer.UpdateEndpoints(l.Now(), balance.Failed, nil)
 	})
 }
 
@@ -88,7 +88,7 @@
 		}
 		return 0
 	})
-	servers := make([]balance.Server, 0, len(members))
+	servers := make([]balance.Endpoint, 0, len(members))
 	named, at := map[string]bool{}, map[string]bool{}
 	for _, m := range members {
 		d := l.pool.name(m.Name)
@@ -106,7 +106,7 @@
 		if l.closeTo(d, m.State != balance.Ready) {
 			closed = append(closed, d.Name)
 		}
-		servers = append(servers, balance.Server{ID: d.ID, Zone: place(l.names.Zones, m.Zone),
+		servers = append(servers, balance.Endpoint{ID: d.ID, Zone: place(l.names.Zones, m.Zone),
 			Kind: place(l.names.Kinds, m.Kind), Cell: m.Group, State: m.State, Units: m.Weight, ReadyAt: d.since})
 		if m.State == balance.Gone {
 			l.pool.drop(d)
@@ -125,11 +125,11 @@
 				closed = append(closed, name)
 			}
 			l.pool.drop(d)
-			servers = append(servers, balance.Server{ID: d.ID, State: balance.Gone})
+			servers = append(servers, balance.Endpoint{ID: d.ID, State: balance.Gone})
 		}
 	}
 	l.logPool(kind, index, members, closed)
-	l.balancer.Members(l.Now(), kind, servers)
+	l.balancer.UpdateEndpoints(l.Now(), kind, servers)
 }
 
 // newsLag is how late the news of a start may come while the endpoint list is confirmed.
@@ -168,8 +168,8 @@
 }
 
 // byAddress are the ids of all destinations.
-func (p *pool) byAddress() map[string]balance.ServerID {
-	out := make(map[string]balance.ServerID, len(p.byName))
+func (p *pool) byAddress() map[string]balance.EndpointID {
+	out := make(map[string]balance.EndpointID, len(p.byName))
 	for _, d := range p.byName {
 		out[d.Address] = d.ID
 	}
@@ -184,7 +184,7 @@
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	id := balance.ServerID(h.Sum32())
+	id := balance.EndpointID(h.Sum32())
 	for p.byID[id] != nil {
 		id++
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -38,9 +38,9 @@
 func start(t testing.TB, limits balance.Limits) (*Loop, *fake) { return startLogged(t, limits, quiet) }
 
 func startLogged(t testing.TB, limits balance.Limits, log *slog.Logger) (*Loop, *fake) {
-	class := balance.Class{Aim: 5 * time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: balance.Unsafe}
-	l, err := New(balance.Settings{Balancers: 1, Classes: []balance.Class{class}, Limits: limits, Ask: true,
-		Rules: balance.Rules{DrainGrace: time.Second / 2, AskWithin: 80 * time.Millisecond}}, Names{}, NewClock(), log)
+	class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 5 * time.Second, Utility: 1, Effect: balance.Unsafe}
+	l, err := New(balance.Settings{Balancers: 1, Classes: []balance.Class{class}, Limits: limits, PollDiscovery: true,
+		Rules: balance.Rules{DrainGrace: time.Second / 2, DiscoveryInterval: 80 * time.Millisecond}}, Names{}, NewClock(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	_, answers := submit(l, time.Hour)
 	for range limits.MaxAttempts {
 		<-f.carried
-		(<-f.done)(Result{Status: balance.FullUp})
+		(<-f.done)(Result{Status: balance.Rejected})
 	}
 	if a := <-answers; a.Verdict != Busy || a.RetryAfter != time.Second {
 		t.Errorf("answered %+v", a)
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -16,7 +16,7 @@
 func (l *Loop) traces() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
 
 // traceAttempt notes how an attempt ended: at which destination, at which age of it, and what it reported.
-func (l *Loop) traceAttempt(a *Attempt, server balance.ServerID, status balance.Status, r Result, now time.Duration) {
+func (l *Loop) traceAttempt(a *Attempt, server balance.EndpointID, status balance.Status, r Result, now time.Duration) {
 	if !l.traces() {
 		return
 	}
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -20,7 +20,7 @@
 // DestinationView is a destination with what the module knows of it.
 type DestinationView struct {
 	Name, Address, Zone string
-	balance.ServerView
+	balance.EndpointView
 }
 
 // View asks the Loop for what it knows, and tells whether it answered within a time.
@@ -44,7 +44,7 @@
 func (l *Loop) view() View {
 	servers, open, parked := l.balancer.View(l.Now())
 	v := View{Index: l.pool.index, Open: open, Parked: parked, Metrics: l.metrics}
-	v.Level, v.Below = l.balancer.Level(l.Now())
+	v.Level, v.Below = l.balancer.AdmissionLevel(l.Now())
 	for _, s := range servers {
 		if d := l.pool.byID[s.ID]; d != nil {
 			v.Destinations = append(v.Destinations, DestinationView{d.Name, d.Address, d.Zone, s})
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -224,7 +224,7 @@
 func TestIDAndKeyPassThoughConnectionNamesThem(t *testing.T) {
 	at, came := counted(t)
 	set := settings()
-	set.Classes[0].Effect, set.Classes[0].Window = balance.Keyed, time.Second
+	set.Classes[0].Effect, set.Classes[0].DedupWindow = balance.Keyed, time.Second
 	_, ln, run := stopped(t, 4, at, set, "")
 	run()
 	c, r := dial(t, ln)
@@ -431,7 +431,7 @@
 // do not allow that attempts are called off.
 func TestClientLeavesBeforeTheConnectionIsUp(t *testing.T) {
 	t.Parallel()
-	class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1}
+	class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 6 * time.Second, Utility: 1}
 	op := &routing.Operation{}
 	if carried(t, class, balance.Limits{MaxAttempts: 1}, op, false, func(l *routing.Loop) { l.Abandon(op) }) {
 		t.Error("the request was sent on after its client had left")
@@ -461,7 +461,7 @@
 	for drains, sent := range map[bool]bool{true: false, false: true} {
 		at, came := counted(t)
 		clock, set := routing.NewClock(), settings()
-		set.Report.Via, set.Limits.Probes = balance.OnProbes, true
+		set.Report.Source, set.Limits.Probes = balance.OnProbes, true
 		loop, err := routing.New(set, routing.Names{}, clock, quiet)
 		if err != nil {
 			t.Fatal(err)
@@ -547,7 +547,7 @@
 	for window, sent := range map[time.Duration]bool{400 * time.Millisecond: false, 5 * time.Second: true} {
 		t.Run(window.String(), func(t *testing.T) {
 			t.Parallel()
-			class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: balance.Keyed, Window: window}
+			class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 6 * time.Second, Utility: 1, Effect: balance.Keyed, DedupWindow: window}
 			limits := balance.Limits{MaxAttempts: 2, RetryShare: 1, RetryBurst: 8}
 			if got := carried(t, class, limits, &routing.Operation{}, true, func(*routing.Loop) {}); got != sent {
 				t.Errorf("with a window of %v the repeat was sent: %v", window, got)
--- a/internal/transport/destinations.go
+++ b/internal/transport/destinations.go
@@ -298,7 +298,7 @@
 	case m.DeclinedBy(u.Chain) && u.PassDeclined:
 		r.Status, r.Payload = balance.Declined, m
 	case m.NotRun(), m.DeclinedBy(u.Chain):
-		r.Status = balance.FullUp
+		r.Status = balance.Rejected
 	default:
 		r.Status = balance.Error
 	}
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -124,7 +124,7 @@
 	for len(d.subscriptions) >= mostSubscriptions {
 		d.remove(d.leastUseful(), errEvicted)
 	}
-	next := d.add(d.lease.Moved(d.Clock.Now()), address)
+	next := d.add(d.lease.AddressChanged(d.Clock.Now()), address)
 	d.renewed()
 	d.start(next)
 }
@@ -134,7 +134,7 @@
 	old.mu.Lock()
 	defer old.mu.Unlock()
 	if old.lease != nil {
-		d.listAt = time.Now().Add(old.lease.Proven() - old.Clock.Now())
+		d.listAt = time.Now().Add(old.lease.LastProven() - old.Clock.Now())
 	}
 }
 
@@ -160,9 +160,9 @@
 	if d.lease != nil {
 		return
 	}
-	rules := lease.Asked(d.Grace)
+	rules := lease.PullRules(d.Grace)
 	if d.Pushed {
-		rules = lease.Pushed(d.Grace)
+		rules = lease.PushRules(d.Grace)
 	}
 	d.lease = lease.New(rules, d.Clock.Now()-time.Since(d.listAt))
 	d.rng = rand.New(rand.NewPCG(d.Seed, 0x6469726563746f72))
@@ -317,7 +317,7 @@
 func (d *Directory) note(end callEnd, stoodWatch, latest bool) {
 	now := d.Clock.Now()
 	if end.kind == callEnded || end.kind == callCut {
-		d.lease.Ended(now)
+		d.lease.RecordEndedWatch(now)
 	}
 	if !latest {
 		return
@@ -325,21 +325,21 @@
 	switch end.kind {
 	case callBroken, callCut: // what was cut may have ended in order, or be an outage
 		if stoodWatch {
-			d.lease.Broken(now)
+			d.lease.RecordBrokenWatch(now)
 		}
 	case callUnreachable:
-		d.lease.Unreachable(now - time.Since(end.began))
+		d.lease.RecordUnreachable(now - time.Since(end.began))
 	case callFailed, callUnanswered:
-		d.lease.Failed(now)
+		d.lease.RecordFailedCall(now)
 	case callRefused:
-		d.lease.Refused()
+		d.lease.RecordRefusedCall()
 	}
 }
 
 // renewed hands on what the lease says. d.mu is held.
 func (d *Directory) renewed() {
 	if d.OnHold != nil {
-		d.OnHold(d.lease.Until())
+		d.OnHold(d.lease.ExpiresAt())
 	}
 }
 
@@ -348,7 +348,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s.ctx.Err() == nil {
-		d.lease.Told(d.Clock.Now(), s.generation)
+		d.lease.Confirm(d.Clock.Now(), s.generation)
 		d.renewed()
 	}
 }
--- a/internal/transport/directorystate.go
+++ b/internal/transport/directorystate.go
@@ -33,8 +33,8 @@
 	if d.lease != nil {
 		now := d.Clock.Now()
 		out.Evidence = d.lease.Evidence().String()
-		out.ListAgeMS = (now - d.lease.Heard()).Milliseconds()
-		out.LeaseLeftMS = (d.lease.Until() - now).Milliseconds()
+		out.ListAgeMS = (now - d.lease.LastReport()).Milliseconds()
+		out.LeaseLeftMS = (d.lease.ExpiresAt() - now).Milliseconds()
 	}
 	return out
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -77,7 +77,7 @@
 				}
 			})
 			set := settings()
-			set.Ask, set.Rules.AskWithin = true, 640*time.Millisecond
+			set.PollDiscovery, set.Rules.DiscoveryInterval = true, 640*time.Millisecond
 			_, ln, run := stopped(t, 4, echoes, set, discovery)
 			run()
 			<-asked
@@ -109,7 +109,7 @@
 func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *Directory) {
 	t.Helper()
 	set := settings()
-	set.Ask, set.Rules.AskWithin = ask, 100*time.Second
+	set.PollDiscovery, set.Rules.DiscoveryInterval = ask, 100*time.Second
 	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -419,14 +419,14 @@
 	d.add(0, "127.0.0.1:1")
 	d.prepare()
 	for range 9 {
-		d.lease.Failed(d.Clock.Now())
+		d.lease.RecordFailedCall(d.Clock.Now())
 		next := &Directory{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: time.Now()}
 		next.add(0, "127.0.0.1:1")
 		next.Succeed(d)
 		next.prepare()
 		d = next
 	}
-	if left := d.lease.Until() - d.Clock.Now(); left > -40*time.Second {
+	if left := d.lease.ExpiresAt() - d.Clock.Now(); left > -40*time.Second {
 		t.Errorf("a list that was heard of a minute ago may be used for %v more", left)
 	}
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -20,12 +20,12 @@
 
 // settings are the module's for one class that is safe and one that is not.
 func settings() balance.Settings {
-	class := balance.Class{Aim: 2 * time.Second, Deadline: 2 * time.Second, Worth: 1}
+	class := balance.Class{LatencyTarget: 2 * time.Second, Deadline: 2 * time.Second, Utility: 1}
 	unsafe := class
 	unsafe.Effect = balance.Unsafe
-	return balance.Settings{Seed: 1, Balancers: 1, Classes: []balance.Class{class, unsafe}, Goal: balance.Goal{Whole: 1},
+	return balance.Settings{Seed: 1, Balancers: 1, Classes: []balance.Class{class, unsafe}, Objective: balance.Objective{Overall: 1},
 		Limits: balance.Limits{Cancel: true, RetryAfter: true, MaxAttempts: 2, MaxRetryAfter: time.Second},
-		Rules:  balance.Rules{DrainGrace: time.Second / 2, AskWithin: 10 * time.Second}}
+		Rules:  balance.Rules{DrainGrace: time.Second / 2, DiscoveryInterval: 10 * time.Second}}
 }
 
 // sidecar serves a listener in front of one destination.
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -28,7 +28,7 @@
 		{"closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balance.OK, false},
 		{"extra bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokay", balance.OK, false},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.FullUp, true},
+		{"turned away", "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
 		{"503 that may have run", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
 		{"no such page", "HTTP/1.1 404 N\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
 		{"garbage", "SMTP ready\r\n\r\n", balance.Reset, false},
@@ -141,7 +141,7 @@
 		err  routing.AttemptError
 		want balance.Status
 	}{
-		{routing.AttemptError{Progress: routing.PartlyWritten, Err: context.Canceled}, balance.Moot},
+		{routing.AttemptError{Progress: routing.PartlyWritten, Err: context.Canceled}, balance.NotSent},
 		{routing.AttemptError{Progress: routing.PartlyWritten, Err: errors.New("broken")}, balance.ConnectFailed},
 		{routing.AttemptError{Progress: routing.WhollyWritten, Err: errors.New("broken")}, balance.Reset},
 	} {
@@ -182,7 +182,7 @@
 		u.Probe(&routing.Destination{Address: slow}, func(routing.Result) {})
 		<-held
 	}
-	if s := probe(u, &routing.Destination{Address: slow}); s != balance.Moot {
+	if s := probe(u, &routing.Destination{Address: slow}); s != balance.NotSent {
 		t.Errorf("beyond the budget ended %d", s)
 	}
 }
