--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// step is one event of a story, and the time from which requests are held back after it.
-type step struct {
-	what string
-	at   float64 // seconds
-	arg  int     // generation of heard, seconds since the call's begin of unreachable
-	from float64
+// testEvent is one event, and the time at which the lease expires after it.
+type testEvent struct {
+	kind    string
+	at      float64 // seconds
+	arg     int     // generation of heard, seconds since the call began of unreachable
+	expires float64 // seconds
 }
 
-// Stories of one subscription, event by event: what renews the lease, and what shortens it.
+// TestLease plays sequences of events of one subscription and checks what renews the lease and what shortens it.
 func TestLease(t *testing.T) {
-	asked, pushed := PullRules(500*time.Millisecond), PushRules(500*time.Millisecond)
+	pull, push := PullRules(500*time.Millisecond), PushRules(500*time.Millisecond)
 	const g = 0.33 // grace less the margin
-	for name, story := range map[string]struct {
-		rules Rules
-		steps []step
+	for name, test := range map[string]struct {
+		rules  Rules
+		events []testEvent
 	}{
-		"a watch that beats renews it":       {asked, []step{{"heard", 1, 0, 7 + g}, {"heard", 3, 0, 9 + g}}},
-		"a process that starts in an outage": {asked, []step{{"failed", 3, 0, 9 + g}, {"failed", 6, 0, 12 + g}, {"failed", 9, 0, 12.5 + g}}},
-		"a call that fails renews nothing":   {asked, []step{{"heard", 1, 0, 7 + g}, {"failed", 4, 3, 7 + g}, {"failed", 8, 3, 7 + g}}},
-		"after the break of a watch it is an outage, for 6.5 s": {asked, []step{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"failed", 5, 0, 11 + g},
+		"heartbeats of a watch renew it":         {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"heard", 3, 0, 9 + g}}},
+		"a process that starts during an outage": {pull, []testEvent{{"failed", 3, 0, 9 + g}, {"failed", 6, 0, 12 + g}, {"failed", 9, 0, 12.5 + g}}},
+		"a failed call renews nothing":           {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"failed", 4, 3, 7 + g}, {"failed", 8, 3, 7 + g}}},
+		"a broken watch is presumed an outage for 6.5 s": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"failed", 5, 0, 11 + g},
 			{"failed", 8, 0, 14 + g}, {"failed", 13, 0, 14.5 + g}, {"failed", 30, 0, 14.5 + g}}},
-		"a second break is not a later one": {asked, []step{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"broken", 9, 0, 7 + g},
+		"a second break does not extend it": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"broken", 9, 0, 7 + g},
 			{"failed", 14, 0, 14.5 + g}}},
-		"a refusal shows that it was none": {asked, []step{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"failed", 5, 0, 11 + g},
+		"a refused call ends a presumed outage": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"broken", 2, 0, 7 + g}, {"failed", 5, 0, 11 + g},
 			{"refused", 6, 0, 7 + g}, {"failed", 9, 3, 7 + g}}},
-		"a list ends the outage": {asked, []step{{"broken", 2, 0, 6 + g}, {"failed", 5, 0, 11 + g}, {"heard", 6, 0, 12 + g}, {"failed", 10, 2, 12 + g}}},
-		"the break of a watch of the old discovery says nothing of the new one": {asked, []step{{"broken", 2, 0, 6 + g}, {"moved", 3, 0, 6 + g},
+		"a list ends the presumed outage": {pull, []testEvent{{"broken", 2, 0, 6 + g}, {"failed", 5, 0, 11 + g}, {"heard", 6, 0, 12 + g}, {"failed", 10, 2, 12 + g}}},
+		"a broken watch of the old address does not matter for the new one": {pull, []testEvent{{"broken", 2, 0, 6 + g}, {"moved", 3, 0, 6 + g},
 			{"failed", 7, 3, 6 + g}}},
-		"an ended watch shortens it until a call is answered or refused": {asked, []step{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g},
+		"an ended watch shortens it until a call is answered or refused at once": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g},
 			{"failed", 5, 3, 4 + g}, {"refused", 7, 0, 7 + g}}},
-		"discovery out of reach renews it from the call's begin": {asked, []step{{"unreachable", 4, 3, 7 + g},
+		"unreachable discovery renews it from the beginning of the call": {pull, []testEvent{{"unreachable", 4, 3, 7 + g},
 			{"unreachable", 8, 3, 11 + g}}},
-		"a refusal renews nothing":               {asked, []step{{"refused", 3, 0, 6 + g}, {"refused", 5, 0, 6 + g}}},
-		"an ended watch shortens it":             {asked, []step{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"heard", 5, 0, 11 + g}}},
-		"only until the next call is refused":    {asked, []step{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"refused", 3, 0, 7 + g}}},
-		"a second end is not a later one":        {asked, []step{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"ended", 3, 0, 4 + g}}},
-		"pushed: what the agent has counts then": {pushed, []step{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 2 + g}}},
-		"a reload is not confirmed by the old discovery": {asked, []step{{"heard", 1, 0, 7 + g}, {"moved", 2, 0, 7 + g}, {"heard", 5, 0, 8 + g},
+		"a refused call renews nothing":                 {pull, []testEvent{{"refused", 3, 0, 6 + g}, {"refused", 5, 0, 6 + g}}},
+		"an ended watch shortens it":                    {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"heard", 5, 0, 11 + g}}},
+		"an ended watch until the next call is refused": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"refused", 3, 0, 7 + g}}},
+		"a second end does not extend it":               {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 4 + g}, {"ended", 3, 0, 4 + g}}},
+		"push: an ended watch counts at once":           {push, []testEvent{{"heard", 1, 0, 7 + g}, {"ended", 2, 0, 2 + g}}},
+		"a reload is not confirmed by the old address": {pull, []testEvent{{"heard", 1, 0, 7 + g}, {"moved", 2, 0, 7 + g}, {"heard", 5, 0, 8 + g},
 			{"heard", 7, 1, 13 + g}}},
-		"reloads in a row count from the first that is not confirmed": {asked, []step{{"moved", 1, 0, 6 + g}, {"heard", 2, 0, 7 + g},
+		"consecutive reloads count from the first unconfirmed one": {pull, []testEvent{{"moved", 1, 0, 6 + g}, {"heard", 2, 0, 7 + g},
 			{"moved", 3, 0, 7 + g}, {"heard", 4, 1, 9 + g}, {"heard", 5, 2, 11 + g}}},
-		"pushed: a reload counts sooner":               {pushed, []step{{"heard", 1, 0, 7 + g}, {"moved", 2, 0, 6 + g}, {"heard", 3, 0, 6 + g}}},
-		"a reload to a discovery that is out of reach": {pushed, []step{{"moved", 2, 0, 6 + g}, {"unreachable", 6, 3, 7 + g}}},
+		"push: a reload counts sooner":       {push, []testEvent{{"heard", 1, 0, 7 + g}, {"moved", 2, 0, 6 + g}, {"heard", 3, 0, 6 + g}}},
+		"a reload to an unreachable address": {push, []testEvent{{"moved", 2, 0, 6 + g}, {"unreachable", 6, 3, 7 + g}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := New(story.rules, 0)
-			for i, s := range story.steps {
-				at := time.Duration(s.at * float64(time.Second))
-				switch s.what {
+			l := New(test.rules, 0)
+			for i, event := range test.events {
+				at := time.Duration(event.at * float64(time.Second))
+				switch event.kind {
 				case "heard":
-					l.Confirm(at, s.arg)
+					l.Confirm(at, event.arg)
 				case "broken":
 					l.RecordBrokenWatch(at)
 				case "failed":
 					l.RecordFailedCall(at)
 				case "unreachable":
-					l.RecordUnreachable(at - time.Duration(s.arg)*time.Second)
+					l.RecordUnreachable(at - time.Duration(event.arg)*time.Second)
 				case "refused":
 					l.RecordRefusedCall()
 				case "ended":
@@ -69,9 +69,9 @@
 				case "moved":
 					l.AddressChanged(at)
 				}
-				from := l.ExpiresAt()
-				if d := from - time.Duration(s.from*float64(time.Second)); d > time.Microsecond || d < -time.Microsecond {
-					t.Errorf("step %d, %s at %v: held from %v, want from %v", i, s.what, at, from, s.from)
+				expires := l.ExpiresAt()
+				if d := expires - time.Duration(event.expires*float64(time.Second)); d > time.Microsecond || d < -time.Microsecond {
+					t.Errorf("event %d, %s at %v: lease expires at %v, want %v s", i, event.kind, at, expires, event.expires)
 				}
 			}
 		})
