--- a/balance/admission/throttle.go
+++ b/balance/admission/throttle.go
@@ -1,6 +1,6 @@
-// Package admission decides at the entry of a chain of services what is let in, where those below decline it anyway: a rate
-// that rises with each that is taken and falls with each that is declined, as published for client-side throttling in
-// large service meshes and for congestion control. It has no clock and does no I/O; the decision module asks it.
+// Package admission limits what enters a chain of services while the services below decline it: an admitted rate that rises
+// with every request served and falls with every request declined, as published for client-side throttling in large service
+// meshes and for congestion control. It reads no clock and does no I/O.
 package admission
 
 import (
@@ -9,64 +9,64 @@
 )
 
 const (
-	rises = 1.5      // the rate let in, for each that is taken: what is declined until then is noticed to be over within 3 s
-	falls = 0.7      // and for each that is declined: with rises, it holds where half is taken
-	free  = 2.0      // times what comes from which on nothing is held back
-	least = 1.2      // a second are let in whatever is declined: without them nobody would notice the end
-	dense = 1.0 / 32 // the least part of the lots that what is let in is taken to stand for
+	increaseFactor   = 1.5      // of the admitted rate for each request served: the end of an overload is noticed within 3 s
+	decreaseFactor   = 0.7      // of the admitted rate for each request declined: with increaseFactor, it settles where half is served
+	releaseMultiple  = 2.0      // the limit is lifted once the admitted rate exceeds the arrival rate by this factor
+	minRate          = 1.2      // requests a second admitted whatever is declined: without them the end of the overload would go unnoticed
+	minAdmittedShare = 1.0 / 32 // the smallest share of arrivals that admitted requests are taken to represent
 )
 
-// Throttle is the rate that is let in. Its zero value is ready and lets everything in.
+// Throttle limits the admitted rate. Its zero value is ready for use and admits everything.
 type Throttle struct {
-	held  bool
-	allow float64 // a second, while held
-	came  float64 // decaying count of what came, but for repeats of what was refused
-	at    time.Duration
+	limiting    bool
+	allowedRate float64 // requests a second, while limiting
+	arrivals    float64 // decaying count of arrivals, without client retries of rejected requests
+	updatedAt   time.Duration
 }
 
-// rate is what comes a second, over a span of the past.
-func (t *Throttle) rate(now, span time.Duration) float64 {
-	if now > t.at {
-		t.came *= math.Exp(-float64(now-t.at) / float64(span))
-		t.at = now
+// arrivalRate is the number of arrivals a second, averaged over span.
+func (t *Throttle) arrivalRate(now, span time.Duration) float64 {
+	if now > t.updatedAt {
+		t.arrivals *= math.Exp(-float64(now-t.updatedAt) / float64(span))
+		t.updatedAt = now
 	}
-	return t.came / span.Seconds()
+	return t.arrivals / span.Seconds()
 }
 
-// Ended counts what has come back from below, of what was let in; declined says that it was declined for good.
-func (t *Throttle) Ended(now, span time.Duration, declined bool) {
-	rate := t.rate(now, span)
+// RecordResult records the end of an admitted request; declined says that a service below declined it for good.
+func (t *Throttle) RecordResult(now, span time.Duration, declined bool) {
+	rate := t.arrivalRate(now, span)
 	switch {
-	case declined && !t.held:
-		t.held, t.allow = true, max(free*falls*rate, least)
+	case declined && !t.limiting:
+		t.limiting, t.allowedRate = true, max(releaseMultiple*decreaseFactor*rate, minRate)
 	case declined:
-		t.allow = max(t.allow*falls, least)
-	case t.held:
-		t.allow *= rises
-		t.held = t.allow < free*rate
+		t.allowedRate = max(t.allowedRate*decreaseFactor, minRate)
+	case t.limiting:
+		t.allowedRate *= increaseFactor
+		t.limiting = t.allowedRate < releaseMultiple*rate
 	}
 }
 
-// Refuses tells whether one that comes and draws a lot in 0..1 is refused. The lowest lots are refused first.
+// Rejects tells whether a request with a draw in 0..1 is rejected. The lowest draws are rejected first.
 //
-// Who is refused asks again, and may draw the same lot then. Counted with the rest, repeats would leave less room for what has not asked
-// before, far less than least, and the end of the trouble would be noticed late. So what comes is counted by what is let in, each one
-// standing for its part of the lots that are refused: those above the level have not been refused.
-func (t *Throttle) Refuses(now, span time.Duration, lot float64) bool {
-	level := t.level(t.rate(now, span))
-	if lot < level {
+// Rejected clients retry, possibly with the same draw. Counting their retries as arrivals would leave less capacity than
+// minRate to new requests, and the end of the overload would be noticed late. Therefore arrivals are estimated from admitted
+// requests only: each stands for 1/(1-level) arrivals, as draws above the level were not rejected before.
+func (t *Throttle) Rejects(now, span time.Duration, draw float64) bool {
+	level := t.level(t.arrivalRate(now, span))
+	if draw < level {
 		return true
 	}
-	t.came += 1 / max(1-level, dense)
+	t.arrivals += 1 / max(1-level, minAdmittedShare)
 	return false
 }
 
-// Level is the share of what comes that is refused.
-func (t *Throttle) Level(now, span time.Duration) float64 { return t.level(t.rate(now, span)) }
+// Level is the share of arrivals that is rejected.
+func (t *Throttle) Level(now, span time.Duration) float64 { return t.level(t.arrivalRate(now, span)) }
 
 func (t *Throttle) level(rate float64) float64 {
-	if !t.held || rate <= 0 {
+	if !t.limiting || rate <= 0 {
 		return 0
 	}
-	return max(0, 1-t.allow/rate)
+	return max(0, 1-t.allowedRate/rate)
 }
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,41 +1,41 @@
-// Package balance makes the decisions of a load balancer for services that call services.
+// Package balance implements the decisions of a load balancer for service-to-service requests.
 //
-// This file is the module's whole interface: the settings a Balancer is built from, the events its owner
-// reports to it (methods on *Balancer), and the actions it asks of its Host. balance.go holds the life of a
-// request, trend.go the trend-based mechanism and its weighted round robin; the exceptions to it have a file each: subset.go,
-// pick.go, slowstart.go, outlier.go, shedding.go, retrybudget.go, hold.go.
+// This file is the whole interface of the package: the settings of a Balancer, the events that its owner reports to it
+// (methods of *Balancer), and the actions that it requests from its Host. balance.go handles the life cycle of a request;
+// trend.go holds the utilisation-trend algorithm and its weighted round robin. The exceptions to the algorithm have a file
+// each: subset.go, pick.go, slowstart.go, outlier.go, shedding.go, retrybudget.go, hold.go.
 //
-// A Balancer is not safe for concurrent use: its owner calls it from one goroutine at a time. It has no clock:
-// every event carries the present time, which may stand still but never runs backwards. It starts no goroutine
-// and does no I/O; equal settings, seed and events give equal actions. It remembers a request until its final
-// answer and the outcome of its last attempt, and a server while it is listed or an attempt is out there.
+// A Balancer is not safe for concurrent use: its owner calls it from one goroutine at a time. It reads no clock: every event
+// carries the current time, which may stand still but never runs backwards. It starts no goroutine and does no I/O; the same
+// settings, seed and events give the same actions. It remembers a request until its final answer and the outcome of its last
+// attempt, and an endpoint while it is listed or has an attempt in flight.
 package balance
 
 import "time"
 
-// RequestID names a request. An ID is never used twice.
+// RequestID identifies a request. An ID is never used twice.
 type RequestID uint32
 
-// ServerID names a server. It tells nothing of the server's zone, kind or age.
+// EndpointID identifies an endpoint. It carries no information about the endpoint's zone, kind or age.
 type EndpointID uint32
 
-// Settings are what a Balancer knows from the start.
+// Settings configure a Balancer.
 type Settings struct {
 	Seed             uint64        // source of all random choices
-	Index, Balancers int           // this balancer's number, from 0, and how many there are in its tier
+	Index, Balancers int           // this balancer's number, from 0, and the number of balancers in its tier
 	Tier             int           // the tier it sends to; 0 is the one that clients reach
-	Zone             int           // the zone it stands in
-	Tick             time.Duration // least time between batches of events; 0 if events come at any time
+	Zone             int           // the zone it runs in
+	Tick             time.Duration // smallest time between batches of events; 0 if events arrive at any time
 	Classes          []Class       // request classes; at least one
 	Tenants          []Tenant      // tenants; may be empty
-	OverShareUtility float64       // part of its worth that a request keeps beyond its tenant's share
-	Objective        Objective     // weights of the parts of the result
-	Penalties        Penalties     // points off the result
-	Report           Report        // load reports
+	OverShareUtility float64       // part of its utility that a request keeps beyond its tenant's share
+	Objective        Objective     // weights of the parts of the objective
+	Penalties        Penalties     // deductions from the objective
+	Report           Report        // format and source of load reports
 	Limits           Limits        // what is allowed
-	Rules            Rules         // figures of the rules
-	PollDiscovery    bool          // news of servers comes only after Watch or Fetch, not by itself
-	UnitsAreCapacity bool          // Units of a server tell its size; otherwise they are ignored
+	Rules            Rules         // parameters of the invariants
+	PollDiscovery    bool          // updates of the endpoint list arrive only after Host.Watch, not unasked
+	UnitsAreCapacity bool          // Units of an endpoint tell its capacity; otherwise they are ignored
 }
 
 // Effect tells whether a request may run more than once.
@@ -43,43 +43,43 @@
 
 // The effects of a request.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped inside its Group during its Window
+	Safe   Effect = iota // may be retried freely
+	Keyed                // duplicates are dropped within DedupScope during DedupWindow
 	Unsafe               // must never run twice
 )
 
-// Group is the set of servers that drop each other's repeats of a keyed request.
+// DedupScope is the set of endpoints among which duplicates of a keyed request are dropped.
 type DedupScope uint8
 
-// The groups.
+// The deduplication scopes.
 const (
-	ScopeAll  DedupScope = iota // all servers
-	ScopeZone                   // those of one zone
-	ScopeCell                   // those of one cell
+	ScopeAll  DedupScope = iota // all endpoints
+	ScopeZone                   // endpoints of one zone
+	ScopeCell                   // endpoints of one cell
 )
 
 // Class is a class of requests.
 type Class struct {
-	LatencyTarget time.Duration // an answer within this time earns the full worth
-	Deadline      time.Duration // how long a client waits over all its tries
-	Utility       float64       // worth of an answer
-	LateUtility   float64       // share of the worth that an answer after the aim still earns
+	LatencyTarget time.Duration // an answer within this time earns the full utility
+	Deadline      time.Duration // how long a client waits, over all its attempts
+	Utility       float64       // utility of an answer
+	LateUtility   float64       // share of the utility that an answer after the latency target still earns
 	Effect        Effect
 	DedupScope    DedupScope    // for Keyed
-	DedupWindow   time.Duration // for Keyed: how long repeats are dropped
+	DedupWindow   time.Duration // for Keyed: how long duplicates are dropped
 	Stream        bool          // answers are streams
 }
 
-// Tenant is one of the parties whose requests share the servers.
+// Tenant is one of the parties that share the endpoints.
 type Tenant struct {
 	Share float64 // share of the service
-	Quota float64 // requests a second over all balancers that are inside the share; 0 for unknown
+	Quota float64 // requests a second over all balancers that are within the share; 0 for unknown
 }
 
-// Goal holds the weights of the parts of the result.
+// Objective holds the weights of the parts of the objective.
 type Objective struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
 
-// Prices are points off the result for each unit.
+// Penalties are the deductions from the objective for each unit.
 type Penalties struct{ CrossZone, Waste, LateFailure, Probe, Peer float64 }
 
 // Field is one value of a load report.
@@ -87,19 +87,19 @@
 
 // The values a load report can hold.
 const (
-	OtherField Field = iota // a value this module does not use
+	OtherField Field = iota // a value that this package does not use
 	Util                    // share of the processors in use
-	Inflight                // requests held
-	Queue                   // requests waiting
+	Inflight                // requests in flight
+	Queue                   // requests queued
 	LatencyMS               // recent service time in milliseconds
 	QPS                     // requests served a second
 	EPS                     // errors a second
 )
 
-// Via tells how load reports come.
+// ReportSource tells where load reports come from.
 type ReportSource uint8
 
-// The ways of load reports.
+// The sources of load reports.
 const (
 	NoReports   ReportSource = iota
 	OnResponses              // in outcomes and probe results
@@ -112,55 +112,55 @@
 	Fields []Field // the order of their values
 }
 
-// Limits tell what is allowed.
+// Limits tell what a Balancer may do.
 type Limits struct {
 	Probes, Peers, Cancel, Hedging, RetryAfter bool
 	MaxAttempts                                int // attempts for one request; at least 1
 	MaxRetryAfter                              time.Duration
-	RetryShare                                 float64 // repeats of what may have run, as a share of first sends; 0 for the module's own
-	RetryBurst                                 float64 // and how many of them all balancers together can save up; 0 for the module's own
+	RetryShare                                 float64 // retries of attempts that may have run, as a share of first attempts; 0 for the default
+	RetryBurst                                 float64 // retry tokens that all balancers together can accumulate; 0 for the default
 }
 
-// Rules are the figures of the rules that are kept without fail.
+// Rules are the parameters of the invariants, which must never be violated.
 type Rules struct {
-	DrainGrace        time.Duration // no send to a draining or gone server later than this after the news
-	DiscoveryInterval time.Duration // with Ask: how often discovery must be asked while there is no subscription
-	SlowStartShare    float64       // a server that has just started can do at least this part of its work
+	DrainGrace        time.Duration // no send to a draining or gone endpoint later than this after it was reported
+	DiscoveryInterval time.Duration // with PollDiscovery: how often discovery must be called while there is no subscription
+	SlowStartShare    float64       // an endpoint that has just started can handle at least this part of its full load,
 	SlowStartTime     time.Duration // and all of it after this time
-	OverloadMultiple  float64       // sent more than this many times what it can do
-	OverloadWindow    time.Duration // for this long, a cold server falls over
+	OverloadMultiple  float64       // an endpoint in slow start that is sent more than this many times what it can handle
+	OverloadWindow    time.Duration // for this long fails from overload
 }
 
-// State is what discovery says of a server.
+// State is the state of an endpoint as reported by discovery.
 type State uint8
 
-// The states of a server.
+// The states of an endpoint.
 const (
 	Gone State = iota
 	Ready
 	Draining
 )
 
-// Server is an entry of the list of servers.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID      EndpointID
 	Zone    int
 	Kind    int
 	Cell    int
 	State   State
-	Units   float64
+	Units   float64       // capacity, where Settings.UnitsAreCapacity
 	ReadyAt time.Duration // when it last started; 0 for long ago
 }
 
-// ListKind tells what a Members event holds.
+// ListKind tells what an UpdateEndpoints event holds.
 type ListKind uint8
 
 // The kinds of lists.
 const (
-	Delta  ListKind = iota // only what changed
+	Delta  ListKind = iota // only the changed entries
 	Full                   // the whole list
-	Cached                 // the whole list as last known, maybe old
-	Failed                 // a Watch or Fetch failed, or the subscription broke; no entries
+	Cached                 // the whole list as last known, possibly stale
+	Failed                 // a watch failed or broke; no entries
 )
 
 func (k ListKind) String() string { return [...]string{"delta", "full", "cached", "failed"}[k] }
@@ -172,34 +172,34 @@
 const (
 	OK            Status = iota + 1
 	Error                // answered with an error; it may have run
-	Rejected             // turned away unseen; it never ran
+	Rejected             // rejected by the endpoint, unprocessed; it never ran
 	Timeout              // no answer in time; it may have run or still run
 	ConnectFailed        // no connection in time; it never ran
 	Reset                // the connection broke; it may have run
-	Cancelled            // withdrawn; it may have run
+	Cancelled            // cancelled; it may have run
 	NotSent              // not sent; it never ran
-	Declined             // refused for good by what lies below, and passed on as the final answer
+	Declined             // declined for good by a service further down; passed on as the final answer
 )
 
 func (s Status) String() string {
 	return [...]string{"none", "ok", "error", "turned away", "timed out", "connect failed", "reset", "called off", "not sent", "declined"}[s]
 }
 
-// Reason tells why a request ended without the answer of a server.
+// Reason tells why a request ended without an answer from an endpoint.
 type Reason uint8
 
 // The reasons.
 const (
-	UnknownClass  Reason = iota // the settings name no such class
-	Shed                        // load shedding: an answer is foretold late
-	TooLate                     // too little of its time is left for an answer
-	AttemptsSpent               // it has had as many attempts as are allowed
-	NoEndpoint                  // no server may take it, and it may not wait for one
-	QueueTimeout                // it has waited in the queue for as long as it may
+	UnknownClass  Reason = iota // the settings have no such class
+	Shed                        // load shedding: the answer is predicted to be late
+	TooLate                     // too little time is left for an answer
+	AttemptsSpent               // the maximum number of attempts is reached
+	NoEndpoint                  // no endpoint may handle it, and it may not be queued
+	QueueTimeout                // it was queued for as long as allowed
 	NotRetriable                // an attempt may have run, and its class may not run again
-	NoRetryBudget               // an attempt may have run, and the retry budget is spent
+	NoRetryBudget               // an attempt may have run, and the retry budget is exhausted
 
-	ReasonCount = iota // how many there are
+	ReasonCount = iota // the number of reasons
 )
 
 func (r Reason) String() string {
@@ -224,35 +224,35 @@
 	Class       int
 	Tenant      int
 	Key         uint64        // 0 for none
-	Deadline    time.Duration // when this try is given up
-	CostHint    float64       // guess of its cost in seconds of a core; 0 for none
-	ClientRetry bool          // marked by the client as a repeat
-	Origin      uint64        // hash of whom it comes from, the same at all balancers and for a client's repeats; 0 for not known
+	Deadline    time.Duration // when the client gives up this attempt
+	CostHint    float64       // estimated cost in core seconds; 0 for none
+	ClientRetry bool          // marked by the client as a retry
+	Origin      uint64        // hash of the origin, the same at all balancers and for client retries; 0 for unknown
 }
 
 // AllPeers addresses a message to every other balancer of the tier.
 const AllPeers = -1
 
-// Host performs a Balancer's actions, in order and without calling back.
+// Host performs a Balancer's actions in order, and must not call the Balancer from within them.
 type Host interface {
-	// Send passes a request to a server. The first Send of a request is its attempt 0, the next is 1, and so on.
-	Send(id RequestID, server EndpointID, timeout time.Duration)
-	// Refuse ends a request unserved; trying again is harmless, after retryAfter if that is above 0.
-	Reject(id RequestID, retryAfter time.Duration, why Reason)
-	// Fail ends a request unserved and promises nothing.
-	Fail(id RequestID, why Reason)
+	// Send sends a request to an endpoint. The first Send of a request is its attempt 0, the next is 1, and so on.
+	Send(id RequestID, endpoint EndpointID, timeout time.Duration)
+	// Reject ends a request without an answer; a retry is safe, after retryAfter if that is above 0.
+	Reject(id RequestID, retryAfter time.Duration, reason Reason)
+	// Fail ends a request without an answer; it may have run.
+	Fail(id RequestID, reason Reason)
 	// Cancel stops waiting for an attempt; its outcome still comes.
 	Cancel(id RequestID, attempt int)
-	// Probe asks a server for its health and load; one Probed event answers.
-	Probe(server EndpointID)
-	// Close closes the idle connections to a server.
-	CloseIdle(server EndpointID)
-	// Watch asks for changes of the list of servers from now on.
+	// Probe requests health and load of an endpoint; one ProbeDone event answers.
+	Probe(endpoint EndpointID)
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(endpoint EndpointID)
+	// Watch subscribes to changes of the endpoint list.
 	Watch()
-	// Tell sends at most 256 bytes to a peer or to AllPeers. The data are valid during the call only.
+	// SendToPeer sends at most 256 bytes to a peer or to AllPeers. The data are valid during the call only.
 	SendToPeer(peer int, data []byte)
-	// Timer asks for one Timer event with this token after the delay.
+	// StartTimer requests one TimerFired event with this token after the delay.
 	StartTimer(delay time.Duration, token uint64)
-	// Log notes a line for the people on call.
+	// Log writes a log line for operators.
 	Log(text string)
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// Kinds of timers, in the top byte of a token; the rest names the request, and the attempt.
+// Kinds of timers, in the top byte of a token; the rest identifies the request and the attempt.
 const (
 	timerPhase uint64 = iota << 56
 	timerWatch
 	timerOverdue
-	timerExpire
-	timerParked
-	timerKind uint64 = 0xff << 56
+	timerQueueTimeout
+	timerQueue
+	timerKindMask uint64 = 0xff << 56
 )
 
 const (
-	overdueAfter = 4   // an attempt is overdue after this many times the mean latency of its class
-	slowAfter    = 2.5 // and passes its server over from this many on
-	leastLeft    = 0.5 // nothing is repeated with less left than this part of its class's mean latency
-	queueShare   = 45  // of a request's time, in 100, that it may be queued
+	overdueMultiple  = 4   // an attempt is overdue after this many times the mean latency of its class
+	slowMultiple     = 2.5 // and its endpoint is skipped after this many
+	minTimeLeftRatio = 0.5 // no retry with less time left than this part of its class's mean latency
+	maxQueuePercent  = 45  // of a request's time, in percent, that it may be queued
 
-	tryNoise = 50 * time.Millisecond // by which the times that clients give may differ
+	timeoutTolerance = 50 * time.Millisecond // by which the timeouts that clients set may vary
 )
 
-// Request takes a request: it is sent, held or refused at once, and is answered before its deadline.
+// RequestArrived handles a new request: it is sent, queued or rejected at once, and answered before its
+// deadline.
 func (b *Balancer) RequestArrived(now time.Duration, q Request) {
 	if _, known := b.requests[q.ID]; known {
 		return
@@ -34,294 +35,304 @@
 		b.host.Reject(q.ID, 0, UnknownClass)
 		return
 	}
-	r := &request{Request: q, arrived: now}
-	b.classes[q.Class].add(now, 4*b.meanAim)
+	r := &request{Request: q, arrivedAt: now}
+	b.classes[q.Class].add(now, 4*b.meanTarget)
 	if !q.ClientRetry {
-		b.classes[q.Class].tries.add(q.Deadline - now)
+		b.classes[q.Class].clientTimeouts.add(q.Deadline - now)
 	}
-	if wait, refuse := b.shedding(r, now); refuse {
+	if wait, shed := b.shouldShed(r, now); shed {
 		b.host.Reject(q.ID, wait, Shed)
 		return
 	}
-	b.arrivals++ // what is refused is no load that servers see
+	b.arrivals++ // rejected requests are no load on the endpoints
 	b.requests[q.ID] = r
-	b.opens(now)
-	b.try(r, now)
-	b.probeOnBudget(now)
+	b.addOpen(now)
+	b.sendOrQueue(r, now)
+	b.probeWithinBudget(now)
 }
 
-// left tells how long an answer to r is still worth something: late answers can be worth nothing to clients.
-func (b *Balancer) left(r *request, now time.Duration) time.Duration {
+// usefulTimeLeft is how long an answer to r still has a utility: late answers can have none.
+func (b *Balancer) usefulTimeLeft(r *request, now time.Duration) time.Duration {
 	until := r.Deadline
 	c := &b.set.Classes[r.Class]
 	if c.LateUtility == 0 && !c.Stream {
-		until = min(until, r.arrived+c.LatencyTarget)
-	}
-	// A repeat's client has waited since its first try. Where its time is none that clients give a first try,
-	// it is the rest of the deadline and tells since when: after that first try's aim nothing is worth anything.
-	given := r.Deadline - r.arrived
-	if r.ClientRetry && c.LateUtility == 0 && !c.Stream && b.classes[r.Class].tries.outside(given, tryNoise) {
+		until = min(until, r.arrivedAt+c.LatencyTarget)
+	}
+	// The client of a retry has waited since its first attempt. Where the timeout of the retry is outside the
+	// range of those of first attempts, it is the rest of the client's deadline and so tells when that first
+	// attempt began: after the first attempt's latency target an answer has no utility.
+	timeout := r.Deadline - r.arrivedAt
+	if r.ClientRetry && c.LateUtility == 0 && !c.Stream &&
+		b.classes[r.Class].clientTimeouts.outside(timeout, timeoutTolerance) {
 		until = min(until, r.Deadline-c.Deadline+c.LatencyTarget)
 	}
 	return until - now
 }
 
-// try sends r to the next server, parks it while none may take it, or ends it when nothing is left to try.
-func (b *Balancer) try(r *request, now time.Duration) {
-	left := b.left(r, now)
-	mean := b.classes[r.Class].mean(&b.set.Classes[r.Class])
-	// A repeat that cannot be done in what is left is work for nobody; nor can what a service asks for so late.
-	late := (len(r.attempts) > 0 || b.set.Tier > 0) && left < time.Duration(leastLeft*float64(mean))
+// sendOrQueue sends r to the next endpoint, queues it while none may handle it, or ends it when it may not be
+// sent again.
+func (b *Balancer) sendOrQueue(r *request, now time.Duration) {
+	left := b.usefulTimeLeft(r, now)
+	mean := b.classes[r.Class].expectedLatency(&b.set.Classes[r.Class])
+	// A retry that cannot finish in the time left is wasted work; nor can a late request from another service.
+	late := (len(r.attempts) > 0 || b.set.Tier > 0) && left < time.Duration(minTimeLeftRatio*float64(mean))
 	if left <= b.set.Tick || late {
-		b.giveUp(r, now, TooLate)
+		b.endUnserved(r, now, TooLate)
 		return
 	}
 	if len(r.attempts) >= b.set.Limits.MaxAttempts {
-		b.giveUp(r, now, AttemptsSpent)
+		b.endUnserved(r, now, AttemptsSpent)
 		return
 	}
-	var s *server
-	if !b.paused(now) {
-		s = b.pick(r, now)
+	var s *endpointState
+	if !b.sendingSuspended(now) {
+		s = b.pickEndpoint(r, now)
 	}
 	if s == nil {
-		// A keyed request that may have run waits for nothing: its group is what it is.
-		if r.out > 0 || r.mayRun != nil && b.set.Classes[r.Class].Effect != Safe {
-			b.giveUp(r, now, NoEndpoint)
+		// A keyed request that may have run is not queued: waiting does not change its deduplication scope.
+		if r.inFlight > 0 || r.mayHaveRunOn != nil && b.set.Classes[r.Class].Effect != Safe {
+			b.endUnserved(r, now, NoEndpoint)
 		} else {
-			b.park(r, now, left)
+			b.enqueue(r, now, left)
 		}
 		return
 	}
-	a := &attempt{server: s, sent: now, due: now + max(overdueAfter*mean, b.lookAgain())}
-	a.slow = now + time.Duration(slowAfter*float64(mean))
+	a := &attempt{endpoint: s, sentAt: now, overdueAt: now + max(overdueMultiple*mean, b.queueInterval())}
+	a.slowAt = now + time.Duration(slowMultiple*float64(mean))
 	r.attempts = append(r.attempts, a)
-	r.out, b.out = r.out+1, b.out+1
-	s.out = append(s.out, a)
-	s.coldNext = now + b.coldGap(s, now)
-	b.earnRetry()
+	r.inFlight, b.inFlight = r.inFlight+1, b.inFlight+1
+	s.inFlight = append(s.inFlight, a)
+	s.nextSlowStartSend = now + b.slowStartInterval(s, now)
+	b.addRetryTokens()
 	b.host.Send(r.ID, s.ID, left)
-	if a.due < now+left {
-		b.host.StartTimer(a.due-now, timerOverdue|uint64(len(r.attempts)-1)<<32|uint64(r.ID))
+	if a.overdueAt < now+left {
+		b.host.StartTimer(a.overdueAt-now, timerOverdue|uint64(len(r.attempts)-1)<<32|uint64(r.ID))
 	}
 }
 
-// park holds a request that no server may take now while an answer can be in time, and under half its time.
-func (b *Balancer) park(r *request, now, left time.Duration) {
-	if r.parked {
+// enqueue queues a request that no endpoint may handle now, while an answer can be in time and for less than
+// half of the request's time.
+func (b *Balancer) enqueue(r *request, now, left time.Duration) {
+	if r.queued {
 		return
 	}
-	most := r.arrived + (r.Deadline-r.arrived)*queueShare/100 - now
-	if most <= 0 { // its timer may have come while an attempt was out, which has ended unseen
-		b.giveUp(r, now, QueueTimeout)
+	maxWait := r.arrivedAt + (r.Deadline-r.arrivedAt)*maxQueuePercent/100 - now
+	if maxWait <= 0 { // its queue timer may have fired while an attempt was in flight
+		b.endUnserved(r, now, QueueTimeout)
 		return
 	}
-	r.parked, b.parked = true, append(b.parked, r)
-	if !r.waited { // once: parked again it has the time that it had
-		r.waited = true
-		b.host.StartTimer(min(left-b.set.Tick, most), timerExpire|uint64(r.ID))
+	r.queued, b.queue = true, append(b.queue, r)
+	if !r.queueTimeoutSet { // once: the time limit is for all its time in the queue
+		r.queueTimeoutSet = true
+		b.host.StartTimer(min(left-b.set.Tick, maxWait), timerQueueTimeout|uint64(r.ID))
 	}
-	if !b.looks { // they look for a server again soon: a cold one may take more by then
-		b.looks = true
-		b.host.StartTimer(b.lookAgain(), timerParked)
+	if !b.queueTimerSet { // retry soon: slow start may allow more by then
+		b.queueTimerSet = true
+		b.host.StartTimer(b.queueInterval(), timerQueue)
 	}
 }
 
-func (b *Balancer) unpark(now time.Duration) {
-	held := b.parked
-	b.parked = nil
-	for _, r := range held {
-		r.parked = false
+// retryQueued tries to send every queued request.
+func (b *Balancer) retryQueued(now time.Duration) {
+	queue := b.queue
+	b.queue = nil
+	for _, r := range queue {
+		r.queued = false
 		if !r.ended {
-			b.try(r, now)
+			b.sendOrQueue(r, now)
 		}
 	}
 }
 
-// next gives the room that an answer leaves to the oldest that waits, while all are served in a moment.
-// Where that takes longer not all can be in time: then to the youngest, which still can, of the worthiest.
-func (b *Balancer) next(now time.Duration) {
-	for n := len(b.parked); n > 0; n = len(b.parked) {
+// sendFromQueue gives the capacity that an answer frees to the oldest queued request, as long as the queue is
+// served quickly. Where that takes longer not all can be in time: then the youngest, which still can, goes
+// first, and protected classes before the others.
+func (b *Balancer) sendFromQueue(now time.Duration) {
+	for n := len(b.queue); n > 0; n = len(b.queue) {
 		at := 0
-		if float64(n) >= 2*b.doing(now)*b.lookAgain().Seconds() {
-			at = b.lastWorthy()
+		if float64(n) >= 2*b.completionsPerSecond(now)*b.queueInterval().Seconds() {
+			at = b.youngestProtected()
 		}
-		r := b.parked[at]
+		r := b.queue[at]
 		if !r.ended {
-			b.try(r, now) // it keeps its place if none takes it
+			b.sendOrQueue(r, now) // it keeps its place in the queue if none may handle it
 		}
-		if !r.ended && r.out == 0 {
+		if !r.ended && r.inFlight == 0 {
 			return
 		}
-		b.parked, r.parked = slices.Delete(b.parked, at, at+1), false
+		b.queue, r.queued = slices.Delete(b.queue, at, at+1), false
 	}
 }
 
-// giveUp ends a request that is not sent again. While an attempt is out it waits for that instead.
-func (b *Balancer) giveUp(r *request, now time.Duration, why Reason) {
-	if r.ended || r.out > 0 && b.left(r, now) > b.set.Tick {
+// endUnserved ends a request that is not sent again. While an attempt is in flight it waits for that instead.
+func (b *Balancer) endUnserved(r *request, now time.Duration, reason Reason) {
+	if r.ended || r.inFlight > 0 && b.usefulTimeLeft(r, now) > b.set.Tick {
 		return
 	}
-	b.end(r)
-	if r.out == 0 && b.mayRefuse(r) {
-		b.host.Reject(r.ID, b.retryAfter(), why)
+	b.markEnded(r)
+	if r.inFlight == 0 && b.mayReject(r) {
+		b.host.Reject(r.ID, b.retryAfter(), reason)
 	} else {
-		b.host.Fail(r.ID, why)
+		b.host.Fail(r.ID, reason)
 	}
-	b.cancelOut(r)
-	b.forget(r)
+	b.cancelInFlight(r)
+	b.removeIfOver(r)
 }
 
-// mayRefuse keeps the second rule: a refusal says that nothing has run, or that a repeat would be dropped.
-func (b *Balancer) mayRefuse(r *request) bool {
+// mayReject keeps the second invariant: a rejection promises that nothing has run, or that a retry would be
+// dropped.
+func (b *Balancer) mayReject(r *request) bool {
 	c := &b.set.Classes[r.Class]
-	return r.mayRun == nil || c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll
+	return r.mayHaveRunOn == nil || c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll
 }
 
-// mayRepeat keeps the second rule: r may be sent again, to a server that pick finds in its group.
-func (b *Balancer) mayRepeat(r *request, now time.Duration) bool {
+// mayRetry keeps the second invariant: r may be sent again, to an endpoint that pickEndpoint finds in its
+// scope.
+func (b *Balancer) mayRetry(r *request, now time.Duration) bool {
 	c := &b.set.Classes[r.Class]
-	if r.ended || len(r.attempts) >= b.set.Limits.MaxAttempts || r.out > 0 && !b.set.Limits.Hedging {
+	if r.ended || len(r.attempts) >= b.set.Limits.MaxAttempts || r.inFlight > 0 && !b.set.Limits.Hedging {
 		return false
 	}
-	// An attempt that is out may have run, whatever it turns out to be.
-	if r.out == 0 && r.mayRun == nil {
+	// An attempt in flight may have run, whatever its outcome.
+	if r.inFlight == 0 && r.mayHaveRunOn == nil {
 		return true
 	}
-	return c.Effect == Safe || c.Effect == Keyed && r.mayRun != nil && now < r.mayRunAt+c.DedupWindow-2*b.set.Tick
+	return c.Effect == Safe ||
+		c.Effect == Keyed && r.mayHaveRunOn != nil && now < r.mayHaveRunAt+c.DedupWindow-2*b.set.Tick
 }
 
-// end marks the final answer. Nothing is sent for r from here on.
-func (b *Balancer) end(r *request) {
+// markEnded records that r has its final answer. Nothing is sent for r after that.
+func (b *Balancer) markEnded(r *request) {
 	if !r.ended {
 		r.ended = true
-		b.leave(r)
+		b.removeOpen(r)
 	}
 }
 
-// forget drops r when nothing more can come for it.
-func (b *Balancer) forget(r *request) {
-	if r.ended && r.out == 0 {
+// removeIfOver deletes r once no further event can arrive for it.
+func (b *Balancer) removeIfOver(r *request) {
+	if r.ended && r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
 
-// Outcome takes the end of an attempt.
+// AttemptDone handles the outcome of an attempt.
 func (b *Balancer) AttemptDone(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].over {
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
 		return
 	}
 	a := r.attempts[o.Attempt]
-	a.over = true
-	r.out--
-	a.server.arrived(a)
-	b.learn(r, a, o, now)
-	defer b.next(now)
-	free := o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent // it never ran
-	if o.Status != OK && !free && (r.mayRun == nil || a.sent < r.mayRunAt) {
-		r.mayRun, r.mayRunAt = a.server, a.sent
+	a.done = true
+	r.inFlight--
+	a.endpoint.removeAttempt(a)
+	b.recordOutcome(r, a, o, now)
+	defer b.sendFromQueue(now)
+	unprocessed := o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent // it never ran
+	if o.Status != OK && !unprocessed && (r.mayHaveRunOn == nil || a.sentAt < r.mayHaveRunAt) {
+		r.mayHaveRunOn, r.mayHaveRunAt = a.endpoint, a.sentAt
 	}
 	if o.Final || o.Status == OK {
 		if !r.ended && o.Status != Declined {
-			b.done(r, now)
+			b.recordCompletion(r, now)
 		}
-		b.end(r)
-		b.cancelOut(r)
-		b.forget(r)
+		b.markEnded(r)
+		b.cancelInFlight(r)
+		b.removeIfOver(r)
 		return
 	}
 	if r.ended {
-		b.forget(r)
+		b.removeIfOver(r)
 		return
 	}
-	// What never ran goes out again at once, what was withdrawn has paid; the rest asks the retry budget.
-	free = free || o.Status == Cancelled
+	// What never ran is retried at once, and a cancelled attempt has paid already; the rest needs a retry token.
+	unprocessed = unprocessed || o.Status == Cancelled
 	switch {
-	case b.left(r, now) <= b.set.Tick:
-		b.giveUp(r, now, TooLate)
+	case b.usefulTimeLeft(r, now) <= b.set.Tick:
+		b.endUnserved(r, now, TooLate)
 	case len(r.attempts) >= b.set.Limits.MaxAttempts:
-		b.giveUp(r, now, AttemptsSpent)
-	case !b.mayRepeat(r, now):
-		b.giveUp(r, now, NotRetriable)
-	case !free && !b.spendRetry():
-		b.giveUp(r, now, NoRetryBudget)
+		b.endUnserved(r, now, AttemptsSpent)
+	case !b.mayRetry(r, now):
+		b.endUnserved(r, now, NotRetriable)
+	case !unprocessed && !b.takeRetryToken():
+		b.endUnserved(r, now, NoRetryBudget)
 	default:
-		b.try(r, now)
+		b.sendOrQueue(r, now)
 	}
 }
 
-// cancelOut withdraws what is still out of a request that is over.
-func (b *Balancer) cancelOut(r *request) {
+// cancelInFlight cancels the attempts in flight of a request that is over.
+func (b *Balancer) cancelInFlight(r *request) {
 	for i, a := range r.attempts {
-		if !a.over && b.set.Limits.Cancel {
+		if !a.done && b.set.Limits.Cancel {
 			b.host.Cancel(r.ID, i)
 		}
 	}
 }
 
-// First takes the start of a stream: the attempt is the client's from here on.
-func (b *Balancer) StreamStarted(now time.Duration, id RequestID, server EndpointID, attempt int, lag time.Duration) {
+// StreamStarted handles the start of a stream: from here on the attempt belongs to the client.
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, endpoint EndpointID, attempt int,
+	lag time.Duration) {
 	r := b.requests[id]
 	if r == nil || attempt < 0 || attempt >= len(r.attempts) {
 		return
 	}
-	b.end(r)
-	r.attempts[attempt].due, r.attempts[attempt].slow = math.MaxInt64, math.MaxInt64
+	b.markEnded(r)
+	r.attempts[attempt].overdueAt, r.attempts[attempt].slowAt = math.MaxInt64, math.MaxInt64
 }
 
-// GoneClient takes the news that the client has left; nothing is owed to it any more.
+// ClientGone handles a client that has disconnected; it needs no answer.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.ended {
-		b.end(r)
-		b.cancelOut(r)
-		b.forget(r)
+		b.markEnded(r)
+		b.cancelInFlight(r)
+		b.removeIfOver(r)
 	}
 }
 
-// Timer takes a timer that the Balancer asked for.
+// TimerFired handles a timer that the Balancer requested.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	r := b.requests[RequestID(token)]
-	switch token & timerKind {
+	switch token & timerKindMask {
 	case timerPhase:
-		b.phase(now)
+		b.endPhase(now)
 	case timerWatch:
 		if b.set.PollDiscovery && !b.watching {
 			b.host.Watch()
 		}
-	case timerParked:
-		b.looks = false
-		b.unpark(now)
-	case timerExpire:
-		if r != nil && r.out == 0 {
-			b.giveUp(r, now, QueueTimeout)
+	case timerQueue:
+		b.queueTimerSet = false
+		b.retryQueued(now)
+	case timerQueueTimeout:
+		if r != nil && r.inFlight == 0 {
+			b.endUnserved(r, now, QueueTimeout)
 		}
 	case timerOverdue:
 		n := int(token >> 32 & 0xffff)
-		if r != nil && !r.ended && n == len(r.attempts)-1 && !r.attempts[n].over {
-			b.overdue(r, n, now)
+		if r != nil && !r.ended && n == len(r.attempts)-1 && !r.attempts[n].done {
+			b.handleOverdue(r, n, now)
 		}
 	}
 }
 
-// overdue answers an attempt that takes far longer than its class does: it counts against its server, and a
-// second copy may go out where allowed. It is withdrawn and sent again only from a server on trial: elsewhere
-// most late answers come, and the work would run twice. Both ask the retry budget.
-func (b *Balancer) overdue(r *request, n int, now time.Duration) {
+// handleOverdue handles an attempt that takes far longer than its class does: it counts as a failure of its
+// endpoint, and a hedged request may be sent where allowed. Only on probation is the attempt cancelled and
+// sent again: elsewhere most late answers do arrive, and the work would run twice. Both need a retry token.
+func (b *Balancer) handleOverdue(r *request, n int, now time.Duration) {
 	c := &b.set.Classes[r.Class]
-	r.attempts[n].judged = true
-	b.judge(r.attempts[n].server, 1, now)
-	b.leave(r)
-	r.late = true
-	if c.Effect != Safe || b.left(r, now) < b.classes[r.Class].mean(c) {
+	r.attempts[n].failureCounted = true
+	b.recordFailureShare(r.attempts[n].endpoint, 1, now)
+	b.removeOpen(r)
+	r.overdue = true
+	if c.Effect != Safe || b.usefulTimeLeft(r, now) < b.classes[r.Class].expectedLatency(c) {
 		return
 	}
-	if b.mayRepeat(r, now) {
-		if b.spendRetry() {
-			b.try(r, now)
+	if b.mayRetry(r, now) {
+		if b.takeRetryToken() {
+			b.sendOrQueue(r, now)
 		}
-	} else if b.set.Limits.Cancel && r.attempts[n].server.trial && n+1 < b.set.Limits.MaxAttempts &&
-		b.spendRetry() {
+	} else if b.set.Limits.Cancel && r.attempts[n].endpoint.probation && n+1 < b.set.Limits.MaxAttempts &&
+		b.takeRetryToken() {
 		b.host.Cancel(r.ID, n)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,20 +7,20 @@
 	"kitewood/balance"
 )
 
-// host is a small host: it performs actions by printing them and keeps what a real one would have to do later.
+// host is a minimal Host: it prints the actions and keeps what a real host would have to perform later.
 type host struct {
 	sent   []balance.EndpointID
 	timers []uint64
 }
 
-func (h *host) Send(id balance.RequestID, s balance.EndpointID, timeout time.Duration) {
-	fmt.Printf("request %d goes out, %v at most\n", id, timeout)
-	h.sent = append(h.sent, s)
+func (h *host) Send(id balance.RequestID, endpoint balance.EndpointID, timeout time.Duration) {
+	fmt.Printf("request %d sent with timeout %v\n", id, timeout)
+	h.sent = append(h.sent, endpoint)
 }
 func (h *host) Reject(id balance.RequestID, _ time.Duration, _ balance.Reason) {
-	fmt.Printf("request %d is refused\n", id)
+	fmt.Printf("request %d rejected\n", id)
 }
-func (h *host) Fail(id balance.RequestID, _ balance.Reason) { fmt.Printf("request %d fails\n", id) }
+func (h *host) Fail(id balance.RequestID, _ balance.Reason) { fmt.Printf("request %d failed\n", id) }
 func (h *host) Cancel(balance.RequestID, int)               {}
 func (h *host) Probe(balance.EndpointID)                    {}
 func (h *host) CloseIdle(balance.EndpointID)                {}
@@ -49,21 +49,21 @@
 	b.RequestArrived(now, balance.Request{ID: 7, Deadline: now + 2*time.Second})
 	first := h.sent[0]
 
-	// The server turns it away unseen; the request goes to the other one, which serves it and reports its load.
+	// The endpoint rejects the request unprocessed. It is sent to the other one, which answers and reports its load.
 	now += 5 * time.Millisecond
 	b.AttemptDone(now, balance.Outcome{ID: 7, Attempt: 0, Endpoint: first, Status: balance.Rejected})
 	now += 40 * time.Millisecond
 	b.AttemptDone(now, balance.Outcome{ID: 7, Attempt: 1, Endpoint: h.sent[1], Status: balance.OK, Final: true,
 		Latency: 40 * time.Millisecond, Load: []float32{0.6}})
-	fmt.Println("another server:", first != h.sent[1])
+	fmt.Println("another endpoint:", first != h.sent[1])
 
-	// Timers come back with their tokens when their time has come.
+	// The host reports timers with their tokens when they expire.
 	now += time.Second
 	for _, token := range append([]uint64(nil), h.timers...) {
 		b.TimerFired(now, token)
 	}
 
-	// All servers leave: a request is held while a server could still come in time, then refused by a timer.
+	// All endpoints are gone: a request is queued while an endpoint could still appear in time, then rejected by a timer.
 	b.UpdateEndpoints(now, balance.Full, nil)
 	h.timers = nil
 	b.RequestArrived(now, balance.Request{ID: 8, Deadline: now + 500*time.Millisecond})
@@ -72,8 +72,8 @@
 		b.TimerFired(now, token)
 	}
 	// Output:
-	// request 7 goes out, 2s at most
-	// request 7 goes out, 1.995s at most
-	// another server: true
-	// request 8 is refused
+	// request 7 sent with timeout 2s
+	// request 7 sent with timeout 1.995s
+	// another endpoint: true
+	// request 8 rejected
 }
--- a/balance/feed.go
+++ b/balance/feed.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// highUnknown is the multiple of the mean latency that one answer in five exceeds where only rates are known: that of
-// exponential latencies.
-const highUnknown = 1.6
+// exponentialP80Ratio is the 80th percentile of latency as a multiple of the mean, for exponentially distributed latencies. It is
+// used where only rates are known.
+const exponentialP80Ratio = 1.6
 
-// Refusal is the share of first tries that is to be refused where others carry the requests: by the same pressure as that of an
-// owner's own, the latency foretold for what comes now as a share of the mean aim, from the requests open in all and those
-// served a second.
+// RejectShare returns the share of first attempts to reject where another data plane carries the requests. It uses the same
+// pressure as a Balancer does for its own requests: the predicted latency of a new request as a share of the mean latency
+// target, from the requests open in total and those answered a second.
 func (s *Settings) RejectShare(open, served float64) float64 {
-	if s.Tier != 0 || open < matureCount/2 {
+	if s.Tier != 0 || open < minSamples/2 {
 		return 0
 	}
-	return chance(highUnknown*open/max(served, 1e-9)/s.meanAim().Seconds(), shedFrom, shedTo-shedFrom)
+	return rejectProbability(exponentialP80Ratio*open/max(served, 1e-9)/s.meanTarget().Seconds(), shedStart, shedAll-shedStart)
 }
 
-// Observed takes what others saw of a server over some time: the share of failures among its outcomes, below 0 where there
-// were none, and a load report in the order of Report.Fields, or empty. It is the way in for an owner that sends nothing
-// itself; the readings go the way of those from outcomes and probes.
-func (b *Balancer) EndpointObserved(now time.Duration, id EndpointID, failed float64, load []float32) {
-	s := b.servers[id]
+// EndpointObserved records what others observed of an endpoint over some time: the share of failures among its outcomes, below
+// 0 where there were none, and a load report in the order of Report.Fields, or empty. It is the input for an owner that sends no
+// requests itself; its values are handled like those from outcomes and probes.
+func (b *Balancer) EndpointObserved(now time.Duration, id EndpointID, failureShare float64, load []float32) {
+	s := b.endpoints[id]
 	if s == nil {
 		return
 	}
 	if b.set.Report.Source != NoReports {
 		b.readReport(s, load, now)
 	}
-	if failed >= 0 {
-		if failed > ejectFrom { // as a failed probe
-			b.read(s, 1, now)
+	if failureShare >= 0 {
+		if failureShare > ejectThreshold { // like a failed probe
+			b.addReading(s, 1, now)
 		}
-		b.judge(s, min(failed, 1), now)
+		b.recordFailureShare(s, min(failureShare, 1), now)
 	}
 }
--- a/balance/hold.go
+++ b/balance/hold.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// sendPause says from when on nothing is sent: the list of servers is older then than a change of it
-// may be and still not count as told. What comes then waits in the queue for as long as any request may.
-type sendPause struct {
-	from  time.Duration // 0 for never
-	noted bool          // the people on call know that it has begun
+// leaseExpiry says when sending is suspended: the endpoint list may by then miss a change that counts as
+// delivered. Requests that arrive later are queued for as long as any request may be.
+type leaseExpiry struct {
+	at     time.Duration // 0 for never
+	logged bool          // its beginning was logged
 }
 
-// Hold takes from when on nothing is sent unless the list is renewed; it replaces the last such word.
-func (b *Balancer) SetLeaseExpiry(now, from time.Duration) {
-	was := b.pause
-	b.pause = sendPause{from: from, noted: was.noted}
-	if !was.noted || now >= from {
+// SetLeaseExpiry sets the time from which sending is suspended unless the endpoint list is renewed. It
+// replaces the time set before.
+func (b *Balancer) SetLeaseExpiry(now, at time.Duration) {
+	old := b.expiry
+	b.expiry = leaseExpiry{at: at, logged: old.logged}
+	if !old.logged || now >= at {
 		return
 	}
-	b.pause.noted = false
-	b.host.Log(fmt.Sprintf("the list of servers is renewed %v after requests were held back for it",
-		(now - was.from).Round(time.Millisecond)))
-	b.unpark(now)
+	b.expiry.logged = false
+	b.host.Log(fmt.Sprintf("endpoint list renewed; sending resumed after a suspension of %v",
+		(now - old.at).Round(time.Millisecond)))
+	b.retryQueued(now)
 }
 
-// paused tells whether nothing is sent now.
-func (b *Balancer) paused(now time.Duration) bool {
-	if now < b.pause.from || b.pause.from == 0 {
+// sendingSuspended tells whether nothing may be sent now.
+func (b *Balancer) sendingSuspended(now time.Duration) bool {
+	if now < b.expiry.at || b.expiry.at == 0 {
 		return false
 	}
-	if !b.pause.noted {
-		b.pause.noted = true
-		b.host.Log("requests are held back: the list of servers is too old")
+	if !b.expiry.logged {
+		b.expiry.logged = true
+		b.host.Log("sending suspended: the lease of the endpoint list has expired")
 	}
 	return true
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// Bounds that keep a decision file readable.
+// Limits that keep a decision file readable.
 const (
-	mostFileLines     = 440 // that are not blank
-	mostFunctionLines = 60
-	mostLineRunes     = 110
+	maxFileLines     = 440 // without blank lines
+	maxFunctionLines = 60
+	maxLineRunes     = 110
 )
 
-// decisionFiles are what the deploy file names as the decision logic.
+// decisionFiles returns the file names that the deploy file lists as the decision logic.
 func decisionFiles(t *testing.T) (names []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -36,8 +36,8 @@
 	return names
 }
 
-// The decision files stay readable, each by itself, and the deploy file names all of them: every file of the package that
-// has a method of Balancer, but the two that hold state and views of it.
+// The decision files stay within their limits, and the deploy file lists all of them: every file of the package that has a method
+// of a type, except those that hold the interface, state, views and observations.
 func TestPolicyLimits(t *testing.T) {
 	names := decisionFiles(t)
 	for _, name := range []string{"balance.go", "trend.go", "subset.go", "pick.go", "slowstart.go", "outlier.go", "shedding.go", "retrybudget.go", "hold.go"} {
@@ -50,8 +50,8 @@
 		t.Fatal(err)
 	}
 	files := token.NewFileSet()
-	for _, e := range entries {
-		name := e.Name()
+	for _, entry := range entries {
+		name := entry.Name()
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			continue
 		}
@@ -59,28 +59,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		decides := false
+		hasMethods := false
 		for _, d := range f.Decls {
 			fn, ok := d.(*ast.FuncDecl)
 			if !ok {
 				continue
 			}
-			decides = decides || fn.Recv != nil
+			hasMethods = hasMethods || fn.Recv != nil
 			from, to := files.Position(fn.Pos()).Line, files.Position(fn.End()).Line
-			if n := to - from + 1; n > mostFunctionLines {
-				t.Errorf("%s:%d %s has %d lines, over %d", name, from, fn.Name.Name, n, mostFunctionLines)
+			if n := to - from + 1; n > maxFunctionLines {
+				t.Errorf("%s:%d %s has %d lines, over %d", name, from, fn.Name.Name, n, maxFunctionLines)
 			}
 		}
-		plain := slices.Contains([]string{"api.go", "state.go", "view.go", "feed.go"}, name)
-		if decides && !plain && !slices.Contains(names, name) {
-			t.Errorf("%s decides, and deploy/balancer.toml does not name it", name)
+		exempt := slices.Contains([]string{"api.go", "state.go", "view.go", "feed.go"}, name)
+		if hasMethods && !exempt && !slices.Contains(names, name) {
+			t.Errorf("%s holds decisions, and deploy/balancer.toml does not name it", name)
 		}
 		checkLines(t, name, slices.Contains(names, name))
 	}
 }
 
-// checkLines holds a file to the bounds on its lines, and a decision file to that on their length.
-func checkLines(t *testing.T, name string, decides bool) {
+// checkLines checks the number of lines of a file and, for a decision file, their length.
+func checkLines(t *testing.T, name string, isDecisionFile bool) {
 	t.Helper()
 	f, err := os.Open(name)
 	if err != nil {
@@ -92,11 +92,11 @@
 		if strings.TrimSpace(in.Text()) != "" {
 			lines++
 		}
-		if len([]rune(in.Text())) > mostLineRunes && decides {
-			t.Errorf("%s:%d is longer than %d characters", name, n, mostLineRunes)
+		if len([]rune(in.Text())) > maxLineRunes && isDecisionFile {
+			t.Errorf("%s:%d is longer than %d characters", name, n, maxLineRunes)
 		}
 	}
-	if lines > mostFileLines {
-		t.Errorf("%s holds %d lines, over %d", name, lines, mostFileLines)
+	if lines > maxFileLines {
+		t.Errorf("%s holds %d lines, over %d", name, lines, maxFileLines)
 	}
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -4,82 +4,89 @@
 	"time"
 )
 
-// pick.go: the choice of a server for an attempt, and what passes one over.
+// pick.go: the choice of an endpoint for an attempt, and what excludes one.
 
 const (
-	inFlightAllowance = 1.0 // own attempts out at a server, over its weight's share, that pass it over
-	fleetHold         = 7.0 // a server with its part of so many out, which all that track it share, is no choice
-	overloadedFrom    = 0.6 // a server whose report foretells more than this part of the mean aim is no choice,
-	overloadedLeast   = 4.0 // if it holds more than this many
-	overloadedFor     = 0.6 // and the report is younger than this part of the mean aim
+	inFlightSlack        = 1.0 // own in-flight attempts beyond its share, from which an endpoint is skipped
+	baseSlots            = 7.0 // attempts in flight, from all trackers, from which an endpoint is skipped
+	overloadLatencyRatio = 0.6 // skipped if its report predicts a latency above this part of the mean target,
+	overloadMinInFlight  = 4.0 // it holds more than this many requests,
+	overloadMaxReportAge = 0.6 // and the report is younger than this part of the mean target
 )
 
-// pick finds the server for the next attempt of r: the next turn of the rotation that is fit. Where half of
-// the turns were unfit the look of things is no longer trusted, and any will do that is not cold.
-func (b *Balancer) pick(r *request, now time.Duration) *server {
+// pickEndpoint finds the endpoint for the next attempt of r: the next in the rotation that is healthy. Once
+// half of the rotation was unhealthy, that judgement is no longer trusted, and any endpoint will do that slow
+// start allows.
+func (b *Balancer) pickEndpoint(r *request, now time.Duration) *endpointState {
 	c := &b.set.Classes[r.Class]
-	if c.Effect == Keyed && c.DedupScope != ScopeAll && r.mayRun != nil {
-		return b.pickInGroup(r, c.DedupScope, now)
+	if c.Effect == Keyed && c.DedupScope != ScopeAll && r.mayHaveRunOn != nil {
+		return b.pickInScope(r, c.DedupScope, now)
 	}
-	if b.doneAll >= matureCount && float64(b.out) >= b.room(now) {
-		return nil // it waits: all that is out would take longer still
+	if b.completed >= minSamples && float64(b.inFlight) >= b.inFlightLimit(now) {
+		return nil // r is queued: it would slow down all attempts in flight
 	}
 	skipped := 0
-	return b.spin(now, func(s *server) bool {
-		if !b.coldTurn(s, now) || r.tried(s) && len(b.rotation) > len(r.attempts) || b.full(s, now) {
+	return b.nextEndpoint(now, func(s *endpointState) bool {
+		if !b.slowStartAllows(s, now) || r.triedOn(s) && len(b.rotation) > len(r.attempts) || b.atLimit(s, now) {
 			return false
 		}
 		skipped++
-		// A server on trial gets what may be repeated: an unsafe request would be lost if it still crawls.
-		risky := c.Effect == Unsafe && s.trial && now < s.outUntil+s.hold
-		return b.fit(s, now) && !risky || 2*skipped > len(b.rotation)
+		// An endpoint on probation gets what may be retried: an unsafe request would be lost if it is still slow.
+		risky := c.Effect == Unsafe && s.probation && now < s.ejectedUntil+s.ejectionTime
+		return b.healthy(s, now) && !risky || 2*skipped > len(b.rotation)
 	})
 }
 
-// room is how many attempts this balancer may have out: its part of what the servers that are well may hold,
-// less of cold ones. One at each server is harmless alone; from every balancer they slow down under it.
-func (b *Balancer) room(now time.Duration) float64 {
+// inFlightLimit is the number of attempts that this balancer may have in flight: its share of what the
+// healthy endpoints can hold, less for those in slow start. One attempt at each endpoint is harmless from one
+// balancer, but one from every balancer slows the endpoints down.
+func (b *Balancer) inFlightLimit(now time.Duration) float64 {
 	sum := 0.0
 	for _, s := range b.tracked {
-		if now >= s.outUntil && !s.trial && !b.jammed(s, now) {
-			sum += b.ramp(s, now)
+		if now >= s.ejectedUntil && !s.probation && !b.overloaded(s, now) {
+			sum += b.slowStartFactor(s, now)
 		}
 	}
-	return max(sum*b.hold()/b.sharers(), 2)
+	return max(sum*b.slots()/b.balancersPerEndpoint(), 2)
 }
 
-// hold is how many attempts a server may hold: more where late answers earn, as waiting pays longer there.
-func (b *Balancer) hold() float64 { return fleetHold * float64(b.horizon) / float64(b.meanAim) }
+// slots is the limit of attempts in flight per endpoint. It is larger where late answers have a
+// utility, as waiting is worth more there.
+func (b *Balancer) slots() float64 { return baseSlots * float64(b.usefulWait) / float64(b.meanTarget) }
 
-// full tells whether a server holds so many own attempts that one more would be answered too late, and
-// make all others later still: with few servers left the last one is not to be buried. Where many share a
-// server each has its part of what it may hold, one at the least: four from each of a dozen buried it.
-func (b *Balancer) full(s *server, now time.Duration) bool {
-	if b.doneAll < matureCount {
+// atLimit tells whether an endpoint holds so many own attempts that one more would be answered too late and
+// delay all others. This protects the last endpoint when few are left. Where many balancers share an endpoint
+// each has its share of the limit, at least one attempt: four from each of a dozen balancers overloaded it.
+func (b *Balancer) atLimit(s *endpointState, now time.Duration) bool {
+	if b.completed < minSamples {
 		return false
 	}
-	alone := max(b.horizon.Seconds()/max(b.meanLat, 1e-3), 4)
-	return b.jammed(s, now) || float64(len(s.out)) >= max(min(alone, b.hold()/b.sharers()), 1)
+	ownLimit := max(b.usefulWait.Seconds()/max(b.meanLatency, 1e-3), 4)
+	return b.overloaded(s, now) ||
+		float64(len(s.inFlight)) >= max(min(ownLimit, b.slots()/b.balancersPerEndpoint()), 1)
 }
 
-// jammed tells whether a server's last report foretells late answers: what it holds, from all balancers, over
-// the rate at which it answers. A quiet balancer's own attempts would tell that only when they time out.
-func (b *Balancer) jammed(s *server, now time.Duration) bool {
-	held := b.said(s, Inflight)
-	fresh := s.reported && now-s.fresh < time.Duration(overloadedFor*float64(b.meanAim))
-	return fresh && held > overloadedLeast &&
-		held > overloadedFrom*b.meanAim.Seconds()*b.said(s, QPS)
+// overloaded tells whether an endpoint's last report predicts late answers: its requests in flight, from all
+// balancers, over the rate at which it answers. The own attempts of a balancer with few requests would show
+// that only when they time out.
+func (b *Balancer) overloaded(s *endpointState, now time.Duration) bool {
+	inFlight := b.reportedValue(s, Inflight)
+	fresh := s.hasReport && now-s.reportedAt < time.Duration(overloadMaxReportAge*float64(b.meanTarget))
+	return fresh && inFlight > overloadMinInFlight &&
+		inFlight > overloadLatencyRatio*b.meanTarget.Seconds()*b.reportedValue(s, QPS)
 }
 
-func (b *Balancer) pickInGroup(r *request, group DedupScope, now time.Duration) *server {
-	key := 2 * r.mayRun.Cell
-	if group == ScopeZone {
-		key = 2*r.mayRun.Zone + 1
+// pickInScope finds the endpoint for a retry of a keyed request, within the deduplication scope of its first
+// attempt.
+func (b *Balancer) pickInScope(r *request, scope DedupScope, now time.Duration) *endpointState {
+	key := 2 * r.mayHaveRunOn.Cell
+	if scope == ScopeZone {
+		key = 2*r.mayHaveRunOn.Zone + 1
 	}
-	var best *server
-	for _, s := range b.groups[key] {
-		if !b.coldTurn(s, now) || r.tried(s) || best != nil && b.fit(best, now) &&
-			(!b.fit(s, now) || len(best.out) <= len(s.out)) {
+	var best *endpointState
+	for _, s := range b.byScope[key] {
+		if !b.slowStartAllows(s, now) || r.triedOn(s) || best != nil && b.healthy(best, now) &&
+			(!b.healthy(s, now) || len(best.inFlight) <= len(s.inFlight)) {
 			continue
 		}
 		best = s
@@ -87,29 +94,30 @@
 	return best
 }
 
-// fit guards against calls piling up on a server that hangs, crawls or fails fast: own attempts out there are
-// the only prompt sign of the first two, the last looks idle, and the average tells far too late.
-func (b *Balancer) fit(s *server, now time.Duration) bool {
-	if now < s.outUntil || s.trial && len(s.out) > 0 {
+// healthy guards against piling up attempts at an endpoint that hangs, is slow or fails fast: own attempts in
+// flight are the only prompt sign of the first two, an endpoint of the last kind looks idle, and averages
+// react too late.
+func (b *Balancer) healthy(s *endpointState, now time.Duration) bool {
+	if now < s.ejectedUntil || s.probation && len(s.inFlight) > 0 {
 		return false
 	}
-	for _, a := range s.out {
-		if now > a.slow {
+	for _, a := range s.inFlight {
+		if now > a.slowAt {
 			return false
 		}
 	}
-	return float64(len(s.out)) < 1+inFlightAllowance*float64(b.out)*s.cs/float64(len(b.tracked))
+	return float64(len(s.inFlight)) < 1+inFlightSlack*float64(b.inFlight)*s.signal/float64(len(b.tracked))
 }
 
-// weight is a server's signal, less while it is cold and where it stands in another zone.
-func (b *Balancer) weight(s *server, now time.Duration) float64 {
-	return s.cs * b.ramp(s, now) * b.near(s)
+// weight is an endpoint's signal, reduced in slow start and in other zones.
+func (b *Balancer) weight(s *endpointState, now time.Duration) float64 {
+	return s.signal * b.slowStartFactor(s, now) * b.zoneWeight(s)
 }
 
-// near is 1 for a server of the own zone, and the part of its weight that one of another zone gets.
-func (b *Balancer) near(s *server) float64 {
-	if s.Zone != b.set.Zone && len(b.local()) > 0 {
-		return b.spill
+// zoneWeight is 1 for an endpoint of the local zone, and the spill-over share for one of another zone.
+func (b *Balancer) zoneWeight(s *endpointState) float64 {
+	if s.Zone != b.set.Zone && len(b.localEndpoints()) > 0 {
+		return b.spillover
 	}
 	return 1
 }
--- a/balance/retrybudget.go
+++ b/balance/retrybudget.go
@@ -4,26 +4,27 @@
 	"cmp"
 )
 
-// retrybudget.go: how many attempts beyond the first all requests may have.
+// retrybudget.go: the budget for retries.
 
 const (
-	retryShare = 1.0 / 8 // repeats of what may have run, as a share of first sends
-	retryBurst = 64.0    // repeats that all balancers together can save up, one each at the least
+	defaultRetryShare = 1.0 / 8 // retries of attempts that may have run, as a share of first attempts
+	defaultRetryBurst = 64.0    // retry tokens that all balancers together can accumulate, at least one each
 )
 
-// earnRetry saves a part of a repeat for each send. A new process has none: hundreds of them would bring as
-// many bursts for nothing.
-func (b *Balancer) earnRetry() {
+// addRetryTokens adds a part of a retry token for each send. A new process starts with none: in a fleet of
+// hundreds each would otherwise allow a burst of retries right after its start.
+func (b *Balancer) addRetryTokens() {
 	l := &b.set.Limits
-	most := cmp.Or(l.RetryBurst, retryBurst) / float64(max(b.set.Balancers, minTracked))
-	b.retries = min(b.retries+cmp.Or(l.RetryShare, retryShare), max(most, 1))
+	burst := cmp.Or(l.RetryBurst, defaultRetryBurst) / float64(max(b.set.Balancers, minTracked))
+	b.retryTokens = min(b.retryTokens+cmp.Or(l.RetryShare, defaultRetryShare), max(burst, 1))
 }
 
-// spendRetry guards against every tier multiplying the load of the tier below it when answers fail.
-func (b *Balancer) spendRetry() bool {
-	if b.retries < 1 {
+// takeRetryToken takes a token if there is one. The budget keeps every tier from multiplying the load of the
+// tier below when answers fail.
+func (b *Balancer) takeRetryToken() bool {
+	if b.retryTokens < 1 {
 		return false
 	}
-	b.retries--
+	b.retryTokens--
 	return true
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -6,46 +6,49 @@
 	"time"
 )
 
-// slowstart.go: what a server gets while it is cold.
+// slowstart.go: the limits on an endpoint in slow start.
 
 const (
-	coldHarmless      = 1.0 // sends within the fall time that load no cold server,
-	coldShareOfReport = 0.7 // and the part of what reports say it can do
+	slowStartMinSends      = 1.0 // sends within the overload window that overload no endpoint in slow start,
+	slowStartCapacityRatio = 0.7 // and the usable part of its reported capacity
 )
 
-// ramp is the part of its work that a server can do at the least, by its age.
-func (b *Balancer) ramp(s *server, now time.Duration) float64 {
+// slowStartFactor is the part of its full load that an endpoint can handle at least, by its age.
+func (b *Balancer) slowStartFactor(s *endpointState, now time.Duration) float64 {
 	r := &b.set.Rules
 	if s.ReadyAt <= 0 || now-s.ReadyAt >= r.SlowStartTime {
 		return 1
 	}
 	age := max(0, float64(now-s.ReadyAt)/float64(r.SlowStartTime))
-	return max(r.SlowStartShare+(1-r.SlowStartShare)*age, lowest)
+	return max(r.SlowStartShare+(1-r.SlowStartShare)*age, minSignal)
 }
 
-// coldGap guards the fourth rule: the least time between two sends to a cold server, even if all others look
-// bad. It is this balancer's part of what comes, half way (by ratio) to where it falls; or of what reports
-// say it can do, or of a few: else each tier of a fleet that starts anew lets through a part of what the one
-// above does.
-func (b *Balancer) coldGap(s *server, now time.Duration) time.Duration {
-	ramp := b.ramp(s, now)
-	if ramp == 1 {
+// slowStartInterval keeps the fourth invariant: the smallest time between two sends to an endpoint in slow
+// start, even if all others look unhealthy. It follows from the largest of three rates: this balancer's even
+// share of its requests, at the geometric mean of the sustainable and the overload rate; its share of the
+// reported capacity; and its share of a few sends. Without the last two, each tier of a fleet that restarts
+// would pass on only a part of what the tier above passes on to it.
+func (b *Balancer) slowStartInterval(s *endpointState, now time.Duration) time.Duration {
+	factor := b.slowStartFactor(s, now)
+	if factor == 1 {
 		return 0
 	}
-	even := cmp.Or(b.rate, float64(b.arrivals)/b.length.Seconds()) * b.near(s) / float64(len(b.tracked)+1)
-	few := coldHarmless / cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime).Seconds()
-	rate := even * ramp * math.Sqrt(max(b.set.Rules.OverloadMultiple, 1))
-	rate = max(rate, max(coldShareOfReport*b.able(s)*ramp, few)/b.sharers())
+	share := cmp.Or(b.requestRate, float64(b.arrivals)/b.phaseLength.Seconds()) *
+		b.zoneWeight(s) / float64(len(b.tracked)+1)
+	minRate := slowStartMinSends / cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime).Seconds()
+	rate := share * factor * math.Sqrt(max(b.set.Rules.OverloadMultiple, 1))
+	rate = max(rate, max(slowStartCapacityRatio*b.expectedCapacity(s)*factor, minRate)/b.balancersPerEndpoint())
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// coldTurn tells whether a server is warm or this balancer has a turn there now. One that is not used lapses:
-// saved up by all balancers they came together. One that is far off is drawn anew when there are more.
-func (b *Balancer) coldTurn(s *server, now time.Duration) bool {
-	gap := b.coldGap(s, now)
-	lapsed := now > s.coldNext+cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime)
-	if gap > 0 && (lapsed || s.coldNext > now+gap) {
-		s.coldNext = now + b.spread(gap)
+// slowStartAllows tells whether an endpoint is past slow start or this balancer may send to it now. A send
+// that is not used in time expires, as otherwise all balancers could send at once what they had saved up. A
+// send that is far off is drawn anew when the interval has become shorter.
+func (b *Balancer) slowStartAllows(s *endpointState, now time.Duration) bool {
+	interval := b.slowStartInterval(s, now)
+	expired := now > s.nextSlowStartSend+cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime)
+	if interval > 0 && (expired || s.nextSlowStartSend > now+interval) {
+		s.nextSlowStartSend = now + b.randomPart(interval)
 	}
-	return gap == 0 || now >= s.coldNext
+	return interval == 0 || now >= s.nextSlowStartSend
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// Fourteen quiet balancers that meet ten successors at once must not, together, send any of them over what it can do.
-func TestColdServersAreNotTippedByAllTogether(t *testing.T) {
-	const balancers, servers, cold, gap, load = 14, 16, 10, 100 * ms, 0.7
-	type due struct {
+// Fourteen balancers with few requests each that detect ten restarted endpoints at the same time must not, together, overload any
+// of them.
+func TestSuccessorsAreNotOverloadedByAllBalancers(t *testing.T) {
+	const balancers, endpoints, restarted, gap, load = 14, 16, 10, 100 * ms, 0.7
+	type dueTimer struct {
 		at    time.Duration
 		token uint64
 	}
-	born := 20 * time.Second
+	restartTime := 20 * time.Second
 	sends := map[EndpointID][]time.Duration{}
-	for me := range balancers {
-		set := member(me, balancers)
-		b, h := start(t, set, fleet(servers))
-		var timers []due
+	for index := range balancers {
+		set := settingsOf(index, balancers)
+		b, h := startBalancer(t, set, endpointList(endpoints))
+		var timers []dueTimer
 		var id RequestID
-		for now := time.Duration(0); now < born+set.Rules.SlowStartTime; now += 10 * ms {
-			if now == born {
-				list := fleet(servers)
-				for i := range cold {
-					list[i].ID, list[i].ReadyAt = EndpointID(200+i), born
+		for now := time.Duration(0); now < restartTime+set.Rules.SlowStartTime; now += 10 * ms {
+			if now == restartTime {
+				list := endpointList(endpoints)
+				for i := range restarted {
+					list[i].ID, list[i].ReadyAt = EndpointID(200+i), restartTime
 				}
 				b.UpdateEndpoints(now, Full, list)
 			}
-			for _, x := range h.timers {
-				timers = append(timers, due{now + x.delay, x.token})
+			for _, timer := range h.timers {
+				timers = append(timers, dueTimer{now + timer.delay, timer.token})
 			}
 			h.timers = nil
-			later := timers[:0:0]
-			for _, x := range timers {
-				if x.at <= now {
-					b.TimerFired(now, x.token)
+			pending := timers[:0:0]
+			for _, timer := range timers {
+				if timer.at <= now {
+					b.TimerFired(now, timer.token)
 				} else {
-					later = append(later, x)
+					pending = append(pending, timer)
 				}
 			}
-			timers = later
-			if (now+time.Duration(me)*gap/balancers/(10*ms)*(10*ms))%gap == 0 {
+			timers = pending
+			if (now+time.Duration(index)*gap/balancers/(10*ms)*(10*ms))%gap == 0 {
 				id++
 				b.RequestArrived(now, Request{ID: id, Deadline: now + 3*time.Second})
 			}
-			for _, s := range h.sends {
-				sends[s.server] = append(sends[s.server], now)
-				b.AttemptDone(now, Outcome{ID: s.id, Final: true, Attempt: s.attempt, Endpoint: s.server, Status: OK, Latency: 50 * ms,
+			for _, attempt := range h.sends {
+				sends[attempt.endpoint] = append(sends[attempt.endpoint], now)
+				b.AttemptDone(now, Outcome{ID: attempt.id, Final: true, Attempt: attempt.attempt, Endpoint: attempt.endpoint, Status: OK, Latency: 50 * ms,
 					Load: []float32{50, 0.5}})
 			}
 			h.sends = nil
 		}
 	}
-	rules := settings().Rules
+	rules := testSettings().Rules
 	window := rules.OverloadWindow
-	able := balancers / gap.Seconds() / servers / load // of a warm server, a second
-	met, worst := 0, 0.0
-	for id, at := range sends {
+	capacity := balancers / gap.Seconds() / endpoints / load // requests a second of an endpoint past slow start
+	reached, worst := 0, 0.0
+	for id, times := range sends {
 		if id < 200 {
 			continue
 		}
-		met++
-		for from := born; from < born+rules.SlowStartTime-window; from += 50 * ms {
+		reached++
+		for from := restartTime; from < restartTime+rules.SlowStartTime-window; from += 50 * ms {
 			n := 0
-			for _, x := range at {
-				if x >= from && x < from+window {
+			for _, at := range times {
+				if at >= from && at < from+window {
 					n++
 				}
 			}
-			age := float64(from-born) / float64(rules.SlowStartTime)
-			worst = max(worst, float64(n)/(able*window.Seconds()*(rules.SlowStartShare+(1-rules.SlowStartShare)*age)))
+			age := float64(from-restartTime) / float64(rules.SlowStartTime)
+			worst = max(worst, float64(n)/(capacity*window.Seconds()*(rules.SlowStartShare+(1-rules.SlowStartShare)*age)))
 		}
 	}
-	t.Logf("the most that a cold server was sent: %.2f times what it can do", worst)
-	if met != cold || worst > rules.OverloadMultiple {
-		t.Errorf("%d of %d cold servers were sent to, at most %.2f times what they can do; want all, under %v", met, cold, worst, rules.OverloadMultiple)
+	t.Logf("largest load of an endpoint in slow start: %.2f times what it can handle", worst)
+	if reached != restarted || worst > rules.OverloadMultiple {
+		t.Errorf("%d of %d endpoints in slow start got requests, at most %.2f times what they can handle; want all, at most %v", reached, restarted, worst, rules.OverloadMultiple)
 	}
 }
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// coldDay is a fleet of balancers and servers in which some servers start anew at one moment, in virtual time.
-type coldDay struct {
-	balancers, servers, cold int
-	load                     float64 // of what the warm servers can do
-	burst                    float64 // times that load from the start of the cold ones on; 0 for 1
-	uneven                   bool    // some balancers get many times the mean
-	restart                  bool    // half of the balancers start anew with the servers
-	failing                  bool    // the warm servers answer with errors from then on
-	zones                    []int   // balancers by zone; servers alternate
-	share                    []int   // servers by zone
-	fields                   []Field // of reports
-	able                     float64 // requests a second of a warm server; 0 for 10
-	rules                    Rules   // with ColdShare 0 for the usual
+// slowStartScenario is a fleet of balancers and endpoints, in virtual time, in which some endpoints restart at the same time.
+type slowStartScenario struct {
+	balancers, endpoints, restarted int
+	load                            float64 // as a share of the capacity of all endpoints
+	burst                           float64 // factor on the load from restartTime on; 0 for 1
+	uneven                          bool    // some balancers get a multiple of the mean
+	restartBalancers                bool    // half of the balancers restart with the endpoints
+	failing                         bool    // the endpoints that did not restart answer with errors from then on
+	zones                           []int   // number of balancers by zone
+	endpointZones                   []int   // number of endpoints by zone
+	fields                          []Field // of load reports
+	capacity                        float64 // requests a second of an endpoint past slow start; 0 for 10
+	rules                           Rules   // the default where SlowStartShare is 0
 }
 
-const coldBorn = 20 * time.Second
+// restartTime is when the endpoints restart.
+const restartTime = 20 * time.Second
 
-// play runs a day and gives for each cold server when it was sent to, and the figures that it can do.
-func (c coldDay) play(t *testing.T, seed uint64) (sends map[EndpointID][]time.Duration, able float64, rules Rules) {
+// simulate runs a scenario. It returns the times of the sends to each restarted endpoint, an endpoint's capacity, and the rules.
+func (c slowStartScenario) simulate(t *testing.T, seed uint64) (sends map[EndpointID][]time.Duration, capacity float64, rules Rules) {
 	const step = 10 * ms
 	rng := rand.New(rand.NewPCG(seed, 5))
-	set := settings()
+	set := testSettings()
 	set.Seed, set.Balancers = seed, c.balancers
 	set.Classes = set.Classes[:1]
 	set.Report.Fields = c.fields
@@ -45,81 +46,81 @@
 		set.Rules.OverloadMultiple, set.Rules.OverloadWindow = c.rules.OverloadMultiple, c.rules.OverloadWindow
 	}
 	rules = set.Rules
-	able = cmp.Or(c.able, 10)
-	type due struct {
-		at time.Duration
-		do func()
+	capacity = cmp.Or(c.capacity, 10)
+	type task struct {
+		at  time.Duration
+		run func()
 	}
 	sends = map[EndpointID][]time.Duration{}
-	type caller struct {
+	type simulatedBalancer struct {
 		b      *Balancer
 		h      *recorder
-		timers []due
-		ends   []due
-		part   float64
+		timers []task
+		ends   []task
+		weight float64
 		id     RequestID
 	}
-	list := fleet(c.servers)
-	place := func(i int, by []int) int {
-		for z, n := range by {
+	list := endpointList(c.endpoints)
+	zoneOf := func(i int, zones []int) int {
+		for zone, n := range zones {
 			if i -= n; i < 0 {
-				return z
+				return zone
 			}
 		}
 		return 0
 	}
 	for i := range list {
-		list[i].Zone = place(i, c.share)
+		list[i].Zone = zoneOf(i, c.endpointZones)
 	}
-	later := slices.Clone(list)
-	for i := range c.cold {
-		at := i * c.servers / c.cold
-		later[at].ID, later[at].ReadyAt = EndpointID(200+i), coldBorn
+	updated := slices.Clone(list)
+	for i := range c.restarted {
+		index := i * c.endpoints / c.restarted
+		updated[index].ID, updated[index].ReadyAt = EndpointID(200+i), restartTime
 	}
-	all, sum := make([]*caller, c.balancers), 0.0
-	begin := func(me int, list []Endpoint, now time.Duration) {
-		mine := set
-		mine.Index, mine.Seed, mine.Zone = me, seed*1000+uint64(me)+uint64(now), place(me, c.zones)
+	all, totalWeight := make([]*simulatedBalancer, c.balancers), 0.0
+	start := func(index int, list []Endpoint, now time.Duration) {
+		own := set
+		own.Index, own.Seed, own.Zone = index, seed*1000+uint64(index)+uint64(now), zoneOf(index, c.zones)
 		h := &recorder{}
-		b, err := New(mine, h, now)
+		b, err := New(own, h, now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.UpdateEndpoints(now, Cached, list)
-		part := 1.0
-		if old := all[me]; old != nil {
-			part = old.part
+		weight := 1.0
+		if old := all[index]; old != nil {
+			weight = old.weight
 		} else {
-			if c.uneven && me%5 == 0 {
-				part = 6
+			if c.uneven && index%5 == 0 {
+				weight = 6
 			}
-			sum += part
+			totalWeight += weight
 		}
-		all[me] = &caller{b: b, h: h, part: part}
+		all[index] = &simulatedBalancer{b: b, h: h, weight: weight}
 	}
-	for me := range all {
-		begin(me, list, 0)
+	for index := range all {
+		start(index, list, 0)
 	}
-	free := map[EndpointID]time.Duration{}     // when a server has done what it holds
-	counts := map[EndpointID][]time.Duration{} // recent answers, for reports
+	idleAt := map[EndpointID]time.Duration{}    // when an endpoint will have finished its requests
+	answers := map[EndpointID][]time.Duration{} // recent answers, for reports
 	clock := time.Duration(0)
-	for now := time.Duration(0); now < coldBorn+rules.SlowStartTime; now += step {
+	for now := time.Duration(0); now < restartTime+rules.SlowStartTime; now += step {
 		clock = now
-		rate := c.load * able * float64(c.servers)
-		if now >= coldBorn && c.burst > 0 {
+		rate := c.load * capacity * float64(c.endpoints)
+		if now >= restartTime && c.burst > 0 {
 			rate *= c.burst
 		}
-		for me, x := range all {
-			if now == coldBorn {
-				if c.restart && me%2 == 0 {
-					begin(me, list, now)
-					x = all[me]
+		for index, balancer := range all {
+			if now == restartTime {
+				if c.restartBalancers && index%2 == 0 {
+					start(index, list, now)
+					balancer = all[index]
 				}
-				x.b.UpdateEndpoints(now, Full, later)
+				balancer.b.UpdateEndpoints(now, Full, updated)
 			}
-			run := func(q []due) []due {
-				var ready, rest []due
-				for _, d := range q {
+			runDue := func(tasks []task) []task {
+				var ready, rest []task
+				for _, d := range tasks {
 					if d.at <= now {
 						ready = append(ready, d)
 					} else {
@@ -127,135 +128,135 @@
 					}
 				}
 				for _, d := range ready {
-					d.do()
+					d.run()
 				}
 				return rest
 			}
-			x.ends = run(x.ends)
-			x.timers = run(x.timers)
-			for n := rate * x.part / sum * step.Seconds(); n > 0; n-- {
+			balancer.ends = runDue(balancer.ends)
+			balancer.timers = runDue(balancer.timers)
+			for n := rate * balancer.weight / totalWeight * step.Seconds(); n > 0; n-- {
 				if n >= 1 || rng.Float64() < n {
-					x.id++
-					x.b.RequestArrived(now, Request{ID: x.id, Deadline: now + 3*time.Second})
+					balancer.id++
+					balancer.b.RequestArrived(now, Request{ID: balancer.id, Deadline: now + 3*time.Second})
 				}
 			}
-			for _, a := range x.h.timers {
-				x.timers = append(x.timers, due{now + a.delay, func() { x.b.TimerFired(clock, a.token) }})
+			for _, timer := range balancer.h.timers {
+				balancer.timers = append(balancer.timers, task{now + timer.delay, func() { balancer.b.TimerFired(clock, timer.token) }})
 			}
-			x.h.timers = nil
-			for _, s := range x.h.sends {
-				if s.server >= 200 {
-					sends[s.server] = append(sends[s.server], now)
+			balancer.h.timers = nil
+			for _, attempt := range balancer.h.sends {
+				if attempt.endpoint >= 200 {
+					sends[attempt.endpoint] = append(sends[attempt.endpoint], now)
 				}
-				// One request after the other at a server, at its pace of the moment; a long queue turns away.
-				speed := able
-				if s.server >= 200 {
-					speed *= min(rules.SlowStartShare+(1-rules.SlowStartShare)*float64(now-coldBorn)/float64(rules.SlowStartTime), 1)
+				// An endpoint handles one request after the other, at its current speed, and rejects with a long queue.
+				speed := capacity
+				if attempt.endpoint >= 200 {
+					speed *= min(rules.SlowStartShare+(1-rules.SlowStartShare)*float64(now-restartTime)/float64(rules.SlowStartTime), 1)
 				}
 				status, took := OK, 10*ms
-				if wait := free[s.server] - now; wait > 2*time.Second {
+				if wait := idleAt[attempt.endpoint] - now; wait > 2*time.Second {
 					status = Rejected
 				} else {
 					work := time.Duration(rng.ExpFloat64() / speed * float64(time.Second))
-					free[s.server] = now + max(wait, 0) + work
+					idleAt[attempt.endpoint] = now + max(wait, 0) + work
 					took += max(wait, 0) + work
 				}
-				if c.failing && now >= coldBorn && s.server < 200 {
+				if c.failing && now >= restartTime && attempt.endpoint < 200 {
 					status = Error
 				}
-				if took > s.timeout {
-					status, took = Timeout, s.timeout
+				if took > attempt.timeout {
+					status, took = Timeout, attempt.timeout
 				}
-				x.ends = append(x.ends, due{now + took, func() {
-					recent := counts[s.server]
+				balancer.ends = append(balancer.ends, task{now + took, func() {
+					recentAnswers := answers[attempt.endpoint]
 					if status == OK {
-						recent = append(recent, clock)
+						recentAnswers = append(recentAnswers, clock)
 					}
-					for len(recent) > 0 && recent[0] < clock-time.Second {
-						recent = recent[1:]
+					for len(recentAnswers) > 0 && recentAnswers[0] < clock-time.Second {
+						recentAnswers = recentAnswers[1:]
 					}
-					counts[s.server] = recent
+					answers[attempt.endpoint] = recentAnswers
 					var load []float32
 					for _, f := range c.fields {
 						switch f {
 						case QPS:
-							load = append(load, float32(len(recent)))
+							load = append(load, float32(len(recentAnswers)))
 						case Util:
-							load = append(load, float32(min(float64(len(recent))/speed, 1)))
+							load = append(load, float32(min(float64(len(recentAnswers))/speed, 1)))
 						default:
 							load = append(load, 1)
 						}
 					}
-					x.b.AttemptDone(clock, Outcome{ID: s.id, Final: status == OK, Attempt: s.attempt, Endpoint: s.server, Status: status,
+					balancer.b.AttemptDone(clock, Outcome{ID: attempt.id, Final: status == OK, Attempt: attempt.attempt, Endpoint: attempt.endpoint, Status: status,
 						Latency: took, Load: load})
 				}})
 			}
-			x.h.sends, x.h.log = nil, nil
+			balancer.h.sends, balancer.h.log = nil, nil
 		}
 	}
-	return sends, able, rules
+	return sends, capacity, rules
 }
 
-// worst is by how much the sends to one cold server exceed N + 2 root N + 2 in any window, N being what it can do then times
-// the multiple; and the most sends as a part of N.
-func worstCold(at []time.Duration, able float64, r Rules) (over, part float64) {
+// slowStartExcess compares the sends to one restarted endpoint with N, the number at which it fails from overload in an overload
+// window. over is the most by which a window exceeds N + 2 root N + 2, and part the most sends as a part of N.
+func slowStartExcess(times []time.Duration, capacity float64, rules Rules) (over, part float64) {
 	over = math.Inf(-1)
-	for i, from := range at {
+	for i, from := range times {
 		n := 0
-		for _, x := range at[i:] {
-			if x < from+r.OverloadWindow {
+		for _, at := range times[i:] {
+			if at < from+rules.OverloadWindow {
 				n++
 			}
 		}
-		ramp := min(r.SlowStartShare+(1-r.SlowStartShare)*float64(from-coldBorn)/float64(r.SlowStartTime), 1)
-		budget := r.OverloadMultiple * able * ramp * r.OverloadWindow.Seconds()
+		factor := min(rules.SlowStartShare+(1-rules.SlowStartShare)*float64(from-restartTime)/float64(rules.SlowStartTime), 1)
+		budget := rules.OverloadMultiple * capacity * factor * rules.OverloadWindow.Seconds()
 		over, part = max(over, float64(n)-budget-2*math.Sqrt(budget)-2), max(part, float64(n)/budget)
 	}
 	return over, part
 }
 
-// What twenty, thirty or sixty balancers send together stays within what a cold server can take, whatever they meet; beyond
-// it there is only chance.
-func TestColdBudgetOfTheFleet(t *testing.T) {
+// What 20, 30 or 60 balancers send together stays within what an endpoint in slow start can handle, under various conditions; it is
+// exceeded by chance at most.
+func TestSlowStartLimitAcrossBalancers(t *testing.T) {
 	short := Rules{SlowStartShare: 0.2, SlowStartTime: 8 * time.Second, OverloadMultiple: 2, OverloadWindow: 1500 * ms}
 	tight := Rules{SlowStartShare: 0.12, SlowStartTime: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
-	reports, used := []Field{QPS, Util}, []Field{Util}
-	for name, c := range map[string]coldDay{
-		"one of sixteen":          {servers: 16, cold: 1, load: 0.7, fields: reports},
-		"six in ten":              {servers: 16, cold: 10, load: 0.7},
-		"all":                     {servers: 16, cold: 16, load: 0.7, fields: used},
-		"all of few":              {servers: 8, cold: 8, load: 0.7, fields: reports, able: 30, rules: short},
-		"all of few fast, sixty":  {balancers: 60, servers: 10, cold: 8, load: 0.9, fields: reports},
-		"most, in two zones":      {balancers: 60, servers: 25, cold: 15, load: 0.7, burst: 1.5, restart: true, fields: used, able: 3, rules: tight, zones: []int{22, 38}, share: []int{3, 22}},
-		"most, busy, three times": {balancers: 60, servers: 10, cold: 10, load: 0.9, burst: 3, restart: true, uneven: true, fields: used, zones: []int{40, 20}, share: []int{5, 5}},
-		"uneven callers":          {servers: 16, cold: 4, load: 0.7, uneven: true, fields: used},
-		"callers restart":         {servers: 16, cold: 4, load: 0.7, restart: true},
-		"a burst":                 {servers: 16, cold: 4, load: 0.7, burst: 3, fields: reports},
-		"the others fail":         {servers: 16, cold: 2, load: 0.7, failing: true, fields: used},
-		"few servers":             {servers: 4, cold: 1, load: 0.7},
-		"low load":                {servers: 16, cold: 4, load: 0.1, fields: reports},
-		"restart in a burst":      {servers: 16, cold: 8, load: 0.7, restart: true, burst: 1.5, uneven: true, fields: used},
+	reports, utilisation := []Field{QPS, Util}, []Field{Util}
+	for name, scenario := range map[string]slowStartScenario{
+		"one of sixteen":        {endpoints: 16, restarted: 1, load: 0.7, fields: reports},
+		"six in ten":            {endpoints: 16, restarted: 10, load: 0.7},
+		"all":                   {endpoints: 16, restarted: 16, load: 0.7, fields: utilisation},
+		"all of few":            {endpoints: 8, restarted: 8, load: 0.7, fields: reports, capacity: 30, rules: short},
+		"8 of 10, 60 balancers": {balancers: 60, endpoints: 10, restarted: 8, load: 0.9, fields: reports},
+		"most, in two zones":    {balancers: 60, endpoints: 25, restarted: 15, load: 0.7, burst: 1.5, restartBalancers: true, fields: utilisation, capacity: 3, rules: tight, zones: []int{22, 38}, endpointZones: []int{3, 22}},
+		"all, in a burst":       {balancers: 60, endpoints: 10, restarted: 10, load: 0.9, burst: 3, restartBalancers: true, uneven: true, fields: utilisation, zones: []int{40, 20}, endpointZones: []int{5, 5}},
+		"uneven balancers":      {endpoints: 16, restarted: 4, load: 0.7, uneven: true, fields: utilisation},
+		"balancers restart":     {endpoints: 16, restarted: 4, load: 0.7, restartBalancers: true},
+		"a burst":               {endpoints: 16, restarted: 4, load: 0.7, burst: 3, fields: reports},
+		"the others fail":       {endpoints: 16, restarted: 2, load: 0.7, failing: true, fields: utilisation},
+		"few endpoints":         {endpoints: 4, restarted: 1, load: 0.7},
+		"low load":              {endpoints: 16, restarted: 4, load: 0.1, fields: reports},
+		"restart in a burst":    {endpoints: 16, restarted: 8, load: 0.7, restartBalancers: true, burst: 1.5, uneven: true, fields: utilisation},
 	} {
 		for _, balancers := range []int{20, 30} {
-			if c.balancers > 30 && balancers == 30 {
+			if scenario.balancers > 30 && balancers == 30 {
 				continue
 			}
-			day := c
-			day.balancers = max(c.balancers, balancers)
-			t.Run(fmt.Sprintf("%s, %d callers", name, day.balancers), func(t *testing.T) {
+			simulation := scenario
+			simulation.balancers = max(scenario.balancers, balancers)
+			t.Run(fmt.Sprintf("%s, %d balancers", name, simulation.balancers), func(t *testing.T) {
 				t.Parallel()
-				sends, able, rules := day.play(t, 1)
-				most, part := math.Inf(-1), 0.0
-				for _, at := range sends {
-					o, p := worstCold(at, able, rules)
-					most, part = max(most, o), max(part, p)
+				sends, capacity, rules := simulation.simulate(t, 1)
+				maxOver, maxPart := math.Inf(-1), 0.0
+				for _, times := range sends {
+					over, part := slowStartExcess(times, capacity, rules)
+					maxOver, maxPart = max(maxOver, over), max(maxPart, part)
 				}
-				t.Logf("%d of %d met; at most %.2f of N; %.1f sends beyond what chance allows", len(sends), day.cold, part, most)
-				if most > 0 {
-					t.Errorf("%.1f sends beyond N + 2 root N + 2", most)
+				t.Logf("%d of %d endpoints got requests; at most %.2f of N; %.1f sends beyond what chance allows", len(sends), simulation.restarted, maxPart, maxOver)
+				if maxOver > 0 {
+					t.Errorf("%.1f sends beyond N + 2 root N + 2", maxOver)
 				}
-				if day.load > 0.5 && 2*len(sends) < day.cold { // with less the others do
-					t.Errorf("%d of %d cold servers were ever sent to", len(sends), day.cold)
+				if simulation.load > 0.5 && 2*len(sends) < simulation.restarted { // at a lower load the other endpoints suffice
+					t.Errorf("only %d of %d endpoints in slow start got requests", len(sends), simulation.restarted)
 				}
 			})
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -11,417 +11,425 @@
 	"kitewood/balance/admission"
 )
 
-// What the decision files keep, and plain tools without a decision in them.
+// state.go: the state of a Balancer, and helpers that make no decisions.
 
-// Balancer decides for one sidecar. See the package comment for what it expects of its owner.
+// Balancer makes the decisions of one sidecar. See the package comment for the rules of its use.
 type Balancer struct {
 	set  Settings
 	host Host
 	rng  *rand.Rand
 
-	requests map[RequestID]*request
-	parked   []*request // requests that no server could take when they came
-	looks    bool       // a timer has been asked for at which they look again
-	classes  []classStat
+	requests      map[RequestID]*request
+	queue         []*request // requests for which there was no endpoint, oldest first
+	queueTimerSet bool       // a timer is set at which the queue is retried
+	classes       []classState
 
-	trend
-	guard
-	pause sendPause
+	trendState
+	guardState
+	expiry leaseExpiry
 }
 
 // request is one request from its arrival to the outcome of its last attempt.
 type request struct {
 	Request
-	arrived  time.Duration
-	attempts []*attempt
-	out      int           // attempts without an outcome
-	mayRun   *server       // server of the first attempt that may have run, where one has
-	mayRunAt time.Duration // when it was sent
-	ended    bool          // a final answer was given or is known
-	parked   bool
-	waited   bool // it has been parked, and the time after which it is ended was asked for
-	late     bool // an attempt was overdue
+	arrivedAt       time.Duration
+	attempts        []*attempt
+	inFlight        int            // attempts without an outcome
+	mayHaveRunOn    *endpointState // endpoint of the first attempt that may have run; nil if none may have
+	mayHaveRunAt    time.Duration  // when that attempt was sent
+	ended           bool           // a final answer was given or is known
+	queued          bool
+	queueTimeoutSet bool // it has been queued, and its queue timer is set
+	overdue         bool // an attempt was overdue
 }
 
 // attempt is one send.
 type attempt struct {
-	server *server
-	sent   time.Duration
-	due    time.Duration // from when on it counts as overdue
-	slow   time.Duration // from when on its server is passed over
-	over   bool
-	judged bool // counted as a failure when it was overdue
+	endpoint       *endpointState
+	sentAt         time.Duration
+	overdueAt      time.Duration // from when on it counts as overdue
+	slowAt         time.Duration // from when on its endpoint is skipped
+	done           bool
+	failureCounted bool // counted as a failure when it was overdue
 }
 
-// server is a listed server as this balancer sees it.
-type server struct {
+// endpointState is a listed endpoint as this balancer sees it.
+type endpointState struct {
 	Endpoint
-	reading
-	out      []*attempt // own attempts that have no outcome, oldest first
-	spot     uint64     // its place in the ring: a hash of its id
-	listed   bool       // in the list as last known
-	wanted   bool       // in the subset
-	tracked  bool
-	served   time.Duration // of the last answer
-	failed   float64       // smoothed share of failures among outcomes
-	outUntil time.Duration // ejected or held off until then
-	hold     time.Duration // how long the next ejection lasts
-	trial    bool          // readmitted, not yet trusted: one attempt at a time
-	coldNext time.Duration // while cold: no send before
-	can      float64       // requests a second once it is warm, by its reports; 0 for not known
-	probed   time.Duration
-	probing  bool
-}
-
-// reading is the part of a server that the mechanism keeps.
-type reading struct {
-	avg      float64 // smoothed utilisation
-	count    int
-	at       time.Duration // of the last reading
-	fresh    time.Duration // of the last new report
-	reported bool          // there was one
-	report   [8]float32    // the last report, to know an unchanged one
-	avgs     [3]float64    // averages at the last three phases, newest first
-	errs     [3]float64    // their distances from the mean
-	kept     int           // how many of them are filled
-	cs, step float64       // control signal and its step
-	next     float64       // its turn in the rotation
-	index    int           // its place there, -1 if out
-}
-
-// trend is what the mechanism keeps beside its servers.
-type trend struct {
-	rotation rotation      // servers in the weighted round robin, by their next turn
-	turn     float64       // turn of the last one picked
-	gap      time.Duration // smoothed time between fresh readings of one server
-	length   time.Duration // length of a phase
-	phaseAt  time.Duration // when the last phase ended
-	meanAim  time.Duration // mean aim of the classes: the time scale of the work
-	horizon  time.Duration // how long an answer is worth waiting for
-}
-
-// guard is what the exceptions keep.
-type guard struct {
-	servers   map[EndpointID]*server
-	ring      []*server // ready servers by spot
-	away      []*server // those of other zones
-	width     int       // servers of a ring that are tracked
-	meanUnits float64
-	groups    map[int][]*server
-	tracked   []*server
-	turned    float64 // share of attempts turned away unseen
-	shed      bool    // something was refused in this phase
-	spill     float64 // part of a local server's weight that one of another zone gets
-
-	arrivals int
-	rate     float64 // own requests a second
-	failed   float64 // share of failures over all servers
-
-	out      int // attempts out
-	open     int // requests without a final answer
-	doneAll  int
-	doneRate rate
-
-	burstAt   time.Duration // when requests open became enough to be believed
-	burstDone int           // and how many are done since
-	meanLat   float64
-	tenants   []rate
-	level     int // as last told, in quarters
-	start     time.Duration
-
-	below           admission.Throttle // of what lies below the servers
-	retries, probes float64            // budgets
-	probeAt         int
-	asked           int // failed calls to discovery in a row
-	watching        bool
-}
-
-// classStat is what is known of a class.
-type classStat struct {
-	rate
-	lat       float64 // smoothed latency of answers in seconds
-	high      float64 // multiple of the mean latency of all that one answer in five exceeds
-	n         int
-	tries     bounds // what clients gave first tries of late
-	protected bool   // worth more per work than an even share of the goal: shed last
-}
-
-// rate is a decaying count of events a second.
-type rate struct {
-	v  float64
-	at time.Duration
-}
-
-func (r *rate) get(now, span time.Duration) float64 {
-	if now > r.at {
-		r.v *= math.Exp(-float64(now-r.at) / float64(span))
-		r.at = now
+	utilisationState
+	inFlight          []*attempt // own attempts without an outcome, oldest first
+	ringHash          uint64     // position in the ring: a hash of its ID
+	listed            bool       // in the list as last known
+	inSubset          bool       // selected for tracking by updateSubset
+	tracked           bool
+	lastSuccess       time.Duration // time of the last answer
+	failureRatio      float64       // smoothed share of failures among outcomes
+	ejectedUntil      time.Duration // no sends until then, after an ejection or a backoff
+	ejectionTime      time.Duration // how long the next ejection lasts
+	probation         bool          // readmitted, not yet trusted: one attempt at a time
+	nextSlowStartSend time.Duration // in slow start: no send before
+	capacity          float64       // requests a second past slow start, by its reports; 0 for unknown
+	probedAt          time.Duration
+	probePending      bool
+}
+
+// utilisationState is the part of an endpoint's state that the utilisation-trend algorithm keeps.
+type utilisationState struct {
+	utilisation       float64 // smoothed utilisation
+	readings          int
+	lastReading       time.Duration // time of the last reading
+	reportedAt        time.Duration // time of the last new report
+	hasReport         bool          // there was a report
+	lastReport        [8]float32    // the last report, to recognise an unchanged one
+	phaseUtilisations [3]float64    // utilisation at the last three phases, newest first
+	phaseErrors       [3]float64    // their distances from the mean
+	phasesKept        int           // how many of them are filled
+	signal, step      float64       // control signal and its step
+	nextTurn          float64       // next turn in the rotation
+	heapIndex         int           // index in the rotation's heap, -1 if not in it
+}
+
+// trendState is what the utilisation-trend algorithm keeps beside its endpoints.
+type trendState struct {
+	rotation       rotation      // weighted round robin over the tracked endpoints, by their next turn
+	lastTurn       float64       // turn of the last endpoint picked
+	reportInterval time.Duration // smoothed time between new readings of one endpoint
+	phaseLength    time.Duration // length of a phase
+	phaseEndedAt   time.Duration // when the last phase ended
+	meanTarget     time.Duration // mean latency target of the classes: the time scale of the work
+	usefulWait     time.Duration // how long an answer is worth waiting for
+}
+
+// guardState is what the exceptions to the utilisation-trend algorithm keep.
+type guardState struct {
+	endpoints     map[EndpointID]*endpointState
+	ring          []*endpointState // ready endpoints by ringHash
+	remote        []*endpointState // ready endpoints of other zones
+	subsetSize    int              // number of endpoints of a ring that are tracked
+	meanUnits     float64
+	byScope       map[int][]*endpointState // ready endpoints by cell (even keys) and zone (odd keys)
+	tracked       []*endpointState
+	rejectedRatio float64 // smoothed share of attempts that were rejected or got no connection
+	shedInPhase   bool    // load shedding rejected a request in this phase
+	spillover     float64 // part of a local endpoint's weight that an endpoint of another zone gets
+
+	arrivals         int
+	requestRate      float64 // own requests a second
+	meanFailureRatio float64 // smoothed share of failures over all endpoints
+
+	inFlight       int // attempts in flight
+	openRequests   int // requests without a final answer
+	completed      int
+	completionRate eventRate
+
+	burstStart     time.Duration // when there were enough open requests to compute pressure
+	burstCompleted int           // completed requests since then
+	meanLatency    float64
+	tenantRates    []eventRate
+	loggedLevel    int // admission level as last logged, in quarters
+	startedAt      time.Duration
+
+	downstream               admission.Throttle // limits requests that services further down decline
+	retryTokens, probeTokens float64            // budgets of retries and probes
+	probeIndex               int
+	discoveryFailures        int // failed calls to discovery in a row
+	watching                 bool
+}
+
+// classState is what is known about a class.
+type classState struct {
+	eventRate
+	latency        float64 // smoothed latency of answers in seconds
+	p80Ratio       float64 // 80th percentile of latency, as a multiple of the mean latency of all requests
+	answers        int
+	clientTimeouts recentRange // timeouts that clients set recently on first attempts
+	protected      bool        // more utility per work than an even share of the objective: shed last
+}
+
+// eventRate is an exponentially decaying count of events a second.
+type eventRate struct {
+	value     float64
+	updatedAt time.Duration
+}
+
+// valueAt decays the count to now and returns it.
+func (r *eventRate) valueAt(now, span time.Duration) float64 {
+	if now > r.updatedAt {
+		r.value *= math.Exp(-float64(now-r.updatedAt) / float64(span))
+		r.updatedAt = now
 	}
-	return r.v
+	return r.value
 }
 
-func (r *rate) add(now, span time.Duration) { r.v = r.get(now, span) + 1/span.Seconds() }
+// add counts one event.
+func (r *eventRate) add(now, span time.Duration) { r.value = r.valueAt(now, span) + 1/span.Seconds() }
 
-// bounds are the least and the most of the last 512 to 1,024 values: what one client gives that is absurd counts only
+// recentRange is the minimum and maximum of the last 512 to 1,024 values, so that an absurd value from one client counts only
 // for a while.
-type bounds struct {
-	least, most [2]time.Duration // of the values now gathered, and of those before
-	n           int
+type recentRange struct {
+	smallest, largest [2]time.Duration // of the current window, and of the one before
+	count             int
 }
 
-const gathered = 512
+// rangeWindow is the number of values in a window of recentRange.
+const rangeWindow = 512
 
-func (v *bounds) add(x time.Duration) {
+// add adds a value.
+func (v *recentRange) add(x time.Duration) {
 	switch {
-	case v.n == 0:
-		v.least, v.most = [2]time.Duration{x, x}, [2]time.Duration{x, x}
-	case v.n%gathered == 0:
-		v.least, v.most = [2]time.Duration{x, v.least[0]}, [2]time.Duration{x, v.most[0]}
+	case v.count == 0:
+		v.smallest, v.largest = [2]time.Duration{x, x}, [2]time.Duration{x, x}
+	case v.count%rangeWindow == 0:
+		v.smallest, v.largest = [2]time.Duration{x, v.smallest[0]}, [2]time.Duration{x, v.largest[0]}
 	}
-	v.least[0], v.most[0] = min(v.least[0], x), max(v.most[0], x)
-	v.n++
+	v.smallest[0], v.largest[0] = min(v.smallest[0], x), max(v.largest[0], x)
+	v.count++
 }
 
-// outside tells whether a value lies clearly outside, which none does before there are any.
-func (v *bounds) outside(x, slack time.Duration) bool {
-	return v.n > 0 && (x < min(v.least[0], v.least[1])-slack || x > max(v.most[0], v.most[1])+slack)
+// outside tells whether a value lies outside the range by more than slack. Before any value, none does.
+func (v *recentRange) outside(x, slack time.Duration) bool {
+	return v.count > 0 && (x < min(v.smallest[0], v.smallest[1])-slack || x > max(v.largest[0], v.largest[1])+slack)
 }
 
-// rotation is a smooth weighted round robin: a server's turns are 1/weight apart and the earliest goes first, so a
-// pick costs the logarithm of the tracked servers and no scan.
-type rotation []*server
+// rotation is a smooth weighted round robin: an endpoint's turns are 1/weight apart and the earliest turn is next, so a pick
+// takes logarithmic time in the number of tracked endpoints.
+type rotation []*endpointState
 
 func (q rotation) Len() int           { return len(q) }
-func (q rotation) Less(i, j int) bool { return q[i].next < q[j].next }
+func (q rotation) Less(i, j int) bool { return q[i].nextTurn < q[j].nextTurn }
 func (q rotation) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 func (q *rotation) Push(x any) {
-	s := x.(*server)
-	s.index = len(*q)
+	s := x.(*endpointState)
+	s.heapIndex = len(*q)
 	*q = append(*q, s)
 }
 
 func (q *rotation) Pop() any {
 	last := len(*q) - 1
 	s := (*q)[last]
-	s.index = -1
+	s.heapIndex = -1
 	*q = (*q)[:last]
 	return s
 }
 
-// mix hashes an id, so that the ring does not depend on how ids were given out.
-func mix(x uint64) uint64 {
+// hash mixes the bits of an ID, so that positions in the ring do not depend on how IDs were assigned.
+func hash(x uint64) uint64 {
 	x = (x ^ x>>31 ^ 0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// mean is the mean latency of a class; before any answer, a guess of the aim's order.
-func (c *classStat) mean(set *Class) time.Duration {
-	if c.n == 0 {
+// expectedLatency is the mean latency of a class; before any answer, a quarter of the latency target.
+func (c *classState) expectedLatency(set *Class) time.Duration {
+	if c.answers == 0 {
 		return set.LatencyTarget / 4
 	}
-	return time.Duration(c.lat * float64(time.Second))
+	return time.Duration(c.latency * float64(time.Second))
 }
 
-// rank moves high by one latency: a balance of small steps down and, a fifth as often, large ones up.
-func (c *classStat) rank(lat float64) {
+// updateP80 moves p80Ratio by one latency: small steps down and, a fifth as often in balance, four times larger ones up.
+func (c *classState) updateP80(latency float64) {
 	switch {
-	case c.high == 0:
-		c.high = 1
-	case lat > c.high:
-		c.high *= 1 + 4*quantileStep
+	case c.p80Ratio == 0:
+		c.p80Ratio = 1
+	case latency > c.p80Ratio:
+		c.p80Ratio *= 1 + 4*quantileStep
 	default:
-		c.high *= 1 - quantileStep
+		c.p80Ratio *= 1 - quantileStep
 	}
 }
 
-// spread is a random part of d.
-func (b *Balancer) spread(d time.Duration) time.Duration {
+// randomPart is a random duration below d.
+func (b *Balancer) randomPart(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * b.rng.Float64())
 }
 
-// lookAgain is the moment after which what waits looks for a server by itself.
-func (b *Balancer) lookAgain() time.Duration { return max(b.set.Tick, b.meanAim/16) }
+// queueInterval is the time after which the queue is retried.
+func (b *Balancer) queueInterval() time.Duration { return max(b.set.Tick, b.meanTarget/16) }
 
-// opens counts a request that has no final answer yet.
-func (b *Balancer) opens(now time.Duration) {
-	if b.open++; b.open == matureCount/2 {
-		b.burstAt, b.burstDone = now, 0
+// addOpen counts a request that has no final answer yet.
+func (b *Balancer) addOpen(now time.Duration) {
+	if b.openRequests++; b.openRequests == minSamples/2 {
+		b.burstStart, b.burstCompleted = now, 0
 	}
 }
 
-// doing is how many requests are done a second, over a mean aim; in the first part of a burst what is done in it, if that is
-// more: beside a burst the rest before it looks as if next to nothing were served.
-func (b *Balancer) doing(now time.Duration) float64 {
-	rate := b.doneRate.get(now, b.meanAim) / (1 - math.Exp(-float64(now-b.start+1)/float64(b.meanAim)))
-	if since := now - b.burstAt; since < b.meanAim/2 {
-		rate = max(rate, float64(b.burstDone+1)/max(since, b.set.Tick, time.Millisecond).Seconds())
+// completionsPerSecond is the rate of completed requests over a mean latency target. In the first part of a burst it is the rate
+// since the burst began, if that is larger: the idle time before the burst would make the rate look far too low.
+func (b *Balancer) completionsPerSecond(now time.Duration) float64 {
+	rate := b.completionRate.valueAt(now, b.meanTarget) / (1 - math.Exp(-float64(now-b.startedAt+1)/float64(b.meanTarget)))
+	if since := now - b.burstStart; since < b.meanTarget/2 {
+		rate = max(rate, float64(b.burstCompleted+1)/max(since, b.set.Tick, time.Millisecond).Seconds())
 	}
 	return rate
 }
 
-// lastWorthy is the place of the youngest that waits and is of a protected class, of the youngest if none is.
-func (b *Balancer) lastWorthy() int {
-	for i := len(b.parked) - 1; i >= 0; i-- {
-		if b.classes[b.parked[i].Class].protected {
+// youngestProtected is the queue index of the youngest request of a protected class, or of the youngest of all if there is none.
+func (b *Balancer) youngestProtected() int {
+	for i := len(b.queue) - 1; i >= 0; i-- {
+		if b.classes[b.queue[i].Class].protected {
 			return i
 		}
 	}
-	return len(b.parked) - 1
+	return len(b.queue) - 1
 }
 
-// Level tells how much is refused here because answers are foretold late: 0 nothing, 1 all that is not worth much for its
-// work, 2 everything; and the share that is refused because what lies below declines it. Repeats go a step before.
+// AdmissionLevel tells how much is rejected. level is due to predicted latency: 0 nothing, 1 everything with little utility per
+// work, 2 everything; client retries are rejected one level earlier. below is the share rejected because services further down
+// decline requests.
 func (b *Balancer) AdmissionLevel(now time.Duration) (level, below float64) {
 	if b.set.Tier != 0 {
 		return 0, 0
 	}
-	return 2 * chance(b.pressure(now), shedFrom, 2*(shedTo-shedFrom)), b.below.Level(now, b.meanAim/2)
+	return 2 * rejectProbability(b.pressure(now), shedStart, 2*(shedAll-shedStart)), b.downstream.Level(now, b.meanTarget/2)
 }
 
-// tellLevel notes a change of the level by a quarter for the people on call.
-func (b *Balancer) tellLevel(now time.Duration) {
+// logAdmissionLevel logs changes of the admission level by a quarter.
+func (b *Balancer) logAdmissionLevel(now time.Duration) {
 	level, below := b.AdmissionLevel(now)
-	if step := int(4*level) + 100*int(4*below); step != b.level {
-		b.level = step
-		b.host.Log(fmt.Sprintf("admission level %.2f of 2: answers foretold at %.2f of the aim, %.2f refused as declined below", level,
+	if step := int(4*level) + 100*int(4*below); step != b.loggedLevel {
+		b.loggedLevel = step
+		b.host.Log(fmt.Sprintf("admission level %.2f of 2: predicted latency %.2f of the target, share %.2f rejected as declined downstream", level,
 			b.pressure(now), below))
 	}
 }
 
-// measure takes this balancer's own rate at the end of a phase.
-func (b *Balancer) measure(now time.Duration) {
-	b.tellLevel(now)
-	took := (now - b.phaseAt).Seconds()
-	if took <= 0 {
+// updateRequestRate updates this balancer's request rate at the end of a phase.
+func (b *Balancer) updateRequestRate(now time.Duration) {
+	b.logAdmissionLevel(now)
+	elapsed := (now - b.phaseEndedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	seen := float64(b.arrivals) / took
-	if b.rate == 0 {
-		b.rate = seen
+	rate := float64(b.arrivals) / elapsed
+	if b.requestRate == 0 {
+		b.requestRate = rate
 	}
-	b.rate += (seen - b.rate) / 4
+	b.requestRate += (rate - b.requestRate) / 4
 	b.arrivals = 0
 }
 
-// gauge learns from a report with a share of use what a server can do once it is warm, in requests a second. Where little
-// is in use the quotient tells nothing.
-func (b *Balancer) gauge(s *server, used float64, now time.Duration) {
-	qps := b.said(s, QPS)
-	if used < gaugeFrom || qps <= 0 {
+// updateCapacity estimates an endpoint's capacity past slow start, in requests a second, from a report with utilisation. At low
+// utilisation the quotient is meaningless.
+func (b *Balancer) updateCapacity(s *endpointState, utilisation float64, now time.Duration) {
+	qps := b.reportedValue(s, QPS)
+	if utilisation < minCapacityUtilisation || qps <= 0 {
 		return
 	}
-	can := qps / used / b.ramp(s, now)
-	if s.can == 0 {
-		s.can = can
+	capacity := qps / utilisation / b.slowStartFactor(s, now)
+	if s.capacity == 0 {
+		s.capacity = capacity
 	}
-	s.can += (can - s.can) / 4
+	s.capacity += (capacity - s.capacity) / 4
 }
 
-const gaugeFrom = 0.25
+// minCapacityUtilisation is the utilisation below which reports do not update the capacity.
+const minCapacityUtilisation = 0.25
 
-// able is what a server can do once it is warm, in requests a second: by its own reports, or as the others do; 0 where
-// no report tells.
-func (b *Balancer) able(s *server) float64 {
-	if s.can > 0 {
-		return s.can
+// expectedCapacity is an endpoint's capacity past slow start, in requests a second: by its own reports, or the mean of the
+// others; 0 where there are no reports.
+func (b *Balancer) expectedCapacity(s *endpointState) float64 {
+	if s.capacity > 0 {
+		return s.capacity
 	}
 	sum, n := 0.0, 0
 	for _, t := range b.tracked {
-		if t.can > 0 {
-			sum += t.can
+		if t.capacity > 0 {
+			sum += t.capacity
 			n++
 		}
 	}
 	return sum / float64(max(n, 1))
 }
 
-// lot decides who is refused at a level, in 0..1. What comes from one origin draws the same at all balancers, for a minute
-// of the common clock: a repeat does not win by asking elsewhere, and nobody is the one refused for good.
-func (b *Balancer) lot(r *request, now time.Duration) float64 {
+// admissionDraw is a number in 0..1; at a level, requests with a lower draw are rejected. Requests of one origin draw the same
+// at all balancers for a minute of the common clock: a retry gains nothing at another balancer, and no origin is rejected for
+// good.
+func (b *Balancer) admissionDraw(r *request, now time.Duration) float64 {
 	if r.Origin == 0 {
 		return b.rng.Float64()
 	}
-	return float64(mix(r.Origin^mix(uint64(now/lotFor)))>>11) / (1 << 53)
+	return float64(hash(r.Origin^hash(uint64(now/drawPeriod)))>>11) / (1 << 53)
 }
 
-const lotFor = time.Minute
+// drawPeriod is how long an origin keeps its draw.
+const drawPeriod = time.Minute
 
-// tried tells whether r was sent to s.
-func (r *request) tried(s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
+// triedOn tells whether r was sent to s.
+func (r *request) triedOn(s *endpointState) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endpoint == s })
 }
 
-// arrived takes an attempt with an outcome off its server.
-func (s *server) arrived(a *attempt) {
-	if i := slices.Index(s.out, a); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
+// removeAttempt removes an attempt that has an outcome.
+func (s *endpointState) removeAttempt(a *attempt) {
+	if i := slices.Index(s.inFlight, a); i >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
 }
 
-// sharers is how many balancers track a server, going by this one.
-func (b *Balancer) sharers() float64 {
+// balancersPerEndpoint estimates how many balancers track an endpoint, from the part of the ring that this one tracks.
+func (b *Balancer) balancersPerEndpoint() float64 {
 	return max(float64(b.set.Balancers*len(b.tracked))/float64(max(len(b.ring), 1)), 1)
 }
 
-// said is a value of a server's last report, 0 where reports do not hold it.
-func (b *Balancer) said(s *server, f Field) float64 {
-	if i := slices.Index(b.set.Report.Fields, f); i >= 0 && i < len(s.report) {
-		return float64(s.report[i])
+// reportedValue is a value of an endpoint's last report, 0 where reports do not contain it.
+func (b *Balancer) reportedValue(s *endpointState, f Field) float64 {
+	if i := slices.Index(b.set.Report.Fields, f); i >= 0 && i < len(s.lastReport) {
+		return float64(s.lastReport[i])
 	}
 	return 0
 }
 
-// utilReported tells whether reports hold utilisation.
-func (b *Balancer) utilReported() bool {
+// reportsUtilisation tells whether reports contain utilisation.
+func (b *Balancer) reportsUtilisation() bool {
 	return b.set.Report.Source != NoReports && slices.Contains(b.set.Report.Fields, Util)
 }
 
-// New returns a Balancer, or an error that says which setting is not valid.
+// New returns a Balancer, or an error that says which setting is invalid.
 func New(set Settings, host Host, now time.Duration) (*Balancer, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
 	if host == nil {
-		return nil, errors.New("balance: no host")
+		return nil, errors.New("balance: host is nil")
 	}
 	if !set.Limits.RetryAfter {
 		set.Limits.MaxRetryAfter = 0
 	}
 	b := &Balancer{set: set, host: host, requests: map[RequestID]*request{}}
 	b.rng = rand.New(rand.NewPCG(set.Seed, 0x77696e67776865))
-	b.classes = make([]classStat, len(set.Classes))
-	b.startGuard(now)
-	b.startTrend(now)
+	b.classes = make([]classState, len(set.Classes))
+	b.initGuards(now)
+	b.initTrend(now)
 	return b, nil
 }
 
-// Peer takes a message of another balancer. This version sends none and passes over what comes.
+// PeerMessage handles a message from another balancer. This version sends no messages and ignores those it gets.
 func (b *Balancer) PeerMessage(now time.Duration, from int, data []byte) {}
 
-// meanAim is the mean aim of the classes.
-func (s *Settings) meanAim() (mean time.Duration) {
+// meanTarget is the mean latency target of the classes.
+func (s *Settings) meanTarget() (mean time.Duration) {
 	for _, c := range s.Classes {
 		mean += c.LatencyTarget / time.Duration(len(s.Classes))
 	}
 	return mean
 }
 
-// horizon is how long an answer is worth waiting for: the mean aim, longer by as much as it pays to wait beyond it for the class
-// for which that pays least, as all classes share the servers. Waiting pays by the part of its worth that a late answer earns.
-func (s *Settings) horizon() time.Duration {
-	longer := math.Inf(1)
+// usefulWait is how long an answer is worth waiting for: the mean latency target, extended for the utility of late answers. As
+// all classes share the endpoints, the extension is that of the class for which late answers have the least utility.
+func (s *Settings) usefulWait() time.Duration {
+	factor := math.Inf(1)
 	for _, c := range s.Classes {
-		longer = min(longer, 1+c.LateUtility*max(float64(c.Deadline)/float64(c.LatencyTarget)-1, 0))
+		factor = min(factor, 1+c.LateUtility*max(float64(c.Deadline)/float64(c.LatencyTarget)-1, 0))
 	}
-	return time.Duration(longer * float64(s.meanAim()))
+	return time.Duration(factor * float64(s.meanTarget()))
 }
 
-// check tells which setting is not valid.
+// check returns an error that says which setting is invalid.
 func (s *Settings) check() error {
 	positive := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 	switch {
@@ -432,15 +440,15 @@
 	case !positive(s.Limits.RetryShare) || !positive(s.Limits.RetryBurst):
 		return errors.New("balance: Limits.RetryShare and RetryBurst must not be negative")
 	case s.Balancers < 1 || s.Index < 0:
-		return errors.New("balance: Balancers must be at least 1 and Me at least 0")
+		return errors.New("balance: Balancers must be at least 1 and Index at least 0")
 	case s.Rules.DrainGrace < 0 || s.Rules.SlowStartTime < 0 || s.Rules.OverloadWindow < 0 || s.Rules.DiscoveryInterval < 0 || s.Tick < 0:
 		return errors.New("balance: times must not be negative")
 	case !positive(s.Rules.SlowStartShare) || s.Rules.SlowStartShare > 1 || !positive(s.Rules.OverloadMultiple):
-		return errors.New("balance: Rules.ColdShare must lie in 0..1 and Rules.FallMultiple must not be negative")
+		return errors.New("balance: Rules.SlowStartShare must lie in 0..1 and Rules.OverloadMultiple must not be negative")
 	}
 	for i, c := range s.Classes {
 		if c.Deadline <= 0 || c.LatencyTarget <= 0 || !positive(c.Utility) || c.Effect > Unsafe || c.DedupScope > ScopeCell {
-			return fmt.Errorf("balance: class %d is not valid: Aim and Deadline must be positive, Worth at least 0", i)
+			return fmt.Errorf("balance: class %d is not valid: LatencyTarget and Deadline must be positive, Utility at least 0", i)
 		}
 	}
 	for i, t := range s.Tenants {
--- a/balance/trend.go
+++ b/balance/trend.go
@@ -7,75 +7,78 @@
 	"time"
 )
 
-// The mechanism of Andreolini, Casolari and Colajanni: smoothed utilisation against its mean, a step that
-// follows the trend of the error, signals as weights. Signals have a mean of 1: figures are shares of an even
-// part.
+// Parameters of the utilisation-trend algorithm of Andreolini, Casolari and Colajanni: it compares smoothed
+// utilisation with its mean, moves a signal by a step that follows the trend of the error, and uses the
+// signals as weights. Signals have a mean of 1, so the limits below are relative to an even share.
 const (
-	lowest   = 1.0 / 16 // floor of a signal, and the first step
-	highest  = 4.0      // top of a signal, and of a step
-	window   = 60       // n of the average where readings are dense
-	level    = 1.0 / 64 // errors closer than this share of full utilisation are level: reports are noisy
-	leastCut = 4        // a step is halved down to lowest/leastCut at the least
-	phases   = 3        // an average looks back over about this many phases, as the trend of errors does
+	minSignal      = 1.0 / 16 // lower limit of a signal, and the initial step
+	maxSignal      = 4.0      // upper limit of a signal and of a step
+	averageWindow  = 60       // n of the moving average where readings are dense
+	errorTolerance = 1.0 / 64 // errors that differ by less count as equal, as reports are noisy
+	minStepDivisor = 4        // a step is halved down to minSignal/minStepDivisor at most
+	lookbackPhases = 3        // the average covers about this many phases, like the trend of errors
 )
 
-func (b *Balancer) startTrend(now time.Duration) {
-	b.phaseAt = now
-	b.setLength()
-	// Phases start at a random point, or balancers that read the same late report would step together.
-	b.host.StartTimer(time.Duration(float64(b.length)*(0.5+b.rng.Float64())), timerPhase)
+// initTrend starts the first phase.
+func (b *Balancer) initTrend(now time.Duration) {
+	b.phaseEndedAt = now
+	b.setPhaseLength()
+	// Phases start at a random point; otherwise balancers that read the same late report would step together.
+	b.host.StartTimer(time.Duration(float64(b.phaseLength)*(0.5+b.rng.Float64())), timerPhase)
 }
 
-// setLength makes a phase outlast what the balancer has seen of the lag between fresh readings.
-func (b *Balancer) setLength() {
-	b.length = min(max(b.meanAim/2, 3*b.gap/2, b.set.Tick), 4*b.meanAim)
+// setPhaseLength makes a phase longer than the observed interval between new readings.
+func (b *Balancer) setPhaseLength() {
+	b.phaseLength = min(max(b.meanTarget/2, 3*b.reportInterval/2, b.set.Tick), 4*b.meanTarget)
 }
 
-// read takes a utilisation into the average. Where readings come rarely n shrinks, so that the average never
-// looks back further than a few phases.
-func (b *Balancer) read(s *server, u float64, now time.Duration) {
-	n := float64(window)
-	if gap := now - s.at; s.count > 0 && gap > 0 {
-		n = min(n, max(1, float64(phases*b.length)/float64(gap)))
+// addReading adds a utilisation to the moving average. Where readings are rare n shrinks, so that the average
+// never covers more than a few phases.
+func (b *Balancer) addReading(s *endpointState, utilisation float64, now time.Duration) {
+	n := float64(averageWindow)
+	if gap := now - s.lastReading; s.readings > 0 && gap > 0 {
+		n = min(n, max(1, float64(lookbackPhases*b.phaseLength)/float64(gap)))
 	}
-	s.count++
-	alpha := max(2/(n+1), 1/float64(s.count))
-	s.avg += min(alpha, 1) * (u - s.avg)
-	s.at = now
+	s.readings++
+	alpha := max(2/(n+1), 1/float64(s.readings))
+	s.utilisation += min(alpha, 1) * (utilisation - s.utilisation)
+	s.lastReading = now
 }
 
-// readReport takes a load report. A report that has not changed is no news, however often it comes.
-func (b *Balancer) readReport(s *server, load []float32, now time.Duration) bool {
+// readReport reads a load report and tells whether it has a valid utilisation. An unchanged report is
+// ignored.
+func (b *Balancer) readReport(s *endpointState, load []float32, now time.Duration) bool {
 	fields := b.set.Report.Fields
-	if len(load) == 0 || len(load) < len(fields) || len(load) > len(s.report) {
+	if len(load) == 0 || len(load) < len(fields) || len(load) > len(s.lastReport) {
 		return false
 	}
-	u, same := math.NaN(), s.reported
+	utilisation, same := math.NaN(), s.hasReport
 	for i, v := range load {
-		same = same && s.report[i] == v
-		s.report[i] = v
+		same = same && s.lastReport[i] == v
+		s.lastReport[i] = v
 		if i < len(fields) && fields[i] == Util {
-			u = float64(v)
+			utilisation = float64(v)
 		}
 	}
-	if bad := math.IsNaN(u) || math.IsInf(u, 0); bad || same {
+	if bad := math.IsNaN(utilisation) || math.IsInf(utilisation, 0); bad || same {
 		return !bad
 	}
-	if s.reported {
-		b.gap += (min(now-s.fresh, 4*b.meanAim) - b.gap) / 16
+	if s.hasReport {
+		b.reportInterval += (min(now-s.reportedAt, 4*b.meanTarget) - b.reportInterval) / 16
 	}
-	s.fresh, s.reported = now, true
-	b.gauge(s, u, now)
-	b.read(s, min(max(u, 0), 1), now)
+	s.reportedAt, s.hasReport = now, true
+	b.updateCapacity(s, utilisation, now)
+	b.addReading(s, min(max(utilisation, 0), 1), now)
 	return true
 }
 
-// phase ends a phase: the reference, every tracked server's error, step and signal, and the rescaling.
-func (b *Balancer) phase(now time.Duration) {
+// endPhase ends a phase: it computes the mean, updates the signal of every tracked endpoint, and rescales the
+// signals.
+func (b *Balancer) endPhase(now time.Duration) {
 	mean, n := 0.0, 0
 	for _, s := range b.tracked {
-		if s.count > 0 {
-			mean += s.avg
+		if s.readings > 0 {
+			mean += s.utilisation
 			n++
 		}
 	}
@@ -83,66 +86,68 @@
 		mean /= float64(n)
 	}
 	for _, s := range b.tracked {
-		if s.count > 0 {
-			s.control(mean)
+		if s.readings > 0 {
+			s.updateSignal(mean)
 		}
 	}
 	b.rescale()
-	b.endPhase(now)
-	b.phaseAt = now
-	b.setLength()
-	b.host.StartTimer(b.length, timerPhase)
+	b.updateAfterPhase(now)
+	b.phaseEndedAt = now
+	b.setPhaseLength()
+	b.host.StartTimer(b.phaseLength, timerPhase)
 }
 
-// control moves one signal by its step, towards the mean.
-func (s *server) control(mean float64) {
-	s.avgs = [3]float64{s.avg, s.avgs[0], s.avgs[1]}
-	s.errs = [3]float64{math.Abs(s.avg - mean), s.errs[0], s.errs[1]}
-	s.kept = min(s.kept+1, 3)
-	if s.kept == 3 {
-		newer, older := compare(s.errs[0], s.errs[1]), compare(s.errs[1], s.errs[2])
+// updateSignal moves the signal by its step, towards the mean.
+func (s *endpointState) updateSignal(mean float64) {
+	s.phaseUtilisations = [3]float64{s.utilisation, s.phaseUtilisations[0], s.phaseUtilisations[1]}
+	s.phaseErrors = [3]float64{math.Abs(s.utilisation - mean), s.phaseErrors[0], s.phaseErrors[1]}
+	s.phasesKept = min(s.phasesKept+1, 3)
+	if s.phasesKept == 3 {
+		newer, older := compareErrors(s.phaseErrors[0], s.phaseErrors[1]),
+			compareErrors(s.phaseErrors[1], s.phaseErrors[2])
 		switch {
 		case newer > 0 && older > 0: // rising
-			s.step = min(2*s.step, highest)
+			s.step = min(2*s.step, maxSignal)
 		case newer < 0 && older < 0, newer*older < 0: // falling, alternating
-			s.step = max(s.step/2, lowest/leastCut)
+			s.step = max(s.step/2, minSignal/minStepDivisor)
 		} // level: the step stays
 	}
-	s.cs = min(max(s.cs-s.step*float64(cmp.Compare(s.avg, mean)), lowest), highest)
+	s.signal = min(max(s.signal-s.step*float64(cmp.Compare(s.utilisation, mean)), minSignal), maxSignal)
 }
 
-// compare is the sign of x-y, and 0 where they are level.
-func compare(x, y float64) int { return int(min(max((x-y)/level, -1), 1)) }
+// compareErrors is the sign of x-y, and 0 where they differ by less than errorTolerance.
+func compareErrors(x, y float64) int { return int(min(max((x-y)/errorTolerance, -1), 1)) }
 
-// rescale brings the mean of the signals back to 1 and keeps the floor.
+// rescale brings the mean of the signals back to 1 and keeps them within their limits.
 func (b *Balancer) rescale() {
 	sum := 0.0
 	for _, s := range b.tracked {
-		sum += s.cs
+		sum += s.signal
 	}
 	for _, s := range b.tracked {
-		s.cs = min(max(s.cs*float64(len(b.tracked))/sum, lowest), highest)
+		s.signal = min(max(s.signal*float64(len(b.tracked))/sum, minSignal), maxSignal)
 	}
 }
 
-// join brings a server into the rotation, at a random point of its first interval so that none gets a burst.
-func (b *Balancer) join(s *server, now time.Duration) {
-	if s.index < 0 {
-		s.coldNext = now + b.spread(b.coldGap(s, now))
-		s.next = b.turn + b.rng.Float64()/b.weight(s, now)
+// addToRotation adds an endpoint to the rotation, at a random point of its first interval so that it gets no
+// burst.
+func (b *Balancer) addToRotation(s *endpointState, now time.Duration) {
+	if s.heapIndex < 0 {
+		s.nextSlowStartSend = now + b.randomPart(b.slowStartInterval(s, now))
+		s.nextTurn = b.lastTurn + b.rng.Float64()/b.weight(s, now)
 		heap.Push(&b.rotation, s)
 	}
 }
 
-// spin gives turns in order until one is taken. Who is passed over loses its turn and has none saved up
-// later.
-func (b *Balancer) spin(now time.Duration, take func(*server) bool) *server {
+// nextEndpoint gives turns in order until one is accepted. An endpoint that is skipped loses its turn and
+// does not make up for it later.
+func (b *Balancer) nextEndpoint(now time.Duration, accept func(*endpointState) bool) *endpointState {
 	for range len(b.rotation) {
 		s := b.rotation[0]
-		b.turn = s.next
-		s.next += 1 / b.weight(s, now)
+		b.lastTurn = s.nextTurn
+		s.nextTurn += 1 / b.weight(s, now)
 		heap.Fix(&b.rotation, 0)
-		if take(s) {
+		if accept(s) {
 			return s
 		}
 	}
--- a/balance/usefulwait_test.go
+++ b/balance/usefulwait_test.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// lateEarning is settings in which an answer after its aim of 1 s still earns a part of its worth, up to 3 s.
-func lateEarning(part float64) Settings {
-	set := settings()
+// settingsWithLateUtility returns settings in which an answer after the latency target of 1 s, and up to 3 s, still earns a part of
+// its utility.
+func settingsWithLateUtility(part float64) Settings {
+	set := testSettings()
 	for i := range set.Classes {
 		set.Classes[i].LateUtility = part
 	}
 	return set
 }
 
-// How many attempts a server may hold follows from how long an answer is worth waiting for: half of the worth for 2 s more is
-// worth 1 s. A figure for answers that must not be late held requests back where late ones earn.
-func TestLateWorthLetsServersHoldMore(t *testing.T) {
-	for part, horizon := range map[float64]float64{0: 1, 0.25: 1.5, 0.5: 2} {
-		b, h := learned(t, lateEarning(part), 8, 10*ms)
+// The in-flight limit of an endpoint follows from how long an answer is worth waiting for: at half of the utility, 2 s more are worth
+// 1 s. A fixed limit for answers that must not be late would queue requests where late answers have a utility.
+func TestLateUtilityRaisesInFlightLimit(t *testing.T) {
+	for part, wait := range map[float64]float64{0: 1, 0.25: 1.5, 0.5: 2} {
+		b, h := startWarmedUp(t, settingsWithLateUtility(part), 8, 10*ms)
 		before := len(h.sends)
 		for i := range RequestID(200) {
 			b.RequestArrived(time.Second, Request{ID: 1000 + i, Deadline: 4 * time.Second})
 		}
-		held := map[EndpointID]int{}
+		inFlight := map[EndpointID]int{}
 		for _, s := range h.sends[before:] {
-			held[s.server]++
+			inFlight[s.endpoint]++
 		}
-		want := fleetHold * horizon
-		for id, n := range held {
+		want := baseSlots * wait
+		for id, n := range inFlight {
 			if float64(n) > math.Ceil(want) {
-				t.Errorf("late worth %g: server %d holds %d, want at most %g", part, id, n, want)
+				t.Errorf("late utility %g: endpoint %d has %d attempts in flight, want at most %g", part, id, n, want)
 			}
 		}
 		if all := float64(len(h.sends) - before); all > 8*want+1 || all < 8*want*3/4 {
-			t.Errorf("late worth %g: %g out at 8 servers, want about %g each", part, all, want)
+			t.Errorf("late utility %g: %g attempts in flight at 8 endpoints, want about %g each", part, all, want)
 		}
 	}
-	s := lateEarning(0.5)
-	if s.Classes[1].LateUtility = 0; s.horizon().Round(ms) != time.Second { // all classes share the servers
-		t.Errorf("a class whose late answers earn nothing, and a horizon of %v", s.horizon())
+	s := settingsWithLateUtility(0.5)
+	if s.Classes[1].LateUtility = 0; s.usefulWait().Round(ms) != time.Second { // all classes share the endpoints
+		t.Errorf("a class with no late utility: answers are worth waiting for %v, want 1s", s.usefulWait())
 	}
 }
 
-// Probes are a share of the requests, and cost no more than a stated part of the result where the settings price them; none
-// goes out where they are not allowed.
-func TestProbesFollowTheirPrice(t *testing.T) {
+// Probes are a share of the requests, and cost at most a given part of the objective where the settings penalise them; there are
+// none where they are not allowed.
+func TestProbeRateFollowsPenalty(t *testing.T) {
 	for _, c := range []struct {
-		price   float64
+		penalty float64
 		allowed bool
-		want    float64 // for each request
-	}{{0, true, probeShare}, {0.01, true, probeShare}, {0.05, true, 0.08}, {0.5, true, 0.008}, {0.05, false, 0}} {
-		set := settings()
-		set.Report.Source, set.Limits.Probes, set.Penalties.Probe = OnProbes, c.allowed, c.price
-		b, h := start(t, set, fleet(8))
+		want    float64 // probes per request
+	}{{0, true, probeRatio}, {0.01, true, probeRatio}, {0.05, true, 0.08}, {0.5, true, 0.008}, {0.05, false, 0}} {
+		set := testSettings()
+		set.Report.Source, set.Limits.Probes, set.Penalties.Probe = OnProbes, c.allowed, c.penalty
+		b, h := startBalancer(t, set, endpointList(8))
 		const requests = 3000
 		for i := range RequestID(requests) {
 			now := time.Duration(i) * 100 * ms
@@ -62,11 +63,11 @@
 			for _, id := range h.probes[max(len(h.probes)-1, 0):] {
 				b.ProbeDone(now, id, ms, OK, []float32{1, 0.5})
 			}
-			x := h.sends[len(h.sends)-1]
-			b.AttemptDone(now+10*ms, Outcome{ID: x.id, Final: true, Endpoint: x.server, Status: OK, Latency: 10 * ms})
+			attempt := h.sends[len(h.sends)-1]
+			b.AttemptDone(now+10*ms, Outcome{ID: attempt.id, Final: true, Endpoint: attempt.endpoint, Status: OK, Latency: 10 * ms})
 		}
 		if got := float64(len(h.probes)) / requests; got > c.want*1.02+0.001 || got < c.want*0.9-0.001 {
-			t.Errorf("price %g, allowed %v: %.4f probes a request, want %.4f", c.price, c.allowed, got, c.want)
+			t.Errorf("penalty %g, allowed %v: %.4f probes a request, want %.4f", c.penalty, c.allowed, got, c.want)
 		}
 	}
 }
