--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	follower := transport.NewDirectory(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
-	follower.Follow(0)
+	follower.Watch(0)
 	go sidecar.Run(ctx, transport.NewDestinations(transport.Options{Clock: clock, Room: transport.NewRoom(1), Log: quiet}), follower)
 	shows := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
@@ -105,7 +105,7 @@
 			return "no answer"
 		}
 		var out []string
-		for _, d := range v.Destinations {
+		for _, d := range v.Endpoints {
 			out = append(out, d.Name+map[bool]string{true: "-"}[d.State == balance.Draining])
 		}
 		return strings.Join(out, " ")
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -68,9 +68,9 @@
 
 // observationOf is a reading in the order of a pool's report fields. Without utilisation it is no report.
 func observationOf(set balance.Settings, address string, x loads.Reading) routing.Observation {
-	o := routing.Observation{Address: address, Failed: -1}
+	o := routing.Observation{Address: address, FailureShare: -1}
 	if x.Outcomes > 0 {
-		o.Failed = x.Failed
+		o.FailureShare = x.Failed
 	}
 	load := make([]float32, len(set.Report.Fields))
 	for i, f := range set.Report.Fields {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -90,7 +90,7 @@
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
 		}
 		p := &pool{conf: conf, set: set, loop: loop, dirty: make(chan struct{}, 1)}
-		loop.Notify(p.changed)
+		loop.OnChange(p.changed)
 		p.carrier = transport.NewDestinations(transport.Options{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
 			IdleFor: conf.Connections.Idle.D() / 2, Room: transport.NewRoom(f.Budget().Destinations / len(f.Pools)),
 			Fields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
@@ -159,11 +159,11 @@
 
 // take publishes a pool's endpoints if they have changed.
 func (s *Service) take(p *pool, v routing.View) {
-	if v.Index == 0 && len(v.Destinations) == 0 {
+	if v.Index == 0 && len(v.Endpoints) == 0 {
 		return // no list has come
 	}
 	var open []string
-	for _, d := range v.Destinations {
+	for _, d := range v.Endpoints {
 		if d.State == balance.Ready {
 			open = append(open, d.Address)
 		}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -166,7 +166,7 @@
 	lost  int
 }
 
-func (l *list) Pool(kind balance.ListKind, _ int64, members []routing.Member) {
+func (l *list) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if kind == balance.Full {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (l *list) Lost() {
+func (l *list) SourceLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost++
@@ -208,7 +208,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &list{}
 	d := transport.NewDirectory(ctx, at, l, slog.New(slog.DiscardHandler))
-	d.Follow(0)
+	d.Watch(0)
 	testkit.Until(t, "the list", func() bool { return l.is("x", balance.Ready) })
 	for i := range 50 {
 		state, told := protocol.Draining, balance.Draining
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -24,7 +24,7 @@
 	loop         *routing.Loop
 	log          *slog.Logger
 	destinations *transport.Destinations
-	watch        routing.Directory
+	watch        routing.Discovery
 	discovery    *transport.Directory // nil where the list is a file
 	classes      []protocol.Class
 	service      transport.Service
@@ -50,7 +50,7 @@
 	p.ctx, p.cancel = context.WithCancel(s.ctx)
 	if conf.Members.Discovery != "" {
 		p.discovery = transport.NewDirectory(p.ctx, conf.Members.Discovery, loop, log)
-		p.discovery.Clock, p.discovery.OnHold = s.clock, loop.Hold
+		p.discovery.Clock, p.discovery.OnHold = s.clock, loop.SetLeaseExpiry
 		p.discovery.AtOnce = true // the pool has no list of its own
 		p.discovery.Seed, p.discovery.Grace = f.SeedOf(conf.Name+"/discovery"), module.Rules.DrainGrace
 		p.watch = p.discovery
@@ -83,7 +83,7 @@
 }
 
 // source watches a list file, by the one watcher of the process, which is made for the first.
-func (s *Set) source(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Directory, error) {
+func (s *Set) source(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Discovery, error) {
 	if s.watcher == nil {
 		var err error
 		if s.watcher, err = filewatch.New(s.ctx, s.log); err != nil {
@@ -96,12 +96,12 @@
 // succeed has the pool take the place of another. Where both ask discovery it goes on with the list that the other had, until
 // discovery tells it one.
 func (p *pool) succeed(old *pool) {
-	p.loop.Succeed(old.loop)
+	p.loop.TakeOver(old.loop)
 	if p.discovery == nil || old.discovery == nil {
 		return
 	}
 	p.discovery.Succeed(old.discovery)
-	if !p.loop.Inherit(old.loop, viewWithin) {
+	if !p.loop.InheritEndpoints(old.loop, viewWithin) {
 		p.log.Warn("the list of the pool before is not known: its loop does not answer")
 	}
 }
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -192,10 +192,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pools {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	for p := range s.retired {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	return n
 }
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -107,7 +107,7 @@
 				if out.Pools[i].Shares == nil {
 					out.Pools[i].Shares = map[string]Use{}
 				}
-				out.Pools[i].Shares[key] = Use{u.Guaranteed, u.Most, u.Used, u.Borrowed}
+				out.Pools[i].Shares[key] = Use{u.Guaranteed, u.Max, u.Used, u.Borrowed}
 			}
 		}
 	}
@@ -123,12 +123,12 @@
 	}
 	v, ok := p.loop.View(viewWithin)
 	if out.Stuck = !ok; out.Stuck {
-		out.Open = p.loop.Owed()
+		out.Open = p.loop.PendingRequests()
 		return out
 	}
-	out.Index, out.Open, out.Parked, out.Level, out.Below = v.Index, v.Open, v.Parked, v.Level, v.Below
+	out.Index, out.Open, out.Parked, out.Level, out.Below = v.Index, v.Pending, v.Queued, v.ShedLevel, v.DownstreamShed
 	out.Counts = v.Metrics.Counts()
-	for _, d := range v.Destinations {
+	for _, d := range v.Endpoints {
 		out.Destinations = append(out.Destinations, DestinationStatus{Name: d.Name, Address: d.Address, State: state(d), Weight: d.Weight,
 			Utilisation: d.Utilisation, Failed: d.Failed, InFlight: d.Out, HeldOffMS: d.HeldOff.Milliseconds()})
 	}
@@ -136,7 +136,7 @@
 }
 
 // state is a destination's state in one word.
-func state(d routing.DestinationView) string {
+func state(d routing.EndpointView) string {
 	switch {
 	case d.State == balance.Draining:
 		return "draining"
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -59,7 +59,7 @@
 	directory := transport.NewDirectory(ctx, c.Discovery, loop, log)
 	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
 	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
-	directory.Clock, directory.OnHold = clock, loop.Hold
+	directory.Clock, directory.OnHold = clock, loop.SetLeaseExpiry
 	directory.AtOnce = len(c.Known.Destinations) == 0
 	service := &transport.Service{Loop: loop}
 	if c.Module.Limits.RetryAfter {
@@ -75,14 +75,14 @@
 	}
 	defer ln.Close()
 	go loop.Run(ctx, destinations, directory)
-	loop.Pool(balance.Cached, c.Known.Index, transport.Members(c.Known))
+	loop.UpdateEndpoints(balance.Cached, c.Known.Index, transport.Members(c.Known))
 	if directory.Pushed { // the module asks for no watch; what the agent beside the sidecar has counts as told already
-		directory.Follow(c.Known.Index)
+		directory.Watch(c.Known.Index)
 	}
 	go front.Serve(ln)
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Destinations))
 
-	untilStopped(ctx, signals, log, loop.Owed, func() error {
+	untilStopped(ctx, signals, log, loop.PendingRequests, func() error {
 		next, err := Reload(env)
 		if err != nil {
 			return err
@@ -100,7 +100,7 @@
 		log.Info("counts", "requests", &v.Metrics, "connections", front.Closings(), "violations", invariants.Violations(), "denials", invariants.Denials(),
 			"discovery", directory.State())
 	}
-	log.Info("stopped", "owed", loop.Owed())
+	log.Info("stopped", "owed", loop.PendingRequests())
 	return nil
 }
 
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -19,8 +19,8 @@
 
 // Refuse answers at once that the sidecar is busy.
 func (h host) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
-	h.metrics.Refused[why]++
-	h.answerBecause(h.ops[id], Answer{Verdict: Busy, RetryAfter: retryAfter}, why.String())
+	h.metrics.Rejected[why]++
+	h.answerBecause(h.ops[id], Answer{Verdict: Rejected, RetryAfter: retryAfter}, why.String())
 }
 
 // Fail answers at once that the operation failed.
@@ -62,7 +62,7 @@
 }
 
 // Watch opens a watch of the endpoint list.
-func (h host) Watch() { h.directory.Follow(h.pool.index) }
+func (h host) Watch() { h.directory.Watch(h.pool.index) }
 
 // Tell does nothing: sidecars have no way to talk to each other, and the settings say so to the module.
 func (h host) Tell(int, []byte) {}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -12,31 +12,31 @@
 // Member is an entry of an endpoint list.
 type Member struct {
 	Name, Address, Zone, Kind string
-	Group                     int
+	Cell                      int
 	State                     balance.State
 	Weight                    float64
-	Since                     time.Duration // Unix time of its last start; 0 for long ago
+	StartedAt                 time.Duration // Unix time of its last start; 0 for long ago
 }
 
 // pool holds the destinations that the endpoint list has named.
 type pool struct {
 	index  int64
-	byName map[string]*Destination
-	byID   map[balance.ServerID]*Destination
+	byName map[string]*Endpoint
+	byID   map[balance.ServerID]*Endpoint
 }
 
 func newPool() pool {
-	return pool{byName: map[string]*Destination{}, byID: map[balance.ServerID]*Destination{}}
+	return pool{byName: map[string]*Endpoint{}, byID: map[balance.ServerID]*Endpoint{}}
 }
 
 // Pool takes an endpoint list, from any goroutine.
-func (l *Loop) Pool(kind balance.ListKind, index int64, members []Member) {
+func (l *Loop) UpdateEndpoints(kind balance.ListKind, index int64, members []Member) {
 	l.post(func() { l.applyPool(kind, index, members) })
 }
 
 // Hold takes from which time of its clock on nothing may be sent, as the endpoint list is too old then, from any goroutine. It
 // goes by the lists that were handed over before. It does not wait for the Loop: whoever calls may be asked for other things.
-func (l *Loop) Hold(from time.Duration) {
+func (l *Loop) SetLeaseExpiry(from time.Duration) {
 	order := l.holds.Add(1)
 	l.hand(func() {
 		if order < l.lastHold { // a later word has overtaken it
@@ -68,9 +68,9 @@
 func (h *sendHold) broken(now time.Duration) bool { return h.holds(now) && h.holds(now-holdSlack) }
 
 // Lost says that a watch has ended, from any goroutine.
-func (l *Loop) Lost() {
+func (l *Loop) SourceLost() {
 	l.post(func() {
-		l.metrics.ListsLost++
+		l.metrics.SourcesLost++
 		l.balancer.Members(l.Now(), balance.Failed, nil)
 	})
 }
@@ -78,7 +78,7 @@
 func (l *Loop) applyPool(kind balance.ListKind, index int64, members []Member) {
 	l.pool.index = index
 	var closed []string
-	l.metrics.Lists++
+	l.metrics.EndpointLists++
 	// Ids are given in the order of names, so that a collision falls out alike at every sidecar.
 	slices.SortStableFunc(members, func(x, y Member) int {
 		if x.Name < y.Name {
@@ -107,7 +107,7 @@
 			closed = append(closed, d.Name)
 		}
 		servers = append(servers, balance.Server{ID: d.ID, Zone: place(l.names.Zones, m.Zone),
-			Kind: place(l.names.Kinds, m.Kind), Cell: m.Group, State: m.State, Units: m.Weight, ReadyAt: d.since})
+			Kind: place(l.names.Kinds, m.Kind), Cell: m.Cell, State: m.State, Units: m.Weight, ReadyAt: d.since})
 		if m.State == balance.Gone {
 			l.pool.drop(d)
 		}
@@ -138,14 +138,14 @@
 // startOf is when a destination started, on this process's clock. The list tells it by discovery's wall clock, and this
 // machine's can be off by any amount; but a start that is news is no older than the last time the list was confirmed, less the
 // lag of the news, and none lies in the future.
-func (l *Loop) startOf(d *Destination, m Member) time.Duration {
-	switch m.Since {
+func (l *Loop) startOf(d *Endpoint, m Member) time.Duration {
+	switch m.StartedAt {
 	case 0:
 		return 0
-	case d.member.Since:
+	case d.member.StartedAt:
 		return d.since
 	}
-	since := min(m.Since, l.Now())
+	since := min(m.StartedAt, l.Now())
 	if l.confirmedAt > 0 {
 		since = max(since, l.confirmedAt-newsLag)
 	}
@@ -154,7 +154,7 @@
 
 // closeTo guards the drain rule: attempts that are decided but not yet on their way look at the flag. It tells whether the
 // destination has just been closed.
-func (l *Loop) closeTo(d *Destination, closed bool) bool {
+func (l *Loop) closeTo(d *Endpoint, closed bool) bool {
 	if d.closed.Swap(closed) == closed {
 		return false
 	}
@@ -178,7 +178,7 @@
 
 // name finds or makes the destination of a name. Its id is a hash of the name, for every sidecar must know it by the
 // same; where two names share one, the later takes the next that is free.
-func (p *pool) name(name string) *Destination {
+func (p *pool) name(name string) *Endpoint {
 	if d := p.byName[name]; d != nil {
 		return d
 	}
@@ -188,20 +188,20 @@
 	for p.byID[id] != nil {
 		id++
 	}
-	d := &Destination{ID: id, Name: name}
+	d := &Endpoint{ID: id, Name: name}
 	p.byName[name], p.byID[id] = d, d
 	return d
 }
 
-func (p *pool) replace(old *Destination) *Destination {
-	d := &Destination{ID: old.ID, Name: old.Name}
+func (p *pool) replace(old *Endpoint) *Endpoint {
+	d := &Endpoint{ID: old.ID, Name: old.Name}
 	d.closed.Store(old.closed.Load())
 	old.closed.Store(true)
 	p.byName[d.Name], p.byID[d.ID] = d, d
 	return d
 }
 
-func (p *pool) drop(d *Destination) {
+func (p *pool) drop(d *Endpoint) {
 	delete(p.byName, d.Name)
 	delete(p.byID, d.ID)
 }
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -386,7 +386,7 @@
 
 // carried runs one attempt of an operation against a destination whose connection comes up late, with something done
 // meanwhile, and tells whether the request was sent.
-func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Operation, ran bool, meanwhile func(*routing.Loop)) bool {
+func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Request, ran bool, meanwhile func(*routing.Loop)) bool {
 	t.Helper()
 	at, let, came := late(t)
 	clock := routing.NewClock()
@@ -404,14 +404,14 @@
 	if ran { // the operation's first attempt may have run, at another destination, which drains by then
 		members[0].Address = server(t, func(conn net.Conn) { head(conn); close(first); <-cut; conn.Close() })
 	}
-	loop.Pool(balance.Cached, 1, members)
+	loop.UpdateEndpoints(balance.Cached, 1, members)
 	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
 	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
 	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
 	loop.Submit(op)
 	if ran {
 		<-first
-		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: members[0].Address, State: balance.Draining},
+		loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: members[0].Address, State: balance.Draining},
 			{Name: "t", Address: at, State: balance.Ready}})
 		loop.View(time.Second) // it has taken that
 		close(cut)
@@ -432,11 +432,11 @@
 func TestClientLeavesBeforeTheConnectionIsUp(t *testing.T) {
 	t.Parallel()
 	class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1}
-	op := &routing.Operation{}
+	op := &routing.Request{}
 	if carried(t, class, balance.Limits{MaxAttempts: 1}, op, false, func(l *routing.Loop) { l.Abandon(op) }) {
 		t.Error("the request was sent on after its client had left")
 	}
-	if !carried(t, class, balance.Limits{MaxAttempts: 1}, &routing.Operation{}, false, func(*routing.Loop) {}) {
+	if !carried(t, class, balance.Limits{MaxAttempts: 1}, &routing.Request{}, false, func(*routing.Loop) {}) {
 		t.Error("the request of a client that stays was not sent on")
 	}
 }
@@ -469,7 +469,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		room := &gated{Room: NewRoom(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
-		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
+		loop.UpdateEndpoints(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
 		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: quiet})
 		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
 		done := make(chan routing.Answer, 9)
@@ -480,7 +480,7 @@
 				}
 			}
 			m := &protocol.Message{Start: [3]string{"GET", "/look"}}
-			loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
+			loop.Submit(&routing.Request{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
 			if n < 2 {
 				<-done
 				<-came
@@ -489,7 +489,7 @@
 		<-room.waits
 		<-room.waits
 		if drains {
-			loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: balance.Draining}})
+			loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: balance.Draining}})
 			loop.View(time.Second) // it has taken that
 		}
 		close(room.opened)
@@ -516,7 +516,7 @@
 	f, ln := sidecar(t, 4, at)
 	loop := leads(t, f)
 	state := func(s balance.State) {
-		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: s}})
+		loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: s}})
 		loop.View(time.Second) // it has taken that
 	}
 	state(balance.Draining)
@@ -524,10 +524,10 @@
 	io.WriteString(leaver, look)
 	stayer, r := dial(t, ln)
 	io.WriteString(stayer, strings.Replace(look, "Id: 1", "Id: 2", 1))
-	testkit.Until(t, "both wait", func() bool { return loop.Owed() == 2 })
+	testkit.Until(t, "both wait", func() bool { return loop.PendingRequests() == 2 })
 	left := time.Now()
 	leaver.Close()
-	testkit.Until(t, "one has gone", func() bool { return loop.Owed() == 1 })
+	testkit.Until(t, "one has gone", func() bool { return loop.PendingRequests() == 1 })
 	if took := time.Since(left); took > 100*time.Millisecond {
 		t.Errorf("its leaving was known after %v", took)
 	}
@@ -549,7 +549,7 @@
 			t.Parallel()
 			class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: balance.Keyed, Window: window}
 			limits := balance.Limits{MaxAttempts: 2, RetryShare: 1, RetryBurst: 8}
-			if got := carried(t, class, limits, &routing.Operation{}, true, func(*routing.Loop) {}); got != sent {
+			if got := carried(t, class, limits, &routing.Request{}, true, func(*routing.Loop) {}); got != sent {
 				t.Errorf("with a window of %v the repeat was sent: %v", window, got)
 			}
 		})
@@ -575,7 +575,7 @@
 	case <-time.After(time.Second):
 		t.Error("the attempt goes on a second after its client went")
 	}
-	testkit.Until(t, "nothing is owed", func() bool { return leads(t, f).Owed() == 0 })
+	testkit.Until(t, "nothing is owed", func() bool { return leads(t, f).PendingRequests() == 0 })
 	if len(came) > 0 {
 		t.Errorf("begun for a client that had gone: %q", <-came)
 	}
@@ -588,7 +588,7 @@
 	at, let, came := late(t)
 	u := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
 		Room: NewRoom(1), Log: quiet})
-	d := &routing.Destination{Address: at}
+	d := &routing.Endpoint{Address: at}
 	began := time.Now()
 	if s := probe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
 		t.Errorf("the first ended %v after %v", s, time.Since(began))
--- a/internal/transport/destinations.go
+++ b/internal/transport/destinations.go
@@ -35,41 +35,41 @@
 	Options
 	mu     sync.Mutex
 	closed bool
-	idle   map[*routing.Destination][]*link // newest last
+	idle   map[*routing.Endpoint][]*link // newest last
 }
 
 // NewDestinations returns a Destinations without connections.
 func NewDestinations(o Options) *Destinations {
-	return &Destinations{Options: o, idle: map[*routing.Destination][]*link{}}
+	return &Destinations{Options: o, idle: map[*routing.Endpoint][]*link{}}
 }
 
 // probeTimeout is how long the answer to a probe is waited for.
 const probeTimeout = time.Second
 
-var _ routing.Carrier = (*Destinations)(nil)
+var _ routing.Transport = (*Destinations)(nil)
 
 // Carry starts an attempt. It implements routing.Carrier.
-func (u *Destinations) Carry(a *routing.Attempt, done func(routing.Result)) {
+func (u *Destinations) Send(a *routing.Attempt, done func(routing.Result)) {
 	go func() {
-		t := &task{done: done, deadline: u.Clock.At(a.Deadline), opened: a.Opened}
+		t := &task{done: done, deadline: u.Clock.At(a.Deadline), opened: a.ConnectionOpened}
 		defer u.caught(t)
 		word := protocol.Field{Name: u.Chain}
 		stale := func() bool {
 			ok := !a.Stale()
-			if ok && a.Op.Word != nil {
-				word.Value, ok = a.Op.Word()
+			if ok && a.Request.Header != nil {
+				word.Value, ok = a.Request.Header()
 			}
 			return !ok
 		}
-		u.run(a.Context, a.Destination, t, stale, func() net.Buffers {
-			m := a.Op.Payload.(*protocol.Message)
+		u.run(a.Context, a.Endpoint, t, stale, func() net.Buffers {
+			m := a.Request.Payload.(*protocol.Message)
 			return net.Buffers{protocol.RequestHead(m, a.Begin(), word), m.Body}
 		})
 	}()
 }
 
 // Probe asks a destination for its health and load. It implements routing.Carrier.
-func (u *Destinations) Probe(d *routing.Destination, done func(routing.Result)) {
+func (u *Destinations) Probe(d *routing.Endpoint, done func(routing.Result)) {
 	go func() {
 		t := &task{done: done, deadline: time.Now().Add(probeTimeout), probe: true, opened: func() {}}
 		defer u.caught(t)
@@ -96,7 +96,7 @@
 )
 
 // run takes a task through a connection up to the last byte written; the connection's reader ends it.
-func (u *Destinations) run(ctx context.Context, d *routing.Destination, t *task, stale func() bool, text func() net.Buffers) {
+func (u *Destinations) run(ctx context.Context, d *routing.Endpoint, t *task, stale func() bool, text func() net.Buffers) {
 	k, err := u.connect(ctx, d, t)
 	if err != nil {
 		t.fail(err)
@@ -113,7 +113,7 @@
 }
 
 // connect gives a task a connection: the newest idle one that still stands, or a new one.
-func (u *Destinations) connect(ctx context.Context, d *routing.Destination, t *task) (*link, error) {
+func (u *Destinations) connect(ctx context.Context, d *routing.Endpoint, t *task) (*link, error) {
 	for {
 		k := u.newest(d)
 		if k == nil {
@@ -139,19 +139,19 @@
 		return nil, err
 	}
 	k := u.link(d, conn)
-	t.progress = routing.Waiting
+	t.progress = routing.NotSent
 	k.begin(t)
 	go k.read()
 	return k, nil
 }
 
-func (u *Destinations) link(d *routing.Destination, conn net.Conn) *link {
+func (u *Destinations) link(d *routing.Endpoint, conn net.Conn) *link {
 	return &link{home: u, to: d, conn: conn, machine: protocol.Machine{Answers: true}}
 }
 
 // dial opens a connection for which there is room. One that is not up in time is waited for without the attempt: it comes
 // to rest for the next one, which would have to wait as long for a new one.
-func (u *Destinations) dial(ctx context.Context, d *routing.Destination, until time.Time) (net.Conn, error) {
+func (u *Destinations) dial(ctx context.Context, d *routing.Endpoint, until time.Time) (net.Conn, error) {
 	type dialed struct {
 		conn net.Conn
 		err  error
@@ -191,7 +191,7 @@
 // latestUp is how long a connection may take to come up.
 const latestUp = 2 * time.Second
 
-func (u *Destinations) newest(d *routing.Destination) *link {
+func (u *Destinations) newest(d *routing.Endpoint) *link {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[d]
@@ -212,7 +212,7 @@
 // leastRest is how long a connection is idle at the least: a copy may come some milliseconds late.
 const leastRest = 20 * time.Millisecond
 
-func (u *Destinations) keep(d *routing.Destination, list []*link) {
+func (u *Destinations) keep(d *routing.Endpoint, list []*link) {
 	if len(list) == 0 {
 		delete(u.idle, d)
 	} else {
@@ -245,7 +245,7 @@
 }
 
 // CloseIdle closes the idle connections to a destination. It implements routing.Carrier.
-func (u *Destinations) CloseIdle(d *routing.Destination) {
+func (u *Destinations) CloseIdle(d *routing.Endpoint) {
 	u.mu.Lock()
 	list := u.idle[d]
 	delete(u.idle, d)
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -22,7 +22,7 @@
 //
 // The latest subscription is called again for as long as the Directory lives, at the pace of a backoff.
 type Directory struct {
-	Loop    routing.Lists
+	Loop    routing.EndpointListReceiver
 	Log     *slog.Logger
 	Context context.Context // ends all subscriptions
 	Pushed  bool            // lists come by themselves and count as told at once
@@ -81,10 +81,10 @@
 	errSucceeded = errors.New("another call is answered")
 )
 
-var _ routing.Directory = (*Directory)(nil)
+var _ routing.Discovery = (*Directory)(nil)
 
 // NewDirectory returns a Directory of discovery at an address.
-func NewDirectory(ctx context.Context, address string, loop routing.Lists, log *slog.Logger) *Directory {
+func NewDirectory(ctx context.Context, address string, loop routing.EndpointListReceiver, log *slog.Logger) *Directory {
 	d := &Directory{Context: ctx, Loop: loop, Log: log, Clock: routing.NewClock(), created: time.Now(), listAt: time.Now()}
 	d.add(0, address)
 	return d
@@ -92,7 +92,7 @@
 
 // Follow subscribes, once. It implements routing.Directory. The version is that of the list that the sidecar started with;
 // what an address has told since goes before it.
-func (d *Directory) Follow(since int64) {
+func (d *Directory) Watch(since int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.followed {
@@ -307,7 +307,7 @@
 		"stood", end.stood.Round(time.Millisecond), "next", pause.Round(time.Millisecond), "superseded", !latest,
 		"discovery", state)
 	if !heard {
-		d.Loop.Lost()
+		d.Loop.SourceLost()
 	}
 	return pause
 }
@@ -369,7 +369,7 @@
 	if err := d.adopt(w, list.Index); err != nil {
 		return err
 	}
-	d.Loop.Pool(kind, list.Index, Members(list))
+	d.Loop.UpdateEndpoints(kind, list.Index, Members(list))
 	w.told = true
 	d.heard(w.s) // after the list is on its way: what is held back goes by it
 	return nil
@@ -406,8 +406,8 @@
 		protocol.Gone: balance.Gone}
 	out := make([]routing.Member, 0, len(list.Destinations))
 	for _, e := range list.Destinations {
-		out = append(out, routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: states[e.State], Weight: e.Weight, Since: time.Duration(e.SinceMS) * time.Millisecond})
+		out = append(out, routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Group,
+			State: states[e.State], Weight: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
 	}
 	return out
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -119,9 +119,9 @@
 	d := NewDirectory(ctx, discovery, loop, quiet)
 	d.Pushed = !ask
 	go loop.Run(ctx, destinations(routing.NewClock()), d)
-	loop.Pool(balance.Cached, 1, nil)
+	loop.UpdateEndpoints(balance.Cached, 1, nil)
 	if d.Pushed {
-		d.Follow(1)
+		d.Watch(1)
 	}
 	return loop, d
 }
@@ -129,7 +129,7 @@
 // knows tells whether a Loop has heard of a destination.
 func knows(l *routing.Loop, name string) bool {
 	v, ok := l.View(time.Second)
-	return ok && len(v.Destinations) == 1 && v.Destinations[0].Name == name
+	return ok && len(v.Endpoints) == 1 && v.Endpoints[0].Name == name
 }
 
 // Whatever the calls before met, a change is there within 6 s of the moment at which discovery had it and could be reached:
@@ -273,8 +273,8 @@
 	lost func()
 }
 
-func (t told) Pool(_ balance.ListKind, index int64, _ []routing.Member) { t.pool(index) }
-func (t told) Lost()                                                    { t.lost() }
+func (t told) UpdateEndpoints(_ balance.ListKind, index int64, _ []routing.Member) { t.pool(index) }
+func (t told) SourceLost()                                                         { t.lost() }
 
 // The discovery moves while a list of the old one is being told, and the new one fails for longer than the Directory tries
 // by itself: whatever version the module then asks from, the new one is asked for its whole list.
@@ -302,8 +302,8 @@
 		once.Do(func() {
 			d.Move(next)
 		})
-	}, lost: func() { ready.Store(true); d.Follow(77) }} // as the module does, from the last version that it knows
-	d.Follow(1)
+	}, lost: func() { ready.Store(true); d.Watch(77) }} // as the module does, from the last version that it knows
+	d.Watch(1)
 	for range 2 {
 		select {
 		case text := <-asked:
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -253,7 +253,7 @@
 func (f *Front) checkReady(came time.Duration) {
 	since := time.Duration(f.stopsSince.Load())
 	if !f.serving.Load() || since > 0 && came > since {
-		f.guard.Violated(guard.Start, "came", came, "stops_since", since, "serving", f.serving.Load())
+		f.guard.RecordViolation(guard.Start, "came", came, "stops_since", since, "serving", f.serving.Load())
 	}
 }
 
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: destination, State: balance.Ready}})
+	loop.UpdateEndpoints(balance.Cached, 1, []routing.Member{{Name: "s", Address: destination, State: balance.Ready}})
 	classes := []protocol.Class{{Name: "look", Methods: []string{"GET"}, Deadline: 2 * time.Second, Keyed: set.Classes[0].Effect == balance.Keyed},
 		{Name: "pay", Methods: []string{"POST"}, Deadline: 2 * time.Second}}
 	f := NewFront(clock, OnePool(&Service{Loop: loop}, classes), Budget{Front: most, Overflow: 2}, quiet)
@@ -271,7 +271,7 @@
 	f, _ := sidecar(t, 4, server(t, echo))
 	answers := make(chan routing.Answer, 1)
 	loop := leads(t, f)
-	loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Minute, Payload: "no message",
+	loop.Submit(&routing.Request{Deadline: loop.Now() + time.Minute, Payload: "no message",
 		Done: func(a routing.Answer) { answers <- a }})
 	if a := <-answers; a.Verdict == routing.Served {
 		t.Errorf("answered %+v", a)
@@ -324,7 +324,7 @@
 	held, free chan struct{}
 }
 
-func (c stuckCarrier) Carry(*routing.Attempt, func(routing.Result)) {
+func (c stuckCarrier) Send(*routing.Attempt, func(routing.Result)) {
 	close(c.held)
 	<-c.free
 }
@@ -338,7 +338,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: "127.0.0.1:1", State: balance.Ready}})
+	loop.UpdateEndpoints(balance.Cached, 1, []routing.Member{{Name: "s", Address: "127.0.0.1:1", State: balance.Ready}})
 	carrier := stuckCarrier{destinations(clock), make(chan struct{}), make(chan struct{})}
 	defer close(carrier.free)
 	go loop.Run(ctx, carrier, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
--- a/internal/transport/frontconn.go
+++ b/internal/transport/frontconn.go
@@ -49,8 +49,8 @@
 	lastID string      // of the last request
 	owes   bool        // a request was read whole, and its answer is not written
 
-	op     *routing.Operation // out, nil for none
-	loop   *routing.Loop      // that op is out in
+	op     *routing.Request // out, nil for none
+	loop   *routing.Loop    // that op is out in
 	answer chan routing.Answer
 }
 
@@ -248,8 +248,8 @@
 		r := protocol.Reply{Status: 200, Why: "ready"}
 		if m.Start[0] != "GET" {
 			r = protocol.Reply{Status: 405, Allow: "GET", Why: "this path wants GET"}
-		} else if d := guard.MayStart(guard.Starting{Serving: c.front.serving.Load(), Stopping: c.front.draining.Load()}); d != nil {
-			r = protocol.Reply{Status: 503, Why: d.Why}
+		} else if d := guard.MayStart(guard.StartFacts{Serving: c.front.serving.Load(), Stopping: c.front.draining.Load()}); d != nil {
+			r = protocol.Reply{Status: 503, Why: d.Reason}
 		} else {
 			c.front.checkReady(c.front.clock.Now() - time.Since(c.came()))
 		}
@@ -298,10 +298,10 @@
 	if c.front.draining.Load() { // the process may be killed after that, and the operation lost
 		deadline = min(deadline, time.Duration(c.front.until.Load()))
 	}
-	op := &routing.Operation{Class: figures.Class, Deadline: deadline, Hint: figures.Hint,
-		Repeat: figures.Repeat, Payload: m, Key: figures.ID, Sent: sent, Origin: to.origin(m), Word: word, Left: func() bool { return peek(c.conn) == broken }}
+	op := &routing.Request{Class: figures.Class, Deadline: deadline, CostHint: figures.Hint,
+		ClientRetry: figures.Repeat, Payload: m, Key: figures.ID, OnFirstSend: sent, Origin: to.origin(m), Header: word, ClientGone: func() bool { return peek(c.conn) == broken }}
 	c.lastID = figures.ID
-	if op.Left() { // it sent its request and went: nothing is begun for it
+	if op.ClientGone() { // it sent its request and went: nothing is begun for it
 		c.because(closedMidRequest)
 		return false
 	}
@@ -326,11 +326,11 @@
 	case routing.Served:
 		served := a.Payload.(*protocol.Message)
 		return c.send(close, protocol.ServedHead(served, close), served.Body)
-	case routing.Busy:
+	case routing.Rejected:
 		busy.RetryAfter = a.RetryAfter
 		return c.reply(busy, close)
 	}
-	if a.Verdict == routing.Doubled {
+	if a.Verdict == routing.Duplicate {
 		return c.reply(protocol.Reply{Status: 409, Why: "a request with this id is open"}, close)
 	}
 	return c.reply(protocol.Reply{Status: 502, Why: "failed"}, close)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -74,8 +74,8 @@
 	defer t.mu.Unlock()
 	t.writing = false
 	close(t.wrote)
-	if err == nil && t.progress < routing.WhollyWritten {
-		t.progress = routing.WhollyWritten
+	if err == nil && t.progress < routing.FullyWritten {
+		t.progress = routing.FullyWritten
 	}
 	if t.broke != nil {
 		return t.broke
@@ -105,7 +105,7 @@
 func (t *task) answered() (early, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.progress < routing.WhollyWritten {
+	if t.progress < routing.FullyWritten {
 		return true, false
 	}
 	first = t.progress < routing.Answering
@@ -138,7 +138,7 @@
 // connection is seen when it comes.
 type link struct {
 	home *Destinations
-	to   *routing.Destination
+	to   *routing.Endpoint
 	conn net.Conn
 	once sync.Once
 
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -53,7 +53,7 @@
 					}
 				}
 			})
-			u, d := destinations(routing.NewClock()), &routing.Destination{Address: at}
+			u, d := destinations(routing.NewClock()), &routing.Endpoint{Address: at}
 			first := probe(u, d)
 			time.Sleep(2 * leastRest) // it is used again when it has rested
 			second := probe(u, d)
@@ -70,12 +70,12 @@
 // What is left of an answer comes over a connection that the next request has just been given: it is not that request's,
 // which may have run if its last byte went out, and has not if that was kept back.
 func TestLeftover(t *testing.T) {
-	for progress, want := range map[routing.Progress]balance.Status{routing.WhollyWritten: balance.Reset,
+	for progress, want := range map[routing.Progress]balance.Status{routing.FullyWritten: balance.Reset,
 		routing.PartlyWritten: balance.ConnectFailed} {
 		here, there := net.Pipe()
 		ended := make(chan routing.Result, 1)
 		late := &task{done: func(r routing.Result) { ended <- r }, deadline: time.Now().Add(time.Minute)}
-		k := &link{home: destinations(routing.NewClock()), to: &routing.Destination{}, conn: here, used: true, task: late,
+		k := &link{home: destinations(routing.NewClock()), to: &routing.Endpoint{}, conn: here, used: true, task: late,
 			machine: protocol.Machine{Answers: true}}
 		late.startWriting()
 		go k.read()
@@ -84,7 +84,7 @@
 		if _, err := there.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the connection stays: %v", err)
 		}
-		if progress == routing.WhollyWritten {
+		if progress == routing.FullyWritten {
 			k.wrote(late, nil)
 		} else {
 			k.wrote(late, net.ErrClosed)
@@ -104,14 +104,14 @@
 		conn.Close()
 		closed <- struct{}{}
 	})
-	u, d := destinations(routing.NewClock()), &routing.Destination{Address: at}
+	u, d := destinations(routing.NewClock()), &routing.Endpoint{Address: at}
 	for range 20 {
 		if s := probe(u, d); s != balance.OK {
 			t.Fatalf("ended %d", s)
 		}
 		<-closed
 	}
-	if s := probe(u, &routing.Destination{Address: "127.0.0.1:1"}); s != balance.ConnectFailed {
+	if s := probe(u, &routing.Endpoint{Address: "127.0.0.1:1"}); s != balance.ConnectFailed {
 		t.Errorf("a refused connection ended %d", s)
 	}
 }
@@ -122,7 +122,7 @@
 	here, there := net.Pipe() // a write to it ends when the other side has read
 	defer there.Close()
 	u := destinations(routing.NewClock())
-	k := &link{home: u, to: &routing.Destination{}, conn: here}
+	k := &link{home: u, to: &routing.Endpoint{}, conn: here}
 	ended := make(chan routing.Result, 1)
 	task := &task{done: func(r routing.Result) { ended <- r }}
 	k.task = task
@@ -143,7 +143,7 @@
 	}{
 		{routing.AttemptError{Progress: routing.PartlyWritten, Err: context.Canceled}, balance.Moot},
 		{routing.AttemptError{Progress: routing.PartlyWritten, Err: errors.New("broken")}, balance.ConnectFailed},
-		{routing.AttemptError{Progress: routing.WhollyWritten, Err: errors.New("broken")}, balance.Reset},
+		{routing.AttemptError{Progress: routing.FullyWritten, Err: errors.New("broken")}, balance.Reset},
 	} {
 		if got := c.err.Status(); got != c.want {
 			t.Errorf("%v is %d, want %d", &c.err, got, c.want)
@@ -174,15 +174,15 @@
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
 		})
-		if s := probe(u, &routing.Destination{Address: at}); s != balance.OK {
+		if s := probe(u, &routing.Endpoint{Address: at}); s != balance.OK {
 			t.Fatalf("ended %d", s)
 		}
 	}
 	for range 4 {
-		u.Probe(&routing.Destination{Address: slow}, func(routing.Result) {})
+		u.Probe(&routing.Endpoint{Address: slow}, func(routing.Result) {})
 		<-held
 	}
-	if s := probe(u, &routing.Destination{Address: slow}); s != balance.Moot {
+	if s := probe(u, &routing.Endpoint{Address: slow}); s != balance.Moot {
 		t.Errorf("beyond the budget ended %d", s)
 	}
 }
@@ -206,7 +206,7 @@
 	var connections atomic.Int32
 	at := server(t, func(conn net.Conn) { connections.Add(1); echo(conn) })
 	u := destinations(routing.NewClock())
-	d := &routing.Destination{Address: at}
+	d := &routing.Endpoint{Address: at}
 	if s := probe(u, d); s != balance.OK {
 		t.Fatal(s)
 	}
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -53,7 +53,7 @@
 }
 
 // probe runs one exchange and returns how it ended.
-func probe(u *Destinations, d *routing.Destination) balance.Status {
+func probe(u *Destinations, d *routing.Endpoint) balance.Status {
 	ended := make(chan routing.Result, 1)
 	u.Probe(d, func(r routing.Result) { ended <- r })
 	r := <-ended
