--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -7,71 +7,72 @@
 	"kitewood/balance"
 )
 
-// host performs the module's actions on the Loop. What they lead to comes back as later events.
+// host implements balance.Host on a Loop. The results of its actions are reported as later events.
 type host struct{ *Loop }
 
 var _ balance.Host = host{}
 
-// Send starts an attempt.
-func (h host) Send(id balance.RequestID, server balance.ServerID, timeout time.Duration) {
-	h.send(id, server, timeout)
+// Send starts an attempt of a request at an endpoint.
+func (h host) Send(id balance.RequestID, endpoint balance.ServerID, timeout time.Duration) {
+	h.send(id, endpoint, timeout)
 }
 
-// Refuse answers at once that the sidecar is busy.
-func (h host) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
-	h.metrics.Rejected[why]++
-	h.answerBecause(h.ops[id], Answer{Verdict: Rejected, RetryAfter: retryAfter}, why.String())
+// Refuse answers the client immediately with Rejected.
+func (h host) Refuse(id balance.RequestID, retryAfter time.Duration, reason balance.Reason) {
+	h.metrics.Rejected[reason]++
+	h.answerWithReason(h.requests[id], Answer{Verdict: Rejected, RetryAfter: retryAfter}, reason.String())
 }
 
-// Fail answers at once that the operation failed.
-func (h host) Fail(id balance.RequestID, why balance.Reason) {
-	h.metrics.Failed[why]++
-	h.answerBecause(h.ops[id], Answer{Verdict: Failed}, why.String())
+// Fail answers the client immediately with Failed.
+func (h host) Fail(id balance.RequestID, reason balance.Reason) {
+	h.metrics.Failed[reason]++
+	h.answerWithReason(h.requests[id], Answer{Verdict: Failed}, reason.String())
 }
 
-// Cancel calls an attempt off.
+// Cancel cancels an attempt of a request; an unknown attempt is ignored.
 func (h host) Cancel(id balance.RequestID, attempt int) {
-	if op := h.ops[id]; op != nil && attempt >= 0 && attempt < len(op.attempts) {
-		op.attempts[attempt].cancel()
+	if req := h.requests[id]; req != nil && attempt >= 0 && attempt < len(req.attempts) {
+		req.attempts[attempt].cancel()
 	}
 }
 
-// Probe asks a destination for its health and load.
-func (h host) Probe(server balance.ServerID) {
-	began := h.Now()
+// Probe requests the health and load of an endpoint. If the endpoint is unknown or the lease has
+// expired, the probe is reported as not sent.
+func (h host) Probe(endpoint balance.ServerID) {
+	startedAt := h.Now()
 	report := func(r Result) {
 		status := r.Status
 		if r.Err != nil {
 			status = r.Err.Status()
 		}
 		now := h.Now()
-		h.balancer.Probed(now, server, now-began, status, r.Load)
+		h.balancer.Probed(now, endpoint, now-startedAt, status, r.Load)
 	}
-	if d := h.pool.byID[server]; d != nil && !h.hold.holds(began) {
-		h.carrier.Probe(d, func(r Result) { h.post(func() { report(r) }) })
+	if ep := h.endpoints.byID[endpoint]; ep != nil && !h.lease.expired(startedAt) {
+		h.transport.Probe(ep, func(r Result) { h.post(func() { report(r) }) })
 		return
 	}
-	h.pending = append(h.pending, func() { report(Result{Status: balance.Moot}) })
+	h.followUps = append(h.followUps, func() { report(Result{Status: balance.Moot}) })
 }
 
-// Close closes the idle connections to a destination.
-func (h host) Close(server balance.ServerID) {
-	if d := h.pool.byID[server]; d != nil {
-		h.carrier.CloseIdle(d)
+// Close closes the idle connections to an endpoint.
+func (h host) Close(endpoint balance.ServerID) {
+	if ep := h.endpoints.byID[endpoint]; ep != nil {
+		h.transport.CloseIdle(ep)
 	}
 }
 
-// Watch opens a watch of the endpoint list.
-func (h host) Watch() { h.directory.Watch(h.pool.index) }
+// Watch opens a watch of the endpoint list from the version that is known.
+func (h host) Watch() { h.discovery.Watch(h.endpoints.index) }
 
-// Tell does nothing: sidecars have no way to talk to each other, and the settings say so to the module.
+// Tell does nothing: sidecars cannot send messages to each other, and the settings tell package balance so.
 func (h host) Tell(int, []byte) {}
 
-// Timer asks for a timer.
+// Timer schedules a timer event; a negative delay counts as 0.
 func (h host) Timer(delay time.Duration, token uint64) {
-	h.asked++
-	heap.Push(&h.timers, timer{at: h.Now() + max(delay, 0), seq: h.asked, token: token})
+	h.timersRequested++
+	heap.Push(&h.timers, timer{at: h.Now() + max(delay, 0), seq: h.timersRequested, token: token})
 }
 
-// Log notes a line of the module's.
+// Log logs a line on behalf of the decision module.
 func (h host) Log(text string) { h.log.Info(text, "from", "module") }
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -1,6 +1,6 @@
-// Package routing takes operations to destinations by the decisions of package balance. One goroutine, the Loop, owns
-// the Balancer and all that belongs to it; it neither blocks nor polls. The package knows no socket and no protocol:
-// its interfaces are implemented by whoever carries the bytes.
+// Package routing sends client requests to endpoints as decided by package balance. One goroutine, the event loop of a
+// Loop, owns the Balancer and all its state; it neither blocks nor polls. The package is independent of sockets and
+// protocols: the packages that implement a transport or a discovery client implement its interfaces.
 package routing
 
 import (
@@ -12,165 +12,166 @@
 	"kitewood/internal/guard"
 )
 
-// Operation is a client's request on its way through the sidecar.
+// Request is a client's request that the sidecar is handling.
 type Request struct {
 	Class       int
-	Deadline    time.Duration // on the Loop's clock: when the client stops waiting
-	CostHint    float64       // seconds of a core, 0 for none
-	ClientRetry bool          // the client has tried before
-	Payload     any           // the request itself, for the Carrier alone
-	Done        func(Answer)  // takes the one final answer; it must not block
-	Key         string        // no two that are open share one; "" for none
-	ClientGone  func() bool   // looks whether the client has left; nil if that cannot be told
-	OnFirstSend func()        // told when the first attempt goes out; nil if nobody asks
+	Deadline    time.Duration // on the Loop's clock: when the client stops waiting for the answer
+	CostHint    float64       // expected cost in CPU seconds, 0 if unknown
+	ClientRetry bool          // the client has marked the request as a retry
+	Payload     any           // the request itself, used by the Transport only
+	Done        func(Answer)  // receives the one final answer; it must not block
+	Key         string        // identifies the request: no two open requests share one; "" for none
+	ClientGone  func() bool   // reports whether the client has disconnected; nil if that is unknown
+	OnFirstSend func()        // called when the first attempt is sent; may be nil
 	Origin      uint64        // see balance.Request
-	// Word writes what an attempt that goes out now carries on; ok is false if it may not, as the operation has cost enough.
-	// It is nil where nothing is carried on. Any goroutine may call it.
+	// Header returns the header text that an attempt sent now passes on; ok is false if the attempt may not be sent because
+	// the request has used up its budget. It is nil if there is nothing to pass on. Any goroutine may call it.
 	Header func() (text string, ok bool)
 
-	next     []*Request // wait for the attempts of this one, which has ended and has their key
-	id       balance.RequestID
-	came     time.Duration
-	ended    atomic.Bool   // the final answer was given, or nobody waits for it
-	overAt   atomic.Int64  // when that was, or the client was seen to have left; 0 for not yet
-	ranAt    time.Duration // when the first attempt that may have run was sent, 0 for none
-	attempts []*Attempt
-	out      int // attempts without an outcome
+	queuedBehind    []*Request // requests with the same key that wait until the attempts of this one, which has ended, are over
+	id              balance.RequestID
+	receivedAt      time.Duration
+	ended           atomic.Bool   // the final answer was sent, or the request was abandoned
+	endedAt         atomic.Int64  // when it ended, or its client was seen to have disconnected; 0 for not yet
+	mayHaveRunSince time.Duration // when the earliest attempt that may have run was sent, 0 for none
+	attempts        []*Attempt
+	inFlight        int // attempts without an outcome
 
-	lastStatus balance.Status // of the attempt that ended last
+	lastStatus balance.Status // of the attempt that ended most recently
 }
 
-// Verdict is the kind of a final answer.
+// Verdict classifies a final answer.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of final answers.
 const (
-	Served    Verdict = iota // Payload is a destination's answer, also one that declines
-	Rejected                 // refused: trying again is harmless
-	Failed                   // it may have run
-	Duplicate                // another open operation has its key: it reached no destination
+	Served    Verdict = iota // Payload is an endpoint's answer, which may decline the request
+	Rejected                 // not processed: a retry is safe
+	Failed                   // the request may have run
+	Duplicate                // another open request has the same key: this one reached no endpoint
 )
 
-// Answer is the final answer to an operation.
+// Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // Busy: when to come back, 0 for no advice
+	RetryAfter time.Duration // for Rejected: when the client should retry, 0 for no advice
 	Payload    any
 }
 
-// Destination is a server that the endpoint list has named.
+// Endpoint is a server that the endpoint list contains or contained.
 type Endpoint struct {
-	ID       balance.ServerID
-	Name     string
-	Address  string
-	Zone     string
-	closed   atomic.Bool   // discovery says that it drains or is gone
-	closedAt time.Duration // when that was taken, 0 while it is open; of the Loop
-	since    time.Duration // Unix time of its last start; 0 for long ago
-	member   Member        // as last told; of the Loop
+	ID        balance.ServerID
+	Name      string
+	Address   string
+	Zone      string
+	closed    atomic.Bool   // discovery has reported it as draining or gone
+	closedAt  time.Duration // when that report was handled, 0 while it accepts requests; owned by the Loop
+	startedAt time.Duration // Unix time of its last start; 0 for long ago
+	member    Member        // its latest list entry; owned by the Loop
 }
 
-// Closed tells whether the destination takes nothing new. Any goroutine may ask.
-func (d *Endpoint) Closed() bool { return d.closed.Load() }
+// Closed reports whether the endpoint accepts no new requests. Any goroutine may call it.
+func (ep *Endpoint) Closed() bool { return ep.closed.Load() }
 
-// Attempt is one send of an operation.
+// Attempt is one try to have a request served by an endpoint.
 type Attempt struct {
-	Request        *Request
-	Endpoint       *Endpoint
-	Deadline       time.Duration   // on the Loop's clock
-	RetryWindowEnd time.Duration   // it must have begun by then, 0 for no such time: its window for repeats ends
-	Context        context.Context // done when the attempt is called off
-	clock          Clock
-	hold           *sendHold
-	number         int
-	sent           time.Duration
-	cancel         context.CancelFunc
-	over           bool
-	opened         atomic.Bool
-
-	guard    *guard.Guard
-	status   balance.Status // of its end
-	endedAt  time.Duration  // 0 while it is out
-	began    atomic.Int64   // before its first byte, 0 for not begun
-	told     atomic.Int64   // the time that its endpoint was told
-	heldThen atomic.Bool    // the list's lease had run out when it began
-	lists    uint64         // endpoint lists that had been taken when it was decided
+	Request          *Request
+	Endpoint         *Endpoint
+	Deadline         time.Duration   // on the Loop's clock
+	RetryWindowEnd   time.Duration   // latest time to begin, as the window in which endpoints drop duplicates ends then; 0 for none
+	Context          context.Context // done when the attempt is cancelled
+	clock            Clock
+	lease            *lease
+	number           int
+	sentAt           time.Duration
+	cancel           context.CancelFunc
+	ended            bool
+	connectionOpened atomic.Bool
+
+	guard         *guard.Guard
+	status        balance.Status // its outcome
+	endedAt       time.Duration  // 0 while it is in flight
+	begunAt       atomic.Int64   // just before its first byte, 0 for not begun
+	timeoutSent   atomic.Int64   // the remaining time that its endpoint was given
+	leaseExpired  atomic.Bool    // the endpoint list's lease had expired when it began
+	endpointLists uint64         // number of endpoint lists received when it was decided
 }
 
-// Opened notes that a connection was opened for the attempt. Any goroutine may call it.
-func (a *Attempt) ConnectionOpened() { a.opened.Store(true) }
+// ConnectionOpened records that a connection was opened for the attempt. Any goroutine may call it.
+func (a *Attempt) ConnectionOpened() { a.connectionOpened.Store(true) }
 
-// Stale guards the moment before the first byte: time may have passed since the decision, in which the destination
-// began to drain, the operation ended, the client left, or the time ran out in which a repeat would be dropped.
+// Stale reports whether the attempt may no longer be sent. It is called just before the first byte: since the decision the
+// endpoint may have begun to drain, the request may have ended, the client may have disconnected, or the window in which
+// endpoints drop duplicates may have ended.
 func (a *Attempt) Stale() bool {
-	s := a.facts()
+	s := a.sendFacts()
 	s.ClientGone = a.Request.ClientGone != nil && a.Request.ClientGone()
 	return a.guard.Denied(guard.MaySend(s))
 }
 
-// facts are what the guard looks at, but for a look at the client's connection.
-func (a *Attempt) facts() guard.SendFacts {
+// sendFacts returns the facts for the guard, except the state of the client's connection.
+func (a *Attempt) sendFacts() guard.SendFacts {
 	now := a.clock.Now()
-	return guard.SendFacts{Now: now, EndpointClosed: a.Endpoint.closed.Load(), LeaseExpired: a.hold.holds(now), Answered: a.Request.ended.Load(),
-		Cancelled: a.Context.Err() != nil, Deadline: a.Deadline, RetryWindowEnd: a.RetryWindowEnd}
+	return guard.SendFacts{Now: now, EndpointClosed: a.Endpoint.closed.Load(), LeaseExpired: a.lease.expired(now),
+		Answered: a.Request.ended.Load(), Cancelled: a.Context.Err() != nil, Deadline: a.Deadline, RetryWindowEnd: a.RetryWindowEnd}
 }
 
-// Begin notes that the first byte is about to be written, and returns the time that the endpoint is to be told.
-func (a *Attempt) Begin() (left time.Duration) {
+// Begin records that the first byte is about to be written, and returns the remaining time to pass on to the endpoint.
+func (a *Attempt) Begin() (timeLeft time.Duration) {
 	now := a.clock.Now()
-	left = a.Deadline - now
-	a.told.Store(int64(left))
-	a.heldThen.Store(a.hold.broken(now))
-	a.began.Store(int64(now))
-	return left
+	timeLeft = a.Deadline - now
+	a.timeoutSent.Store(int64(timeLeft))
+	a.leaseExpired.Store(a.lease.violated(now))
+	a.begunAt.Store(int64(now))
+	return timeLeft
 }
 
-// Left is the time that the attempt still has.
+// TimeLeft returns the time until the attempt's deadline.
 func (a *Attempt) TimeLeft() time.Duration { return a.Deadline - a.clock.Now() }
 
-// Result is how an attempt or a probe ended: with an answer or with an error.
+// Result is the result of an attempt or a probe: an answer or an error.
 type Result struct {
 	Status  balance.Status // of an answer
-	Payload any            // the answer, if it was served or declined
-	Load    []float32      // its load report, if there was one
+	Payload any            // the answer, if the request was served or declined
+	Load    []float32      // the endpoint's load report, if there was one
 	Err     *AttemptError  // instead of an answer
 }
 
-// Carrier takes attempts to destinations.
+// Transport sends attempts and probes to endpoints.
 type Transport interface {
-	// Carry starts an attempt and returns at once. done is called once, from any goroutine.
+	// Send starts an attempt and returns immediately. done is called once, from any goroutine.
 	Send(a *Attempt, done func(Result))
-	// Probe asks a destination for its health and load.
-	Probe(d *Endpoint, done func(Result))
-	// CloseIdle closes the idle connections to a destination.
-	CloseIdle(d *Endpoint)
+	// Probe requests the health and load of an endpoint.
+	Probe(ep *Endpoint, done func(Result))
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(ep *Endpoint)
 }
 
-// Lists takes what a source of endpoint lists tells, from any goroutine. A Loop is one.
+// EndpointListReceiver receives endpoint lists from a source, on any goroutine. A Loop implements it.
 type EndpointListReceiver interface {
-	// Pool takes an endpoint list, whole or what changed, with its version.
+	// UpdateEndpoints handles an endpoint list, complete or only its changes, with its version.
 	UpdateEndpoints(kind balance.ListKind, index int64, members []Member)
-	// Lost says that the source is not heard any more.
+	// SourceLost reports that the source no longer delivers lists.
 	SourceLost()
 }
 
-// Directory watches discovery.
+// Discovery watches the endpoint list of a discovery service.
 type Discovery interface {
-	// Follow opens a watch of what has changed since a version and returns at once. The watch reports to the Loop by
-	// Pool and ends with one Lost.
+	// Watch opens a watch of the changes since a version and returns immediately. The watch reports to the Loop with
+	// UpdateEndpoints and ends with one call of SourceLost.
 	Watch(since int64)
 }
 
-// Clock is Unix time, read once and advanced by the monotonic clock, so that steps of the system's clock do no harm.
+// Clock is Unix time, read once and advanced by the monotonic clock, so that steps of the system clock have no effect.
 type Clock struct{ base time.Time }
 
-// NewClock reads the system's clock.
+// NewClock returns a Clock that starts at the system time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time since the Unix epoch.
+// Now returns the time since the Unix epoch.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.base.UnixNano()) + time.Since(c.base)
 }
 
-// At turns a time of this clock into one for sockets.
+// At converts a time of this clock to a time.Time, as socket deadlines need it.
 func (c Clock) At(t time.Duration) time.Time { return c.base.Add(t - time.Duration(c.base.UnixNano())) }
--- a/internal/routing/loop.go
+++ b/internal/routing/loop.go
@@ -13,68 +13,70 @@
 	"kitewood/internal/guard"
 )
 
-// Loop owns the Balancer. All its methods but New, Run and those that say so run on its one goroutine.
+// Loop owns a Balancer. Its methods run on its one goroutine, except Run and those that say otherwise.
 type Loop struct {
 	Clock
 
-	set       balance.Settings
+	settings  balance.Settings
 	names     Names
-	carrier   Transport
-	directory Discovery
+	transport Transport
+	discovery Discovery
 	log       *slog.Logger
 	balancer  *balance.Balancer
 
-	events  chan func() // what others report
-	pending []func()    // what the Loop reports to itself: a Host may not call back
-	done    chan struct{}
-	owed    atomic.Int64 // operations without a final answer
-	began   atomic.Int64 // when the event began that runs, on the Loop's clock; 0 between events
-	before  atomic.Pointer[Loop]
-	changed func()       // told after each event; nil if nobody asks
-	looked  bool         // the event only looked
-	named   atomic.Int64 // began of the event that was last logged as stuck
+	events           chan func() // events from other goroutines
+	followUps        []func()    // events that the Loop raises itself, as a Host may not call back into the Balancer
+	done             chan struct{}
+	pendingRequests  atomic.Int64 // requests without a final answer
+	eventBegunAt     atomic.Int64 // start of the current event on the Loop's clock; 0 between events
+	previous         atomic.Pointer[Loop]
+	onChange         func()       // called after each event that may have changed something; may be nil
+	readOnly         bool         // the current event changed nothing
+	loggedStuckEvent atomic.Int64 // eventBegunAt of the event that was last logged as stuck
 
 	metrics Metrics
 	guard   *guard.Guard
 
-	lastID      balance.RequestID
-	ops         map[balance.RequestID]*Request
-	keys        map[string]*Request // those of ops that have a key
-	pool        pool
-	hold        sendHold
-	holds       atomic.Uint64 // words on the hold so far
-	lastHold    uint64        // the last one that was taken
-	confirmedAt time.Duration // the endpoint list was last renewed then; 0 for never
-	timers      timers
-	asked       uint64 // timers asked for so far
+	lastID           balance.RequestID
+	requests         map[balance.RequestID]*Request
+	requestsByKey    map[string]*Request // those of requests that have a key
+	endpoints        endpointTable
+	lease            lease
+	expiryUpdates    atomic.Uint64 // lease expiry updates issued so far
+	lastExpiryUpdate uint64        // number of the last one that was applied
+	confirmedAt      time.Duration // when the endpoint list's lease was last renewed; 0 for never
+	timers           timers
+	timersRequested  uint64 // timers requested so far
 }
 
-// Names are the words of discovery in the order of the settings' lists.
+// Names holds discovery's names of zones and kinds, in the order of the lists in the settings.
 type Names struct{ Zones, Kinds []string }
 
-// New returns a Loop that does not run yet, or an error if the module does not take its settings.
-func New(set balance.Settings, names Names, clock Clock, log *slog.Logger) (*Loop, error) {
-	l := &Loop{Clock: clock, guard: guard.New(log), set: set, names: names, log: log, events: make(chan func(), 256),
-		done: make(chan struct{}), ops: map[balance.RequestID]*Request{}, keys: map[string]*Request{}, pool: newPool()}
+// New returns a Loop that is not running yet, or an error if package balance rejects the settings.
+func New(settings balance.Settings, names Names, clock Clock, log *slog.Logger) (*Loop, error) {
+	l := &Loop{Clock: clock, guard: guard.New(log), settings: settings, names: names, log: log, events: make(chan func(), 256),
+		done: make(chan struct{}), requests: map[balance.RequestID]*Request{}, requestsByKey: map[string]*Request{},
+		endpoints: newEndpointTable()}
 	var err error
-	l.balancer, err = balance.New(set, host{l}, l.Now())
+	l.balancer, err = balance.New(settings, host{l}, l.Now())
 	return l, err
 }
 
-// UseGuard has the Loop ask and tell the guard of its process. It is called before Run.
+// UseGuard sets the guard of the process, which the Loop consults and reports to. It must be called before Run.
 func (l *Loop) UseGuard(g *guard.Guard) { l.guard = g }
 
-// Notify has a function called after each event that may have changed something, on the Loop's goroutine; it must not block. It is set before Run.
-func (l *Loop) OnChange(changed func()) { l.changed = changed }
+// OnChange sets a function that is called on the Loop's goroutine after each event that may have changed something. The
+// function must not block, and must be set before Run.
+func (l *Loop) OnChange(onChange func()) { l.onChange = onChange }
 
-// Run serves events until the context ends.
-func (l *Loop) Run(ctx context.Context, carrier Transport, directory Discovery) {
+// Run handles events until the context is done.
+func (l *Loop) Run(ctx context.Context, transport Transport, discovery Discovery) {
 	defer close(l.done)
-	l.carrier, l.directory = carrier, directory
+	l.transport, l.discovery = transport, discovery
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
-		// What is due comes before what is new, as in the module's own order of time.
+		// Due timers run before new events, as package balance expects events in order of time.
 		for l.timers.Len() > 0 && l.timers[0].at <= l.Now() {
 			t := heap.Pop(&l.timers).(timer)
 			l.handle(func() { l.balancer.Timer(l.Now(), t.token) })
@@ -92,33 +94,33 @@
 	}
 }
 
-// handle runs one event and what it makes the Loop tell itself.
+// handle runs one event and the events that it raises.
 func (l *Loop) handle(event func()) {
-	l.began.Store(int64(l.Now()))
-	defer l.began.Store(0)
-	l.guarded(event)
-	for len(l.pending) > 0 {
-		next := l.pending[0]
-		l.pending = l.pending[1:]
-		l.guarded(next)
+	l.eventBegunAt.Store(int64(l.Now()))
+	defer l.eventBegunAt.Store(0)
+	l.runRecovered(event)
+	for len(l.followUps) > 0 {
+		next := l.followUps[0]
+		l.followUps = l.followUps[1:]
+		l.runRecovered(next)
 	}
-	if l.changed != nil && !l.looked {
-		l.changed()
+	if l.onChange != nil && !l.readOnly {
+		l.onChange()
 	}
-	l.looked = false
+	l.readOnly = false
 }
 
-// guarded keeps a panic in one event from taking the sidecar, and every other operation, down with it.
-func (l *Loop) guarded(event func()) {
+// runRecovered runs an event and recovers from a panic, which would otherwise end the sidecar and every other request.
+func (l *Loop) runRecovered(event func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("panic in an event", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			l.log.Error("panic in event handler", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		}
 	}()
 	event()
 }
 
-// post hands the Loop an event, from any goroutine.
+// post enqueues an event. Any goroutine may call it; it blocks while the queue is full.
 func (l *Loop) post(event func()) {
 	select {
 	case l.events <- event:
@@ -126,35 +128,35 @@
 	}
 }
 
-// postUntil hands the Loop an event as post does, and tells whether the Loop took it by a time of its clock.
-func (l *Loop) postUntil(event func(), until time.Duration) bool {
+// postUntil enqueues an event as post does, and reports whether that succeeded by a deadline on the Loop's clock.
+func (l *Loop) postUntil(event func(), deadline time.Duration) bool {
 	select {
 	case l.events <- event:
 		return true
 	default:
 	}
-	left := time.NewTimer(until - l.Now())
-	defer left.Stop()
+	timeout := time.NewTimer(deadline - l.Now())
+	defer timeout.Stop()
 	select {
 	case l.events <- event:
 		return true
-	case <-left.C:
+	case <-timeout.C:
 	case <-l.done:
 	}
 	return false
 }
 
-// Owed tells how many operations have no final answer yet. Any goroutine may ask.
-func (l *Loop) PendingRequests() int { return int(l.owed.Load()) }
+// PendingRequests returns the number of requests without a final answer. Any goroutine may call it.
+func (l *Loop) PendingRequests() int { return int(l.pendingRequests.Load()) }
 
-// timer is a Timer that the module asked for.
+// timer is a timer that the Balancer requested.
 type timer struct {
 	at    time.Duration
 	seq   uint64
 	token uint64
 }
 
-// timers is a heap by time, and by order of asking where that is equal.
+// timers is a heap ordered by time, then by order of request.
 type timers []timer
 
 func (q timers) Len() int { return len(q) }
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -6,39 +6,39 @@
 	"kitewood/balance"
 )
 
-// Metrics count what a Loop has done since its start. The Loop alone writes them; others get a copy by View.
+// Metrics counts what a Loop has done since its start. Only the Loop writes them; View returns a copy.
 type Metrics struct {
 	Requests      uint64
-	Abandoned     uint64                       // their clients left before the answer
+	Abandoned     uint64                       // requests whose client disconnected before the answer
 	Answers       [Duplicate + 1]uint64        // by verdict
 	Rejected      [balance.ReasonCount]uint64  // by reason
 	Failed        [balance.ReasonCount]uint64  // by reason
-	Attempts      uint64                       // all, first ones too
-	Retries       [balance.Declined + 1]uint64 // further attempts with none out, by how the one before ended
-	Hedges        uint64                       // further attempts beside one that is out
+	Attempts      uint64                       // all attempts, including first ones
+	Retries       [balance.Declined + 1]uint64 // further attempts with none in flight, by the status of the previous one
+	Hedges        uint64                       // further attempts while another is in flight
 	Outcomes      [balance.Declined + 1]uint64 // of attempts, by status
-	EndpointLists uint64                       // endpoint lists taken
-	SourcesLost   uint64                       // times that no source of lists was left
+	EndpointLists uint64                       // endpoint lists received
+	SourcesLost   uint64                       // how often the watch of the endpoint list was lost
 }
 
-// attempt counts an attempt of an operation that is about to begin.
-func (m *Metrics) attempt(op *Request) {
+// countAttempt counts an attempt of a request. It is called before the attempt is added to the request.
+func (m *Metrics) countAttempt(req *Request) {
 	m.Attempts++
 	switch {
-	case len(op.attempts) == 0:
-	case op.out > 0:
+	case len(req.attempts) == 0:
+	case req.inFlight > 0:
 		m.Hedges++
 	default:
-		m.Retries[op.lastStatus]++
+		m.Retries[req.lastStatus]++
 	}
 }
 
-// Counts are the metrics by name, those that are 0 left out.
+// Counts returns the metrics that are not 0, by name.
 func (m *Metrics) Counts() map[string]uint64 {
-	out := map[string]uint64{}
+	counts := map[string]uint64{}
 	add := func(name string, n uint64) {
 		if n > 0 {
-			out[name] = n
+			counts[name] = n
 		}
 	}
 	add("requests", m.Requests)
@@ -50,22 +50,22 @@
 	for v, n := range m.Answers {
 		add("answers: "+Verdict(v).String(), n)
 	}
-	for why := range m.Rejected {
-		add("refused: "+balance.Reason(why).String(), m.Rejected[why])
-		add("failed: "+balance.Reason(why).String(), m.Failed[why])
+	for reason := range m.Rejected {
+		add("refused: "+balance.Reason(reason).String(), m.Rejected[reason])
+		add("failed: "+balance.Reason(reason).String(), m.Failed[reason])
 	}
 	for s := range m.Outcomes {
 		add("outcomes: "+balance.Status(s).String(), m.Outcomes[s])
 		add("retries after: "+balance.Status(s).String(), m.Retries[s])
 	}
-	return out
+	return counts
 }
 
-// LogValue shows the metrics as one group of a log line.
+// LogValue implements slog.LogValuer: the metrics are one group of a log line.
 func (m *Metrics) LogValue() slog.Value {
-	var all []slog.Attr
+	var attrs []slog.Attr
 	for name, n := range m.Counts() {
-		all = append(all, slog.Uint64(name, n))
+		attrs = append(attrs, slog.Uint64(name, n))
 	}
-	return slog.GroupValue(all...)
+	return slog.GroupValue(attrs...)
 }
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -1,17 +1,17 @@
 package routing
 
-// Observation is what others saw of a destination: see balance.Balancer.Observed.
+// Observation is what others measured at an endpoint over some time: see balance.Balancer.Observed.
 type Observation struct {
 	Address      string
 	FailureShare float64
 	Load         []float32
 }
 
-// Probe asks the destinations at some addresses for their health and load, from any goroutine. Those that no destination
-// has are passed over.
+// Probe requests the health and load of the endpoints at some addresses. Addresses of no known endpoint are skipped. Any
+// goroutine may call it.
 func (l *Loop) Probe(addresses []string) {
 	l.post(func() {
-		ids := l.pool.byAddress()
+		ids := l.endpoints.idsByAddress()
 		for _, a := range addresses {
 			if id, known := ids[a]; known {
 				host{l}.Probe(id)
@@ -20,12 +20,12 @@
 	})
 }
 
-// Observe hands the module what others saw of destinations, by address, from any goroutine. Those that no destination has
-// are passed over.
-func (l *Loop) Observe(all []Observation) {
+// Observe passes observations of endpoints, by address, to the Balancer. Addresses of no known endpoint are skipped. Any
+// goroutine may call it.
+func (l *Loop) Observe(observations []Observation) {
 	l.post(func() {
-		ids := l.pool.byAddress()
-		for _, o := range all {
+		ids := l.endpoints.idsByAddress()
+		for _, o := range observations {
 			if id, known := ids[o.Address]; known {
 				l.balancer.Observed(l.Now(), id, o.FailureShare, o.Load)
 			}
--- a/internal/routing/successor.go
+++ b/internal/routing/successor.go
@@ -6,77 +6,77 @@
 	"kitewood/balance"
 )
 
-// Succeed has the Loop take the place of another, which takes nothing new and still ends what is open in it. A key that is
-// open there is open here, too: a client that sends its operation again must not have it out twice. It is called before
-// the first operation comes.
-func (l *Loop) TakeOver(before *Loop) { l.before.Store(before) }
+// TakeOver makes the Loop the successor of another one, which accepts no new requests but completes those that are open in
+// it. A key that is open in the predecessor counts as open here, too, so that a client's retry is not sent while the original
+// is in flight. It must be called before the first request is submitted.
+func (l *Loop) TakeOver(prev *Loop) { l.previous.Store(prev) }
 
-// Inherit hands a Loop that does not run yet the endpoint list of the one whose place it will take: what that one knows must
-// not be learnt anew while requests wait. It tells whether the other answered within a time.
-func (l *Loop) InheritEndpoints(before *Loop, within time.Duration) bool {
+// InheritEndpoints gives a Loop that is not running yet the endpoint list of its future predecessor, so that requests need not
+// wait for discovery. It reports whether the predecessor answered within the timeout.
+func (l *Loop) InheritEndpoints(prev *Loop, timeout time.Duration) bool {
 	type list struct {
 		index   int64
 		members []Member
 	}
-	answer := make(chan list, 1)
-	until := before.Now() + within
-	if !before.postUntil(func() { before.looked = true; answer <- list{before.pool.index, before.pool.members()} }, until) {
+	reply := make(chan list, 1)
+	deadline := prev.Now() + timeout
+	if !prev.postUntil(func() { prev.readOnly = true; reply <- list{prev.endpoints.index, prev.endpoints.members()} }, deadline) {
 		return false
 	}
-	left := time.NewTimer(until - before.Now())
-	defer left.Stop()
+	expiryTimer := time.NewTimer(deadline - prev.Now())
+	defer expiryTimer.Stop()
 	select {
-	case known := <-answer:
+	case known := <-reply:
 		l.UpdateEndpoints(balance.Cached, known.index, known.members)
 		return true
-	case <-left.C:
-	case <-before.done:
+	case <-expiryTimer.C:
+	case <-prev.done:
 	}
 	return false
 }
 
-// members are the destinations as they were last told.
-func (p *pool) members() []Member {
-	out := make([]Member, 0, len(p.byName))
-	for _, d := range p.byName {
-		out = append(out, d.member)
+// members returns the latest list entry of each endpoint.
+func (t *endpointTable) members() []Member {
+	members := make([]Member, 0, len(t.byName))
+	for _, ep := range t.byName {
+		members = append(members, ep.member)
 	}
-	return out
+	return members
 }
 
-// predecessor is the Loop whose place this one has taken, while that one runs.
+// predecessor returns the Loop that this one has taken over from, or nil once that one has stopped.
 func (l *Loop) predecessor() *Loop {
-	before := l.before.Load()
-	if before == nil {
+	prev := l.previous.Load()
+	if prev == nil {
 		return nil
 	}
 	select {
-	case <-before.done:
-		l.before.Store(nil)
+	case <-prev.done:
+		l.previous.Store(nil)
 		return nil
 	default:
-		return before
+		return prev
 	}
 }
 
-// admitAfter runs on a predecessor's goroutine, and has this Loop take the operation unless its key is open there, or at
-// that one's own predecessor.
-func (l *Loop) admitAfter(before *Loop, op *Request) {
-	if before.keys[op.Key] != nil {
-		l.hand(func() { l.answer(op, Answer{Verdict: Duplicate}) })
+// admitUnlessOpenIn runs on a predecessor's goroutine. It admits a request to this Loop unless its key is open in the
+// predecessor, or in an earlier predecessor.
+func (l *Loop) admitUnlessOpenIn(prev *Loop, req *Request) {
+	if prev.requestsByKey[req.Key] != nil {
+		l.postAsync(func() { l.answer(req, Answer{Verdict: Duplicate}) })
 		return
 	}
-	older := before.predecessor()
+	older := prev.predecessor()
 	switch {
 	case older == nil:
-		l.hand(func() { l.admit(op) })
-	case older.Stuck() || !older.postUntil(func() { l.admitAfter(older, op) }, 0):
-		l.hand(func() { l.answer(op, Answer{Verdict: Rejected}) }) // whether the key is open there cannot be known
+		l.postAsync(func() { l.admit(req) })
+	case older.Stuck() || !older.postUntil(func() { l.admitUnlessOpenIn(older, req) }, 0):
+		l.postAsync(func() { l.answer(req, Answer{Verdict: Rejected}) }) // whether the key is open there is unknown
 	}
 }
 
-// hand posts an event for somebody who must not wait for the Loop.
-func (l *Loop) hand(event func()) {
+// postAsync enqueues an event without waiting for the Loop.
+func (l *Loop) postAsync(event func()) {
 	if !l.postUntil(event, 0) {
 		go l.post(event)
 	}
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -8,56 +8,58 @@
 	"kitewood/balance"
 )
 
-// The lines at debug level that let a day be counted across a fleet: one for each attempt, one for each answer, one for
-// each endpoint list. At the default level none is written, however bad what comes.
+// At debug level the Loop logs a line for each attempt and each answer, from which the requests of a whole fleet can be
+// counted. At the default level no such line is written, so that errors cannot flood the log.
 
+// String returns the verdict's name in metrics and logs.
 func (v Verdict) String() string { return [...]string{"served", "busy", "failed", "doubled"}[v] }
 
-func (l *Loop) traces() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
+// traceEnabled reports whether debug lines are logged.
+func (l *Loop) traceEnabled() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// traceAttempt notes how an attempt ended: at which destination, at which age of it, and what it reported.
-func (l *Loop) traceAttempt(a *Attempt, server balance.ServerID, status balance.Status, r Result, now time.Duration) {
-	if !l.traces() {
+// traceAttempt logs how an attempt ended: the endpoint, its age and its load report.
+func (l *Loop) traceAttempt(a *Attempt, endpoint balance.ServerID, status balance.Status, r Result, now time.Duration) {
+	if !l.traceEnabled() {
 		return
 	}
 	name, age := "", time.Duration(0)
 	if a.Endpoint != nil {
 		name = a.Endpoint.Name
-		if a.Endpoint.since > 0 {
-			age = now - a.Endpoint.since
+		if a.Endpoint.startedAt > 0 {
+			age = now - a.Endpoint.startedAt
 		}
 	}
 	l.log.Debug("attempt", "operation", a.Request.id, "class", a.Request.Class, "hint", a.Request.CostHint, "attempt", a.number,
-		"id", a.Request.Key, "destination", name, "server", server, "age", age, "status", status.String(), "took", now-a.sent,
-		"opened", a.opened.Load(), "load", r.Load, "error", r.Err)
+		"id", a.Request.Key, "destination", name, "server", endpoint, "age", age, "status", status.String(), "took", now-a.sentAt,
+		"opened", a.connectionOpened.Load(), "load", r.Load, "error", r.Err)
 }
 
-// traceAnswer notes an operation's final answer, and why it was refused or failed.
-func (l *Loop) traceAnswer(op *Request, v Verdict, why string) {
-	if l.traces() {
-		l.log.Debug("answer", "operation", op.id, "id", op.Key, "class", op.Class, "hint", op.CostHint, "repeat", op.ClientRetry, "verdict",
-			v.String(), "reason", why, "attempts", len(op.attempts), "took", l.Now()-op.came, "left", op.Deadline-l.Now())
+// traceAnswer logs a request's final answer, and the reason if it was rejected or failed.
+func (l *Loop) traceAnswer(req *Request, v Verdict, reason string) {
+	if l.traceEnabled() {
+		l.log.Debug("answer", "operation", req.id, "id", req.Key, "class", req.Class, "hint", req.CostHint, "repeat", req.ClientRetry, "verdict",
+			v.String(), "reason", reason, "attempts", len(req.attempts), "took", l.Now()-req.receivedAt, "left", req.Deadline-l.Now())
 	}
 }
 
-// traceAbandoned notes an operation whose client has left.
-func (l *Loop) traceAbandoned(op *Request) {
-	if l.traces() {
-		l.log.Debug("abandoned", "operation", op.id, "id", op.Key, "attempts", len(op.attempts), "out", op.out, "took", l.Now()-op.came)
+// traceAbandoned logs a request whose client has disconnected.
+func (l *Loop) traceAbandoned(req *Request) {
+	if l.traceEnabled() {
+		l.log.Debug("abandoned", "operation", req.id, "id", req.Key, "attempts", len(req.attempts), "out", req.inFlight, "took", l.Now()-req.receivedAt)
 	}
 }
 
-// namesLogged is how many endpoints a line names at the most.
-const namesLogged = 8
+// maxNamesLogged is the largest number of endpoint names in one log line.
+const maxNamesLogged = 8
 
-// logPool notes an endpoint list as it was taken, and which endpoints take no new requests from it on: the start of every
-// question on a request that went to the wrong one.
-func (l *Loop) logPool(kind balance.ListKind, index int64, members []Member, closed []string) {
+// logEndpointList logs an endpoint list when it is applied, and the endpoints that accept no new requests from then on, so that
+// a request that was sent to a wrong endpoint can be explained.
+func (l *Loop) logEndpointList(kind balance.ListKind, index int64, members []Member, closed []string) {
 	count := map[balance.State]int{}
 	for _, m := range members {
 		count[m.State]++
 	}
-	names := closed[:min(len(closed), namesLogged)]
+	names := closed[:min(len(closed), maxNamesLogged)]
 	l.log.Info("membership update", "index", index, "kind", kind.String(), "ready", count[balance.Ready], "draining", count[balance.Draining],
 		"gone", count[balance.Gone], "closed", len(closed), "names", names)
 }
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -8,46 +8,46 @@
 	"kitewood/balance"
 )
 
-// View is what a Loop knows at a moment.
+// View is a snapshot of a Loop's state.
 type View struct {
-	Index                     int64   // of the last endpoint list
-	Pending, Queued           int     // operations
-	ShedLevel, DownstreamShed float64 // of refusals: see balance.Balancer.Level
+	Index                     int64   // version of the latest endpoint list
+	Pending, Queued           int     // requests without a final answer, and those of them that wait for an endpoint
+	ShedLevel, DownstreamShed float64 // load shedding: see balance.Balancer.Level
 	Endpoints                 []EndpointView
 	Metrics                   Metrics
 }
 
-// DestinationView is a destination with what the module knows of it.
+// EndpointView is an endpoint with what the Balancer knows about it.
 type EndpointView struct {
 	Name, Address, Zone string
 	balance.ServerView
 }
 
-// View asks the Loop for what it knows, and tells whether it answered within a time.
-func (l *Loop) View(within time.Duration) (View, bool) {
+// View returns a snapshot of the Loop's state, and whether the Loop answered within the timeout.
+func (l *Loop) View(timeout time.Duration) (View, bool) {
 	answer := make(chan View, 1)
-	until := l.Now() + within
-	if !l.postUntil(func() { l.looked = true; answer <- l.view() }, until) {
+	deadline := l.Now() + timeout
+	if !l.postUntil(func() { l.readOnly = true; answer <- l.view() }, deadline) {
 		return View{}, false
 	}
-	left := time.NewTimer(until - l.Now())
-	defer left.Stop()
+	expiryTimer := time.NewTimer(deadline - l.Now())
+	defer expiryTimer.Stop()
 	select {
 	case v := <-answer:
 		return v, true
-	case <-left.C:
+	case <-expiryTimer.C:
 	case <-l.done:
 	}
 	return View{}, false
 }
 
 func (l *Loop) view() View {
-	servers, open, parked := l.balancer.View(l.Now())
-	v := View{Index: l.pool.index, Pending: open, Queued: parked, Metrics: l.metrics}
+	endpoints, open, queued := l.balancer.View(l.Now())
+	v := View{Index: l.endpoints.index, Pending: open, Queued: queued, Metrics: l.metrics}
 	v.ShedLevel, v.DownstreamShed = l.balancer.Level(l.Now())
-	for _, s := range servers {
-		if d := l.pool.byID[s.ID]; d != nil {
-			v.Endpoints = append(v.Endpoints, EndpointView{d.Name, d.Address, d.Zone, s})
+	for _, known := range endpoints {
+		if ep := l.endpoints.byID[known.ID]; ep != nil {
+			v.Endpoints = append(v.Endpoints, EndpointView{ep.Name, ep.Address, ep.Zone, known})
 		}
 	}
 	slices.SortFunc(v.Endpoints, func(x, y EndpointView) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/routing/watchdog.go
+++ b/internal/routing/watchdog.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// stuckAfter is how long one event may run. They take microseconds; one of a second waits for something.
+// stuckAfter is how long one event may run. Events take microseconds; one that runs for a second is blocked.
 const stuckAfter = time.Second
 
-// Stuck tells whether the Loop has been at one event for a second. Any goroutine may ask: whoever brings an operation
-// does, so that it is refused at once instead of waiting behind that event. The first to see it logs where the Loop stands.
+// Stuck reports whether the Loop has been running one event for at least stuckAfter. Any goroutine may call it. Submit does,
+// so that a request is rejected immediately instead of waiting behind that event. The first caller that finds an event stuck
+// logs its stack.
 func (l *Loop) Stuck() bool {
-	began := l.began.Load()
-	if began == 0 || l.Now()-time.Duration(began) < stuckAfter {
+	begunAt := l.eventBegunAt.Load()
+	if begunAt == 0 || l.Now()-time.Duration(begunAt) < stuckAfter {
 		return false
 	}
-	if old := l.named.Load(); old != began && l.named.CompareAndSwap(old, began) {
-		l.log.Error("the loop is stuck in an event", "for", (l.Now() - time.Duration(began)).Round(time.Millisecond), "stack", loops())
+	if logged := l.loggedStuckEvent.Load(); logged != begunAt && l.loggedStuckEvent.CompareAndSwap(logged, begunAt) {
+		l.log.Error("event loop is stuck in one event", "for", (l.Now() - time.Duration(begunAt)).Round(time.Millisecond), "stack", loopStacks())
 	}
 	return true
 }
 
-// loops are the stacks of the goroutines that are at an event of a Loop.
-func loops() string {
-	text := make([]byte, 1<<20)
-	text = text[:runtime.Stack(text, true)]
-	var out []byte
-	for stack := range bytes.SplitSeq(text, []byte("\n\n")) {
+// loopStacks returns the stacks of the goroutines that are running an event of a Loop.
+func loopStacks() string {
+	stacks := make([]byte, 1<<20)
+	stacks = stacks[:runtime.Stack(stacks, true)]
+	var found []byte
+	for stack := range bytes.SplitSeq(stacks, []byte("\n\n")) {
 		if bytes.Contains(stack, []byte(".(*Loop).handle(")) {
-			out = append(append(out, stack...), '\n')
+			found = append(append(found, stack...), '\n')
 		}
 	}
-	return string(out)
+	return string(found)
 }
