--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,12 +1,13 @@
-// Package guard decides whether something that cannot be taken back may be done, and counts what was done against the rules.
+// Package guard decides whether an irreversible action is allowed, and counts actions that violated an invariant.
 //
-// There are four such things: a request is sent to an endpoint, it is sent again, a client's connection is closed, and a
-// process takes its first request. Each has one function here that looks at the facts and denies it with the invariant that it
-// would break. Whoever does the thing asks right before; there is no other place that decides.
+// There are four such actions: sending a request to an endpoint, retrying or hedging it, closing a client's connection, and
+// reporting that the process is ready for requests. Each has one function here, which examines the facts and denies the action
+// with the invariant that it would violate. The code that performs an action calls that function immediately before; nothing
+// else decides.
 //
-// Decisions can be bypassed by a fault, and facts change between a decision and the deed. So what was done is noted with its
-// time, and a check that goes by those notes alone counts violations. A violation is a defect of the program or a sign that
-// the process was held up; it is logged and shown by the admin socket.
+// A fault can bypass a decision, and the facts can change between the decision and the action. Actions are therefore recorded
+// with their times, and a check that relies only on those records counts violations. A violation is a defect of the program or
+// a sign that the process was delayed; it is logged and shown by the admin socket.
 package guard
 
 import (
@@ -16,42 +17,43 @@
 	"time"
 )
 
-// Invariant is something that holds at every moment.
+// Invariant is a condition that must hold at all times.
 type Invariant uint8
 
-// The invariants.
+// The invariants that are checked.
 const (
-	Drain       Invariant = iota // nothing begins at an endpoint that drains or is gone, once the grace after the news is over
-	StaleList                    // nothing begins by an endpoint list whose lease has run out
-	Retry                        // nothing that may have run begins again unless its class allows it
-	Hedge                        // no two attempts of a request are out at once unless the settings allow it
-	ClientGone                   // nothing begins for a client that has left or has its answer
-	TimeLeft                     // an endpoint is told at most the time that the client has left
-	FinalAnswer                  // a request that was read has a final answer before its connection is closed
-	Start                        // nothing is taken before there is a list to send by, or once the process is about to end
-	invariants
+	Drain       Invariant = iota // no attempt begins at a draining or gone endpoint after the grace period that follows the notification
+	StaleList                    // no attempt begins while the lease of the endpoint list has expired
+	Retry                        // no request that may have run is attempted again unless its class allows it
+	Hedge                        // no two attempts of a request are in flight at once unless the settings allow it
+	ClientGone                   // no attempt begins for a client that has disconnected or has its answer
+	TimeLeft                     // an endpoint is given no more time than the client has left until its deadline
+	FinalAnswer                  // a request that was read gets a final answer before its connection is closed
+	Start                        // no request is accepted before there is an endpoint list, or once the process is about to stop
+	invariantCount
 )
 
+// String returns the invariant's name in metrics and logs.
 func (i Invariant) String() string {
 	return [...]string{"drain", "stale list", "repeat", "copies", "client gone", "time left", "answer", "start"}[i]
 }
 
-// Invariants are all of them.
+// Invariants returns all invariants.
 func Invariants() []Invariant {
-	out := make([]Invariant, invariants)
+	out := make([]Invariant, invariantCount)
 	for i := range out {
 		out[i] = Invariant(i)
 	}
 	return out
 }
 
-// What the platform's protocol allows between a fact and a deed, from the time at which the process knew the fact.
+// Tolerances of the platform's protocol between a fact and an action, from the time at which the process knew the fact.
 const (
-	goneGrace = 100 * time.Millisecond // an attempt may begin so long after its client has left
-	timeSlack = 150 * time.Millisecond // an endpoint may be told so much more than the client has left
+	clientGoneGrace = 100 * time.Millisecond // an attempt may begin this long after its client has disconnected
+	timeLeftSlack   = 150 * time.Millisecond // an endpoint may be given this much more time than the client has left
 )
 
-// Denial says which invariant something would break. It is an error.
+// Denial is an error that names the invariant that an action would violate.
 type Denial struct {
 	Invariant Invariant
 	Reason    string
@@ -59,136 +61,136 @@
 
 func (d *Denial) Error() string { return fmt.Sprintf("%s: %s", d.Invariant, d.Reason) }
 
-// Sending are the facts about an attempt before its first byte. Times are on one clock; 0 stands for never.
+// SendFacts are the facts about an attempt before its first byte. Times are on one clock; 0 stands for never.
 type SendFacts struct {
 	Now            time.Duration
-	EndpointClosed bool // discovery says that it drains or is gone
-	LeaseExpired   bool // the lease of the endpoint list has run out
-	Answered       bool // the client has its answer, or nobody waits for one
+	EndpointClosed bool // discovery has reported it as draining or gone
+	LeaseExpired   bool // the lease of the endpoint list has expired
+	Answered       bool // the client has its answer, or the request was abandoned
 	ClientGone     bool
 	Cancelled      bool
 	Deadline       time.Duration // of the attempt
-	RetryWindowEnd time.Duration // the end of the time in which a repeat is dropped; 0 for none
+	RetryWindowEnd time.Duration // end of the time in which endpoints drop duplicates; 0 for none
 }
 
-// MaySend tells whether an attempt may begin.
-func MaySend(s SendFacts) *Denial {
+// MaySend returns nil if an attempt may begin, and a Denial otherwise.
+func MaySend(f SendFacts) *Denial {
 	switch {
-	case s.EndpointClosed:
-		return &Denial{Drain, "the endpoint takes nothing new"}
-	case s.LeaseExpired:
-		return &Denial{StaleList, "the endpoint list is too old"}
-	case s.Answered, s.Cancelled:
-		return &Denial{ClientGone, "the request is over"}
-	case s.ClientGone:
-		return &Denial{ClientGone, "the client has left"}
-	case s.Now >= s.Deadline:
-		return &Denial{TimeLeft, "no time is left"}
-	case s.RetryWindowEnd > 0 && s.Now >= s.RetryWindowEnd:
-		return &Denial{Retry, "a repeat would not be dropped any more"}
+	case f.EndpointClosed:
+		return &Denial{Drain, "endpoint is draining or gone"}
+	case f.LeaseExpired:
+		return &Denial{StaleList, "endpoint list lease has expired"}
+	case f.Answered, f.Cancelled:
+		return &Denial{ClientGone, "request was answered or cancelled"}
+	case f.ClientGone:
+		return &Denial{ClientGone, "client has disconnected"}
+	case f.Now >= f.Deadline:
+		return &Denial{TimeLeft, "deadline has passed"}
+	case f.RetryWindowEnd > 0 && f.Now >= f.RetryWindowEnd:
+		return &Denial{Retry, "retry window has ended"}
 	}
 	return nil
 }
 
-// Repeating are the facts about a request that is to be sent once more.
+// RetryFacts are the facts about a request that is to be attempted again.
 type RetryFacts struct {
-	Attempts       int  // before this one
-	InFlight       int  // of them, those without an outcome
-	MayHaveRun     bool // one of those that have ended
-	Unsafe         bool // its class must never run twice
-	HedgingAllowed bool // the settings allow two attempts at once
+	Attempts       int  // earlier attempts
+	InFlight       int  // of those, the ones without an outcome
+	MayHaveRun     bool // at least one of those that have ended may have run
+	Unsafe         bool // requests of its class must never run twice
+	HedgingAllowed bool // the settings allow two attempts in flight at once
 }
 
-// MayRepeat tells whether a request may be sent once more.
-func MayRetry(r RetryFacts) *Denial {
+// MayRetry returns nil if a request may be attempted again, and a Denial otherwise.
+func MayRetry(f RetryFacts) *Denial {
 	switch {
-	case r.Attempts == 0:
+	case f.Attempts == 0:
 		return nil
-	case r.InFlight > 0 && !r.HedgingAllowed:
-		return &Denial{Hedge, "an attempt is out"}
-	case r.Unsafe && (r.InFlight > 0 || r.MayHaveRun):
-		return &Denial{Retry, "an attempt may have run"}
+	case f.InFlight > 0 && !f.HedgingAllowed:
+		return &Denial{Hedge, "an earlier attempt is in flight"}
+	case f.Unsafe && (f.InFlight > 0 || f.MayHaveRun):
+		return &Denial{Retry, "an earlier attempt may have run"}
 	}
 	return nil
 }
 
-// Closing are the facts about a client's connection that is to be closed.
+// CloseFacts are the facts about a client's connection that is to be closed.
 type CloseFacts struct {
-	Unanswered bool // a request was read whole and has no answer
-	ClientGone bool // by its own end of the connection, or by taking nothing
+	Unanswered bool // a request was read completely and has no answer
+	ClientGone bool // it closed its end of the connection, or does not read
 }
 
-// MayClose tells whether a client's connection may be closed.
-func MayClose(c CloseFacts) *Denial {
-	if c.Unanswered && !c.ClientGone {
-		return &Denial{FinalAnswer, "a request has no answer"}
+// MayClose returns nil if a client's connection may be closed, and a Denial otherwise.
+func MayClose(f CloseFacts) *Denial {
+	if f.Unanswered && !f.ClientGone {
+		return &Denial{FinalAnswer, "request has not been answered"}
 	}
 	return nil
 }
 
-// Starting are the facts about a process that is to take requests.
+// StartFacts are the facts about a process that is to accept requests.
 type StartFacts struct {
-	Serving  bool // it has an endpoint list, and runs what sends by it
+	Serving  bool // it has an endpoint list, and the event loop that uses it is running
 	Stopping bool
 }
 
-// MayStart tells whether a process may say that it is ready.
-func MayStart(s StartFacts) *Denial {
+// MayStart returns nil if a process may report that it is ready, and a Denial otherwise.
+func MayStart(f StartFacts) *Denial {
 	switch {
-	case !s.Serving:
+	case !f.Serving:
 		return &Denial{Start, "it has no endpoint list yet"}
-	case s.Stopping:
+	case f.Stopping:
 		return &Denial{Start, "it is stopping"}
 	}
 	return nil
 }
 
-// Began are the notes of an attempt that has begun, and what its process knew, when. Times are on one clock; 0 is never.
+// AttemptRecord records an attempt that has begun, and what its process knew at which time. Times are on one clock; 0 is never.
 type AttemptRecord struct {
-	RequestID              string // of the request
+	RequestID              string // key of the request
 	Endpoint               string
-	BegunAt                time.Duration // before its first byte
-	TimeoutSent            time.Duration // that the endpoint was told
+	BegunAt                time.Duration // just before its first byte
+	TimeoutSent            time.Duration // the remaining time that the endpoint was given
 	Deadline               time.Duration // of the request
-	ClosedAt               time.Duration // word that the endpoint drains or is gone was taken
-	DrainGrace             time.Duration // after that word
-	RequestEndedAt         time.Duration // the client left, or had its answer
-	LeaseExpired           bool          // the lease of the list had run out then
-	EarlierMayRun          bool          // an earlier attempt may have run, or was out
+	ClosedAt               time.Duration // when the report that the endpoint is draining or gone was handled
+	DrainGrace             time.Duration // period after that report in which an attempt may begin
+	RequestEndedAt         time.Duration // when the client disconnected, or got its answer
+	LeaseExpired           bool          // the lease of the endpoint list had expired when it began
+	EarlierMayRun          bool          // an earlier attempt may have run, or was in flight
 	EarlierInFlight        bool
-	Unsafe, HedgingAllowed bool          // as in Repeating
-	RetryWindowEnd         time.Duration // a repeat of what may have run is dropped until then; 0 where there is none
-	NoEndpointList         bool          // the process had taken no endpoint list by then
+	Unsafe, HedgingAllowed bool          // as in RetryFacts
+	RetryWindowEnd         time.Duration // until then endpoints drop duplicates of a request that may have run; 0 for none
+	NoEndpointList         bool          // the process had received no endpoint list when it was decided
 }
 
-// violations are the invariants that an attempt has broken.
-func (b *AttemptRecord) violations() (out []Invariant) {
-	add := func(i Invariant, broken bool) {
-		if broken {
+// violations returns the invariants that an attempt has violated.
+func (r *AttemptRecord) violations() (out []Invariant) {
+	add := func(i Invariant, violated bool) {
+		if violated {
 			out = append(out, i)
 		}
 	}
-	add(Drain, b.ClosedAt > 0 && b.BegunAt > b.ClosedAt+b.DrainGrace)
-	add(StaleList, b.LeaseExpired)
-	add(Retry, b.EarlierMayRun && (b.Unsafe || b.RetryWindowEnd > 0 && b.BegunAt > b.RetryWindowEnd))
-	add(Hedge, b.EarlierInFlight && !b.HedgingAllowed)
-	add(ClientGone, b.RequestEndedAt > 0 && b.BegunAt > b.RequestEndedAt+goneGrace)
-	add(TimeLeft, b.TimeoutSent > b.Deadline-b.BegunAt+timeSlack)
-	add(Start, b.NoEndpointList)
+	add(Drain, r.ClosedAt > 0 && r.BegunAt > r.ClosedAt+r.DrainGrace)
+	add(StaleList, r.LeaseExpired)
+	add(Retry, r.EarlierMayRun && (r.Unsafe || r.RetryWindowEnd > 0 && r.BegunAt > r.RetryWindowEnd))
+	add(Hedge, r.EarlierInFlight && !r.HedgingAllowed)
+	add(ClientGone, r.RequestEndedAt > 0 && r.BegunAt > r.RequestEndedAt+clientGoneGrace)
+	add(TimeLeft, r.TimeoutSent > r.Deadline-r.BegunAt+timeLeftSlack)
+	add(Start, r.NoEndpointList)
 	return out
 }
 
-// Guard counts denials and violations of a process. Any goroutine may use it.
+// Guard counts the denials and violations of a process. It is safe for concurrent use.
 type Guard struct {
 	log        *slog.Logger
-	denied     [invariants]atomic.Uint64
-	violations [invariants]atomic.Uint64
+	denied     [invariantCount]atomic.Uint64
+	violations [invariantCount]atomic.Uint64
 }
 
-// New returns a Guard that has counted nothing.
+// New returns a Guard with all counts 0.
 func New(log *slog.Logger) *Guard { return &Guard{log: log} }
 
-// Denied counts a denial. It takes nil, and tells whether there was one.
+// Denied counts a denial and reports whether there was one; d may be nil.
 func (g *Guard) Denied(d *Denial) bool {
 	if d != nil {
 		g.denied[d.Invariant].Add(1)
@@ -196,39 +198,40 @@
 	return d != nil
 }
 
-// Check counts what an attempt has broken.
-func (g *Guard) Check(b AttemptRecord) {
-	for _, i := range b.violations() {
-		g.RecordViolation(i, "id", b.RequestID, "endpoint", b.Endpoint, "at", b.BegunAt, "told", b.TimeoutSent, "deadline", b.Deadline, "closed_at", b.ClosedAt,
-			"over_at", b.RequestEndedAt)
+// Check counts and logs the invariants that an attempt has violated.
+func (g *Guard) Check(r AttemptRecord) {
+	for _, i := range r.violations() {
+		g.RecordViolation(i, "id", r.RequestID, "endpoint", r.Endpoint, "at", r.BegunAt, "told", r.TimeoutSent, "deadline", r.Deadline,
+			"closed_at", r.ClosedAt, "over_at", r.RequestEndedAt)
 	}
 }
 
 const (
-	logAll  = 20  // violations of an invariant that are logged each,
-	logSome = 100 // and one in so many after them
+	maxLoggedEach = 20  // the first violations of an invariant are logged individually,
+	logInterval   = 100 // and after them one in this many
 )
 
-// Violated counts a violation and logs it, with what is known of it.
-func (g *Guard) RecordViolation(i Invariant, about ...any) {
+// RecordViolation counts a violation and logs it with the attributes given.
+func (g *Guard) RecordViolation(i Invariant, attrs ...any) {
 	n := g.violations[i].Add(1)
-	if n <= logAll || n%logSome == 0 {
-		g.log.Error("invariant violated", append([]any{"invariant", i.String(), "count", n}, about...)...)
+	if n <= maxLoggedEach || n%logInterval == 0 {
+		g.log.Error("invariant violated", append([]any{"invariant", i.String(), "count", n}, attrs...)...)
 	}
 }
 
-// Violations are the counts by invariant, those that are 0 left out.
-func (g *Guard) Violations() map[string]uint64 { return counts(&g.violations) }
+// Violations returns the counts that are not 0 of violations, by invariant.
+func (g *Guard) Violations() map[string]uint64 { return nonZeroCounts(&g.violations) }
 
-// Denials are how often something was not done for an invariant, by invariant, those that are 0 left out.
-func (g *Guard) Denials() map[string]uint64 { return counts(&g.denied) }
+// Denials returns the counts that are not 0 of denied actions, by invariant.
+func (g *Guard) Denials() map[string]uint64 { return nonZeroCounts(&g.denied) }
 
-func counts(all *[invariants]atomic.Uint64) map[string]uint64 {
-	out := map[string]uint64{}
-	for i := range all {
-		if n := all[i].Load(); n > 0 {
-			out[Invariant(i).String()] = n
+// nonZeroCounts returns the counts that are not 0, by invariant.
+func nonZeroCounts(counters *[invariantCount]atomic.Uint64) map[string]uint64 {
+	counts := map[string]uint64{}
+	for i := range counters {
+		if n := counters[i].Load(); n > 0 {
+			counts[Invariant(i).String()] = n
 		}
 	}
-	return out
+	return counts
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,7 +1,7 @@
-// Package share divides one limit of the process, such as open operations or connections, among pools. Each pool has a
-// guaranteed part and may borrow what the others leave idle. Nothing that was taken is broken off: a pool that asks for
-// its guaranteed part while it is lent out gets the next that is given back, before any borrower. The package knows no
-// clock and is not safe for concurrent use.
+// Package share divides a limit of the process, such as that of open requests or connections, among pools. Each pool has a
+// guaranteed share and may borrow units that other pools leave idle. Acquired units are never revoked: if a pool requests
+// units of its guaranteed share while they are lent out, it gets the next ones that are released, before any borrower. The
+// package has no clock and is not safe for concurrent use.
 package share
 
 import (
@@ -9,175 +9,177 @@
 	"time"
 )
 
-// Part is what a pool may take of a limit.
+// Share is a pool's share of a limit.
 type Share struct {
-	Guaranteed int // units that no other pool can keep from it for longer than until the next is given back
-	Max        int // units, borrowed ones included; 0 for no limit but the whole
+	Guaranteed int // units that others cannot withhold: while they are lent out, the pool gets the next ones released
+	Max        int // most units the pool may hold, including borrowed ones; 0 for no maximum but the total
 }
 
-// claimFor is how long a claim keeps room for a pool that was turned away inside its guaranteed part. Its clients may
-// not come back; then the room must not stand idle.
-const claimFor = time.Second
+// claimDuration is how long units are reserved for a pool that was rejected within its guaranteed share. It is limited, as the
+// pool's clients may not retry, and the units must then not stay idle.
+const claimDuration = time.Second
 
-// spareShare is the part of the whole that borrowers leave free, so that a pool that wakes finds room without waiting
-// for an answer of another's.
-const spareShare = 8
+// spareDivisor determines the units that borrowers leave free: 1/spareDivisor of the total. With them a pool that becomes
+// active gets units without waiting for a request of another pool to end.
+const spareDivisor = 8
 
-// Limit is one limit and what pools hold of it.
+// Limit is a limit and the units of it that pools hold.
 type Limit struct {
-	whole   int
-	used    int
-	idle    int // of the guaranteed parts
-	pools   map[string]*pool
-	claimed map[*pool]bool // those with a claim: few, where pools are many
-	asked   uint64         // claims so far
+	total          int
+	used           int
+	idleGuaranteed int // units of guaranteed shares that their pools do not hold
+	pools          map[string]*pool
+	claimants      map[*pool]bool // pools with a claim: few, even if there are many pools
+	claimCount     uint64         // claims made so far
 }
 
+// pool is the state of a pool in a Limit.
 type pool struct {
 	Share
-	gone  bool // it takes nothing any more, and is forgotten once it has given all back
-	used  int
-	claim claim
+	removed bool // it gets no more units, and is deleted once it has released all
+	used    int
+	claim   claim
 }
 
-// claim is room that is kept for a pool.
+// claim reserves units for a pool. Claims are served in order of seq.
 type claim struct {
-	units int
-	until time.Duration
-	order uint64
+	units     int
+	expiresAt time.Duration
+	seq       uint64
 }
 
-// New divides a limit of some units. See Set for its errors.
-func New(whole int, parts map[string]Share) (*Limit, error) {
-	l := &Limit{pools: map[string]*pool{}, claimed: map[*pool]bool{}}
-	return l, l.Resize(whole, parts)
+// New returns a Limit of total units with these shares. See Resize for its errors.
+func New(total int, shares map[string]Share) (*Limit, error) {
+	l := &Limit{pools: map[string]*pool{}, claimants: map[*pool]bool{}}
+	return l, l.Resize(total, shares)
 }
 
-// Set divides the limit anew. What pools hold stays theirs, also beyond their new part, and what a pool that is no longer
-// named holds still counts until it is given back. On an error nothing is changed.
-func (l *Limit) Resize(whole int, parts map[string]Share) error {
+// Resize changes the total and the shares. Pools keep the units they hold, even beyond their new share; the units of a pool
+// that is no longer listed count until they are released. On an error nothing is changed.
+func (l *Limit) Resize(total int, shares map[string]Share) error {
 	sum := 0
-	for name, p := range parts {
+	for name, p := range shares {
 		if p.Guaranteed < 1 {
-			return fmt.Errorf("pool %q: the guaranteed part must be at least 1, not %d", name, p.Guaranteed)
+			return fmt.Errorf("pool %q: guaranteed share must be at least 1, got %d", name, p.Guaranteed)
 		}
 		if p.Max != 0 && p.Max < p.Guaranteed {
 			return fmt.Errorf("pool %q: at most %d are less than the guaranteed %d", name, p.Max, p.Guaranteed)
 		}
 		sum += p.Guaranteed
 	}
-	if sum > whole {
-		return fmt.Errorf("the guaranteed parts add up to %d of %d", sum, whole)
+	if sum > total {
+		return fmt.Errorf("the guaranteed parts add up to %d of %d", sum, total)
 	}
-	l.whole = whole
-	clear(l.claimed)
+	l.total = total
+	clear(l.claimants)
 	for name, p := range l.pools {
-		if _, named := parts[name]; !named {
-			p.Share, p.gone, p.claim = Share{}, true, claim{}
-			l.forget(name, p)
+		if _, listed := shares[name]; !listed {
+			p.Share, p.removed, p.claim = Share{}, true, claim{}
+			l.removeIfEmpty(name, p)
 		}
 	}
-	for name, part := range parts {
+	for name, share := range shares {
 		p := l.pools[name]
 		if p == nil {
 			p = &pool{}
 			l.pools[name] = p
 		}
-		p.Share, p.gone, p.claim = part, false, claim{}
+		p.Share, p.removed, p.claim = share, false, claim{}
 	}
-	l.idle = 0
+	l.idleGuaranteed = 0
 	for _, p := range l.pools {
-		l.idle += p.idle()
+		l.idleGuaranteed += p.idle()
 	}
 	return nil
 }
 
-// idle is what the pool leaves of its guaranteed part.
+// idle returns the units of its guaranteed share that the pool does not hold.
 func (p *pool) idle() int { return max(p.Guaranteed-p.used, 0) }
 
-// hold changes what a pool holds.
-func (l *Limit) hold(p *pool, units int) {
-	l.idle -= p.idle()
+// adjust changes the units that a pool holds by a positive or negative number.
+func (l *Limit) adjust(p *pool, units int) {
+	l.idleGuaranteed -= p.idle()
 	p.used += units
 	l.used += units
-	l.idle += p.idle()
+	l.idleGuaranteed += p.idle()
 }
 
-func (l *Limit) forget(name string, p *pool) {
-	if p.gone && p.used == 0 {
+// removeIfEmpty deletes a pool that is no longer listed and holds nothing.
+func (l *Limit) removeIfEmpty(name string, p *pool) {
+	if p.removed && p.used == 0 {
 		delete(l.pools, name)
 	}
 }
 
-// Take takes units for a pool, all or none. A refusal inside the guaranteed part keeps the next units that are given
-// back for the pool, for a second.
+// Acquire acquires units for a pool, all or none, and reports whether it did. If it fails within the guaranteed share, the
+// next units that are released are reserved for the pool for claimDuration.
 func (l *Limit) Acquire(now time.Duration, name string, units int) bool {
 	p := l.pools[name]
-	if p == nil || p.gone || units < 0 || p.Max > 0 && p.used+units > p.Max {
+	if p == nil || p.removed || units < 0 || p.Max > 0 && p.used+units > p.Max {
 		return false
 	}
-	free := l.whole - l.used
-	owed := p.used+units <= p.Guaranteed
-	for o := range l.claimed {
-		if o.claim.until <= now {
-			o.claim = claim{}
-			delete(l.claimed, o)
+	free := l.total - l.used
+	guaranteed := p.used+units <= p.Guaranteed
+	for other := range l.claimants {
+		if other.claim.expiresAt <= now {
+			other.claim = claim{}
+			delete(l.claimants, other)
 		}
-		if o == p {
+		if other == p {
 			continue
 		}
-		// Those that asked for their own before go first; a borrower comes after all.
-		if !owed || p.claim.units == 0 || o.claim.order < p.claim.order {
-			free -= o.claim.units
+		// Earlier claims for guaranteed units go first; a borrower comes after all claims.
+		if !guaranteed || p.claim.units == 0 || other.claim.seq < p.claim.seq {
+			free -= other.claim.units
 		}
 	}
-	if !owed { // what borrowers leave free is no more than the others could claim
-		free -= min(l.idle-p.idle(), (l.whole+spareShare-1)/spareShare)
+	if !guaranteed { // borrowers need not leave more free than the other pools could claim
+		free -= min(l.idleGuaranteed-p.idle(), (l.total+spareDivisor-1)/spareDivisor)
 	}
 	if units <= free {
-		l.hold(p, units)
+		l.adjust(p, units)
 		if p.claim.units = max(p.claim.units-units, 0); p.claim.units == 0 {
-			delete(l.claimed, p)
+			delete(l.claimants, p)
 		}
 		return true
 	}
-	if owed {
+	if guaranteed {
 		if p.claim.units == 0 {
-			l.asked++
-			p.claim = claim{order: l.asked}
-			l.claimed[p] = true
+			l.claimCount++
+			p.claim = claim{seq: l.claimCount}
+			l.claimants[p] = true
 		}
-		p.claim.units, p.claim.until = max(p.claim.units, units), now+claimFor
+		p.claim.units, p.claim.expiresAt = max(p.claim.units, units), now+claimDuration
 	}
 	return false
 }
 
-// Give gives units back.
+// Release returns units of a pool to the limit.
 func (l *Limit) Release(name string, units int) {
 	p := l.pools[name]
 	if p == nil || units > p.used || units < 0 {
-		panic(fmt.Sprintf("share: pool %q gives back %d units that it does not hold", name, units))
+		panic(fmt.Sprintf("share: pool %q releases %d units that it does not hold", name, units))
 	}
-	l.hold(p, -units)
-	l.forget(name, p)
+	l.adjust(p, -units)
+	l.removeIfEmpty(name, p)
 }
 
-// Use is what a pool holds of a limit.
+// Usage is a pool's usage of a limit.
 type Usage struct {
 	Share
 	Used     int
-	Borrowed int // of Used, beyond the guaranteed part
-	Gone     bool
+	Borrowed int  // units of Used beyond the guaranteed share
+	Removed  bool // it is no longer listed, but has not released all units
 }
 
-// Whole tells the units there are and those that are taken.
-func (l *Limit) Total() (whole, used int) { return l.whole, l.used }
+// Total returns the number of all units, and of those that are held.
+func (l *Limit) Total() (total, used int) { return l.total, l.used }
 
-// Uses tells what each pool holds.
+// Usage returns the usage of each pool.
 func (l *Limit) Usage() map[string]Usage {
-	out := make(map[string]Usage, len(l.pools))
+	usage := make(map[string]Usage, len(l.pools))
 	for name, p := range l.pools {
-		out[name] = Usage{Share: p.Share, Used: p.used, Borrowed: max(p.used-p.Guaranteed, 0), Gone: p.gone}
+		usage[name] = Usage{Share: p.Share, Used: p.used, Borrowed: max(p.used-p.Guaranteed, 0), Removed: p.removed}
 	}
-	return out
+	return usage
 }
