--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -27,7 +27,7 @@
 
 func (f *File) budget() (front, destinations int) {
 	b := f.Budget()
-	return b.Front, b.Destinations
+	return b.ClientConns, b.UpstreamConns
 }
 
 // Budget divides the descriptors of the process.
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -98,7 +98,7 @@
 	}
 	follower := transport.NewDirectory(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
 	follower.Follow(0)
-	go sidecar.Run(ctx, transport.NewDestinations(transport.Options{Clock: clock, Room: transport.NewRoom(1), Log: quiet}), follower)
+	go sidecar.Run(ctx, transport.NewDestinations(transport.Options{Clock: clock, Room: transport.NewConnLimiter(1), Log: quiet}), follower)
 	shows := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
 		if !ok {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -92,7 +92,7 @@
 		p := &pool{conf: conf, set: set, loop: loop, dirty: make(chan struct{}, 1)}
 		loop.Notify(p.changed)
 		p.carrier = transport.NewDestinations(transport.Options{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
-			IdleFor: conf.Connections.Idle.D() / 2, Room: transport.NewRoom(f.Budget().Destinations / len(f.Pools)),
+			IdleFor: conf.Connections.Idle.D() / 2, Room: transport.NewConnLimiter(f.Budget().UpstreamConns / len(f.Pools)),
 			Fields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
 		p.members = newMembers(ctx, conf, set.Seed, clock, loop, log)
 		if err := p.members.open(watcher); err != nil {
--- a/internal/pools/limits.go
+++ b/internal/pools/limits.go
@@ -57,10 +57,10 @@
 	pool string
 }
 
-var _ transport.Gate = gate{}
+var _ transport.AdmissionController = gate{}
 
 // Enter takes an operation's room, all of it or none.
-func (g gate) Enter(body int) (transport.Pass, bool) {
+func (g gate) Admit(body int) (transport.Admission, bool) {
 	kb := (body + 1023) >> 10
 	units := [...]struct {
 		key string
@@ -101,7 +101,7 @@
 }
 
 // Leave gives back all.
-func (p *pass) Leave() {
+func (p *pass) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unpark()
@@ -115,10 +115,10 @@
 	pool string
 }
 
-var _ transport.Room = room{}
+var _ transport.ConnLimiter = room{}
 
 // Take takes one. Where others have borrowed what is the pool's own, one that stands idle is closed for it.
-func (r room) Take() bool {
+func (r room) Acquire() bool {
 	if r.take() {
 		return true
 	}
@@ -141,7 +141,7 @@
 }
 
 // Give gives one back.
-func (r room) Give() {
+func (r room) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all["connections"].Give(r.pool, 1)
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -27,7 +27,7 @@
 	watch        routing.Directory
 	discovery    *transport.Directory // nil where the list is a file
 	classes      []protocol.Class
-	service      transport.Service
+	service      transport.Backend
 }
 
 // idleShare of the time that destinations keep an idle connection is how long it is used here: one that its peer closes
@@ -68,7 +68,7 @@
 	for _, c := range conf.Classes {
 		worths = append(worths, c.Worth)
 	}
-	p.service = transport.Service{Loop: loop, Gate: gate{s.limits, conf.Name}, Advice: min(fullAdvice, conf.RetryAfter.D()), Worths: worths,
+	p.service = transport.Backend{Loop: loop, Admission: gate{s.limits, conf.Name}, RetryAfter: min(fullAdvice, conf.RetryAfter.D()), Utilities: worths,
 		Origin: textproto.CanonicalMIMEHeaderKey(conf.Origin)}
 	if c := conf.Chain; c != nil {
 		options.Chain, options.PassDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RepeatDeclined
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -30,7 +30,7 @@
 
 	mu        sync.Mutex // held by Apply, and by those who look
 	file      *config.File
-	front     *transport.Front
+	front     *transport.Server
 	listeners map[string]net.Listener
 	watcher   *filewatch.Watcher // nil until a pool needs it
 	pools     map[string]*pool
@@ -109,11 +109,11 @@
 	}
 	find := directions(f, table, pools)
 	if s.front == nil {
-		s.front = transport.NewFront(s.clock, find, f.Budget(), s.log)
+		s.front = transport.NewServer(s.clock, find, f.Budget(), s.log)
 		s.front.UseGuard(s.guard)
 	} else {
-		s.front.Lead(find)
-		s.front.Keep(f.Budget())
+		s.front.SetRoutes(find)
+		s.front.SetBudget(f.Budget())
 	}
 	for address, ln := range s.listeners {
 		if listeners[address] == nil {
@@ -139,9 +139,9 @@
 }
 
 // directions lead requests by a table to the pools of a configuration.
-func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Directions {
+func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
 	type way struct {
-		to      *transport.Service
+		to      *transport.Backend
 		classes []protocol.Class
 		as      string
 	}
@@ -150,7 +150,7 @@
 		p := pools[r.Pool]
 		ways[i] = way{&p.service, p.classes, r.As}
 	}
-	return func(m *protocol.Message) (*transport.Service, protocol.Operation, error) {
+	return func(m *protocol.Message) (*transport.Backend, protocol.Operation, error) {
 		i, bad := table.Match(route.Request{Target: m.Start[1], Header: m.Header, Class: m.Stated()})
 		if bad != nil {
 			return nil, protocol.Operation{}, &protocol.Error{Status: bad.Status, Why: bad.Why}
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -82,7 +82,7 @@
 		Listeners: slices.Sorted(maps.Keys(s.listeners))}
 	out.Violations, out.Denials = s.guard.Violations(), s.guard.Denials()
 	if s.front != nil {
-		out.Closings = s.front.Closings()
+		out.Closings = s.front.CloseCounts()
 	}
 	s.mu.Unlock()
 	var memory runtime.MemStats
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -45,7 +45,7 @@
 	clock := routing.NewClock()
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
 	options := transport.Options{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleFor: c.ConnIdle * 7 / 10,
-		Room: transport.NewRoom(budget.Destinations), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
+		Room: transport.NewConnLimiter(budget.UpstreamConns), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
 	if c.Module.Report.Via != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
@@ -61,11 +61,11 @@
 	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
 	directory.Clock, directory.OnHold = clock, loop.Hold
 	directory.AtOnce = len(c.Known.Destinations) == 0
-	service := &transport.Service{Loop: loop}
+	service := &transport.Backend{Loop: loop}
 	if c.Module.Limits.RetryAfter {
-		service.Advice = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
+		service.RetryAfter = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
 	}
-	front := transport.NewFront(clock, transport.OnePool(service, c.Classes), budget, log)
+	front := transport.NewServer(clock, transport.SinglePoolRouter(service, c.Classes), budget, log)
 
 	front.UseGuard(invariants)
 
@@ -97,7 +97,7 @@
 	}
 	front.Stop(ctx, min(longest, stopLongest)+stopMargin, ln)
 	if v, ok := loop.View(viewWithin); ok {
-		log.Info("counts", "requests", &v.Metrics, "connections", front.Closings(), "violations", invariants.Violations(), "denials", invariants.Denials(),
+		log.Info("counts", "requests", &v.Metrics, "connections", front.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
 			"discovery", directory.State())
 	}
 	log.Info("stopped", "owed", loop.Owed())
--- a/internal/transport/closing.go
+++ b/internal/transport/closing.go
@@ -47,7 +47,7 @@
 }
 
 // Closings tell how many clients' connections have ended so far, by reason.
-func (f *Front) Closings() map[string]uint64 { return f.closings.counts() }
+func (f *Server) CloseCounts() map[string]uint64 { return f.closings.counts() }
 
 // because notes why the connection ends; the first reason counts.
 func (c *frontConn) because(r closeReason) {
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -60,7 +60,7 @@
 }
 
 // serveHooked has a Front serve one connection with hooks, and returns the client's end.
-func serveHooked(t *testing.T, f *Front, h *hooked) (net.Conn, *bufio.Reader) {
+func serveHooked(t *testing.T, f *Server, h *hooked) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 // ask asks one connection to end, as making room does.
-func ask(f *Front) bool {
+func ask(f *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.askOne()
@@ -87,8 +87,8 @@
 // counted is a destination that answers, and counts what comes to it.
 func counted(t *testing.T) (string, chan string) {
 	came := make(chan string, 99)
-	return server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	return startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			came <- text
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		}
@@ -144,9 +144,9 @@
 }
 
 // unserved is a sidecar without a listener, and one that the test has it serve as it likes.
-func unserved(t *testing.T) (*Front, net.Listener) {
+func unserved(t *testing.T) (*Server, net.Listener) {
 	t.Helper()
-	f, plain, run := stopped(t, 4, server(t, echo), settings(), "")
+	f, plain, run := prepareSidecar(t, 4, startTestServer(t, serveOK), testSettings(), "")
 	run()
 	plain.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,8 +196,8 @@
 func TestTimeOfARequestSentAhead(t *testing.T) {
 	const wait, given = 400 * time.Millisecond, 1500
 	told := make(chan int, 9)
-	_, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	_, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			_, left, _ := strings.Cut(text, "X-Time-Left-Ms: ")
 			ms, _ := strconv.Atoi(strings.TrimSpace(strings.SplitN(left, "\r\n", 2)[0]))
 			told <- ms
@@ -210,7 +210,7 @@
 		io.WriteString(c, strings.Replace(look, "Id: 1", fmt.Sprintf("Id: %s\r\nX-Time-Left-Ms: %d", id, given), 1))
 	}
 	for i := range 3 {
-		if status, _ := answer(t, r); status != "200" {
+		if status, _ := readResponse(t, r); status != "200" {
 			t.Fatalf("request %d was answered %s", i, status)
 		}
 		if ms, most := <-told, given-i*int(wait/time.Millisecond)+20; ms > most || ms < most-300 {
@@ -223,13 +223,13 @@
 // it knows the request by the one and drops repeats by the other. Another field that it names so ends here.
 func TestIDAndKeyPassThoughConnectionNamesThem(t *testing.T) {
 	at, came := counted(t)
-	set := settings()
+	set := testSettings()
 	set.Classes[0].Effect, set.Classes[0].Window = balance.Keyed, time.Second
-	_, ln, run := stopped(t, 4, at, set, "")
+	_, ln, run := prepareSidecar(t, 4, at, set, "")
 	run()
 	c, r := dial(t, ln)
 	io.WriteString(c, strings.Replace(look, "Host", "Connection: x-correlation-id, Idempotency-Key, X-Mine\r\nX-Mine: 1\r\nIdempotency-Key: k1\r\nHost", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("answered %s", status)
 	}
 	text := <-came
@@ -250,7 +250,7 @@
 	client = c
 	close(ready)
 	io.WriteString(c, strings.Replace(look, "Id: 1", "Id: 0", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("the first request got %s", status)
 	}
 	testkit.Until(t, "it rests and is asked to end", func() bool { return ask(f) })
@@ -265,7 +265,7 @@
 // The wake-up of an answer comes when the connection already lets its client read that answer: it must not end that, or
 // what the client still sends is reset, and the answer with it.
 func TestLateWakeUpWhileTheClientReads(t *testing.T) {
-	f, _ := sidecar(t, 4, server(t, echo))
+	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
 	var ending atomic.Bool
 	h := &hooked{closed: func() { ending.Store(true) }}
 	h.timed = func(time.Time) {
@@ -275,7 +275,7 @@
 	}
 	c, r := serveHooked(t, f, h)
 	io.WriteString(c, strings.Replace(look, "Host", "Connection: close\r\nHost", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("answered %s", status)
 	}
 	time.Sleep(20 * time.Millisecond) // it lingers, and has been woken
@@ -327,7 +327,7 @@
 	ended := make(chan struct{})
 	go func() { f.Stop(context.Background(), 600*time.Millisecond, q); close(ended) }()
 	for i, r := range waiting {
-		if status, _ := answer(t, r); status != "200" && status != "503" || i < 4 && status != "200" {
+		if status, _ := readResponse(t, r); status != "200" && status != "503" || i < 4 && status != "200" {
 			t.Errorf("the one at place %d was answered %s", i, status)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // late is a destination whose connections come up only when it is let: its system's queue is full until then. What is sent
 // to it comes on a channel.
-func late(t *testing.T) (address string, let func(), came chan string) {
+func startSlowAcceptServer(t *testing.T) (address string, let func(), came chan string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
@@ -388,24 +388,24 @@
 // meanwhile, and tells whether the request was sent.
 func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Operation, ran bool, meanwhile func(*routing.Loop)) bool {
 	t.Helper()
-	at, let, came := late(t)
+	at, let, came := startSlowAcceptServer(t)
 	clock := routing.NewClock()
-	set := settings()
+	set := testSettings()
 	set.Classes, set.Limits = []balance.Class{class}, limits
-	loop, err := routing.New(set, routing.Names{}, clock, quiet)
+	loop, err := routing.New(set, routing.Names{}, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	u := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+	u := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewConnLimiter(4), Log: discardLog})
 	members := []routing.Member{{Name: "s", Address: at, State: balance.Ready}}
 	first, cut := make(chan struct{}), make(chan struct{})
 	if ran { // the operation's first attempt may have run, at another destination, which drains by then
-		members[0].Address = server(t, func(conn net.Conn) { head(conn); close(first); <-cut; conn.Close() })
+		members[0].Address = startTestServer(t, func(conn net.Conn) { readRequest(conn); close(first); <-cut; conn.Close() })
 	}
 	loop.Pool(balance.Cached, 1, members)
-	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
 	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
 	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
 	loop.Submit(op)
@@ -443,35 +443,35 @@
 
 // gated is a Room in which whoever asks once it is shut waits until it is opened.
 type gated struct {
-	Room
+	ConnLimiter
 	shut          atomic.Bool
 	waits, opened chan struct{}
 }
 
-func (g *gated) Take() bool {
+func (g *gated) Acquire() bool {
 	if g.shut.Load() {
 		g.waits <- struct{}{}
 		<-g.opened
 	}
-	return g.Room.Take()
+	return g.ConnLimiter.Acquire()
 }
 
 // A destination begins to drain between the decision to probe it and the probe's first byte: the probe does not begin.
 func TestDrainBeforeAProbeBegins(t *testing.T) {
 	for drains, sent := range map[bool]bool{true: false, false: true} {
 		at, came := counted(t)
-		clock, set := routing.NewClock(), settings()
+		clock, set := routing.NewClock(), testSettings()
 		set.Report.Via, set.Limits.Probes = balance.OnProbes, true
-		loop, err := routing.New(set, routing.Names{}, clock, quiet)
+		loop, err := routing.New(set, routing.Names{}, clock, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		room := &gated{Room: NewRoom(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
+		room := &gated{ConnLimiter: NewConnLimiter(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
 		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
-		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: quiet})
-		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: discardLog})
+		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
 		done := make(chan routing.Answer, 9)
 		for n := range 3 { // one probe for three requests: it comes with the third, and both need a connection
 			if n == 2 {
@@ -532,7 +532,7 @@
 		t.Errorf("its leaving was known after %v", took)
 	}
 	state(balance.Ready)
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Errorf("the other was answered %s", status)
 	}
 	if len(came) != 1 || !strings.Contains(<-came, "Id: 2\r\n") {
@@ -560,8 +560,8 @@
 // not begun. Its leaving was not seen while more than some kilobytes of it waited.
 func TestFloodAndGo(t *testing.T) {
 	came, ended := make(chan string, 99), make(chan struct{}, 9)
-	f, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		came <- head(conn)
+	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		came <- readRequest(conn)
 		conn.Read(make([]byte, 1))
 		ended <- struct{}{}
 	}))
@@ -585,12 +585,12 @@
 // the next one, which would have to wait as long for another.
 func TestLateConnectionServesTheNext(t *testing.T) {
 	t.Parallel()
-	at, let, came := late(t)
+	at, let, came := startSlowAcceptServer(t)
 	u := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
-		Room: NewRoom(1), Log: quiet})
+		Room: NewConnLimiter(1), Log: discardLog})
 	d := &routing.Destination{Address: at}
 	began := time.Now()
-	if s := probe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
+	if s := runProbe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
 		t.Errorf("the first ended %v after %v", s, time.Since(began))
 	}
 	let()
@@ -599,17 +599,17 @@
 		t.Errorf("something was sent over it: %q", <-came)
 	}
 	time.Sleep(2 * leastRest)
-	if s := probe(u, d); s != balance.OK { // there is room for one: it is that one
+	if s := runProbe(u, d); s != balance.OK { // there is room for one: it is that one
 		t.Errorf("the next ended %v", s)
 	}
-	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.Room.Take(); return ok })
+	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.Room.Acquire(); return ok })
 }
 
 // A second copy of an answer comes some milliseconds behind it: the next request does not travel on that connection, and gets
 // its own answer.
 func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
-	at := server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	at := startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			own := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%c", text[strings.Index(text, "Id: ")+4])
 			io.WriteString(conn, own)
 			time.Sleep(12 * time.Millisecond)
@@ -620,7 +620,7 @@
 	c, r := dial(t, ln)
 	for i, id := range []string{"1", "2", "3"} {
 		io.WriteString(c, strings.Replace(look, "Id: 1", "Id: "+id, 1))
-		if status, body := answer(t, r); status != "200" || body != id {
+		if status, body := readResponse(t, r); status != "200" || body != id {
 			t.Errorf("request %s was answered %s %q", id, status, body)
 		}
 		time.Sleep(time.Duration(5+2*i) * time.Millisecond)
@@ -632,8 +632,8 @@
 func TestRequestsReadAheadAreAnsweredAtTheEnd(t *testing.T) {
 	let := make(chan bool)
 	came := make(chan bool, 9)
-	f, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			came <- true
 			<-let
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -651,7 +651,7 @@
 	f.closing.Store(true)
 	close(let)
 	for i := range requests {
-		if status, _ := answer(t, r); status != "200" {
+		if status, _ := readResponse(t, r); status != "200" {
 			t.Errorf("request %d was answered %s", i, status)
 		}
 	}
--- a/internal/transport/destinations.go
+++ b/internal/transport/destinations.go
@@ -21,7 +21,7 @@
 	Clock          routing.Clock
 	ConnectTimeout time.Duration
 	IdleFor        time.Duration // a connection that has stood idle this long is closed
-	Room           Room          // connections at a time
+	Room           ConnLimiter   // connections at a time
 	PassErrors     bool          // answers of every status under 500 are the client's; otherwise those of 200 alone
 	Fields         []string      // of load reports, in the settings' words
 	ProbePath      string
@@ -123,7 +123,7 @@
 			return k, nil
 		}
 	}
-	for !u.Room.Take() {
+	for !u.Room.Acquire() {
 		if !u.Evict() {
 			return nil, errNoRoom
 		}
@@ -161,7 +161,7 @@
 		dialer := net.Dialer{Timeout: max(time.Until(until), latestUp), KeepAlive: -1}
 		conn, err := dialer.Dial("tcp", d.Address)
 		if err != nil {
-			u.Room.Give()
+			u.Room.Release()
 		}
 		came <- dialed{conn, err}
 	}()
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -163,7 +163,7 @@
 			w.conn.SetReadDeadline(time.Now().Add(patience))
 		}
 		n, err := w.conn.Read(buf)
-		if n == 0 && w.watching && isTimeout(err) && peek(w.conn) == waits {
+		if n == 0 && w.watching && isTimeout(err) && peek(w.conn) == peekData {
 			continue // the process stood still over the watch's time: what it was told meanwhile has not been read
 		}
 		if err := w.took(buf[:n], err); err != nil {
--- a/internal/transport/frontconn.go
+++ b/internal/transport/frontconn.go
@@ -30,7 +30,7 @@
 // operation is out that goroutine goes on reading: the client's leaving shows in nothing else. The answer wakes it by
 // moving the time of its read.
 type frontConn struct {
-	front   *Front
+	front   *Server
 	conn    net.Conn
 	beyond  bool // beyond the budget: told that the sidecar is busy
 	machine protocol.Machine
@@ -106,7 +106,7 @@
 			promised = true
 			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
-		if c.ending && peek(c.conn) != waits {
+		if c.ending && peek(c.conn) != peekData {
 			rest := begun.Add(tooSlow) // as much time as keeps a connection from being asked
 			if at != coming || !time.Now().Before(rest) {
 				c.because(closedAsked)
@@ -133,7 +133,7 @@
 		case n > 0 || err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if !time.Now().Before(until) {
-				if at == coming || peek(c.conn) != waits {
+				if at == coming || peek(c.conn) != peekData {
 					c.because(map[bool]closeReason{true: closedIdle, false: closedSlow}[at == resting])
 					c.bow(at)
 					return
@@ -268,19 +268,19 @@
 }
 
 // operate has an operation carried out and answers it.
-func (c *frontConn) operate(m *protocol.Message, to *Service, figures protocol.Operation, buf []byte, last func() bool) bool {
+func (c *frontConn) operate(m *protocol.Message, to *Backend, figures protocol.Operation, buf []byte, last func() bool) bool {
 	loop := to.Loop
-	busy := protocol.Reply{Status: 503, RetryAfter: to.Advice, Why: "busy"}
+	busy := protocol.Reply{Status: 503, RetryAfter: to.RetryAfter, Why: "busy"}
 	if to.Chain != nil {
 		busy.Chain = to.Chain.Field
 	}
 	var sent func()
-	if to.Gate != nil {
-		pass, ok := to.Gate.Enter(len(m.Body))
+	if to.Admission != nil {
+		pass, ok := to.Admission.Admit(len(m.Body))
 		if !ok {
 			return c.reply(busy, last())
 		}
-		defer pass.Leave()
+		defer pass.Release()
 		sent = pass.Sent
 	}
 	answer := make(chan routing.Answer, 1)
@@ -299,7 +299,7 @@
 		deadline = min(deadline, time.Duration(c.front.until.Load()))
 	}
 	op := &routing.Operation{Class: figures.Class, Deadline: deadline, Hint: figures.Hint,
-		Repeat: figures.Repeat, Payload: m, Key: figures.ID, Sent: sent, Origin: to.origin(m), Word: word, Left: func() bool { return peek(c.conn) == broken }}
+		Repeat: figures.Repeat, Payload: m, Key: figures.ID, Sent: sent, Origin: to.origin(m), Word: word, Left: func() bool { return peek(c.conn) == peekClosed }}
 	c.lastID = figures.ID
 	if op.Left() { // it sent its request and went: nothing is begun for it
 		c.because(closedMidRequest)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -156,7 +156,7 @@
 func (k *link) begin(t *task) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.dead || k.task != nil || peek(k.conn) != still {
+	if k.dead || k.task != nil || peek(k.conn) != peekNothing {
 		k.close()
 		return false
 	}
@@ -203,7 +203,7 @@
 	k.dead = true
 	k.once.Do(func() {
 		k.conn.Close()
-		k.home.Room.Give()
+		k.home.Room.Release()
 	})
 }
 
