--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -7,35 +7,38 @@
 	"time"
 )
 
+// The delay after a failed accept starts at minAcceptDelay and doubles with each further failure up to maxAcceptDelay. New
+// clients wait in the kernel's accept queue meanwhile.
 const (
-	firstAcceptPause = 5 * time.Millisecond  // after accept has failed, doubled each time,
-	mostAcceptPause  = 50 * time.Millisecond // up to this: clients wait in the system's queue meanwhile
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = 50 * time.Millisecond
 )
 
-// acceptFailure is a stretch in which a listener cannot be accepted from. Its first failure is logged, and its end.
-type acceptFailure struct {
-	count int
-	since time.Time
-	pause time.Duration
+// acceptBackoff delays and logs a run of consecutive accept failures. Only the first failure and the recovery are logged.
+type acceptBackoff struct {
+	failures int
+	since    time.Time
+	delay    time.Duration
 }
 
-// failed takes a failure and waits. A client that has gone before it was accepted is none.
-func (a *acceptFailure) failed(err error, log *slog.Logger) {
+// onError records a failed accept and sleeps for the current delay. A client that disconnected before it was accepted, or an
+// interrupted call, does not count as a failure.
+func (a *acceptBackoff) onError(err error, log *slog.Logger) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return
 	}
-	if a.count++; a.count == 1 {
-		a.since, a.pause = time.Now(), firstAcceptPause
-		log.Error("accept fails", "error", err)
+	if a.failures++; a.failures == 1 {
+		a.since, a.delay = time.Now(), minAcceptDelay
+		log.Error("accepting client connections failed; retrying with backoff", "error", err)
 	}
-	time.Sleep(a.pause)
-	a.pause = min(2*a.pause, mostAcceptPause)
+	time.Sleep(a.delay)
+	a.delay = min(2*a.delay, maxAcceptDelay)
 }
 
-// over takes a connection that was accepted.
-func (a *acceptFailure) over(log *slog.Logger) {
-	if a.count > 0 {
-		log.Info("accept works again", "failures", a.count, "after", time.Since(a.since).Round(time.Millisecond))
-		a.count = 0
+// onSuccess records an accepted connection and ends a run of failures.
+func (a *acceptBackoff) onSuccess(log *slog.Logger) {
+	if a.failures > 0 {
+		log.Info("accepting client connections recovered", "failures", a.failures, "after", time.Since(a.since).Round(time.Millisecond))
+		a.failures = 0
 	}
 }
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -1,68 +1,72 @@
-// Package transport owns the sockets: the listener that clients connect to, the connections to destinations, and
-// the watch of discovery. It drives the state machines of package protocol and carries what package routing decides.
+// Package transport owns the process's sockets: the listeners that clients connect to, the upstream connections to endpoints,
+// and the discovery watch. It drives the state machines of package protocol and performs the I/O that package routing decides
+// on.
 package transport
 
 import "sync"
 
-// Budget shares out the descriptors of the process.
+// Budget divides the file descriptors of the process between its uses.
 type Budget struct {
-	ClientConns   int // connections of clients that are served
-	OverflowConns int // further ones that are told that the sidecar is busy
-	UpstreamConns int // connections to destinations
+	ClientConns   int // client connections that are served
+	OverflowConns int // further client connections, whose requests are answered "busy"
+	UpstreamConns int // connections to endpoints
 }
 
-// reserve is kept for the standard streams, the poller, the listener, the watches of discovery and files.
+// reservedDescriptors is kept for the standard streams, the poller, the listener, the discovery watches and files.
 const reservedDescriptors = 14
 
-// MinSockets is the least number of descriptors that a sidecar can work with.
+// MinSockets is the smallest number of descriptors that a sidecar can work with.
 const MinSockets = reservedDescriptors + 10
 
-// worst is what a connection of a client may take, with its operation: the request and the answer at their largest.
+// maxClientConnBytes is the memory that a client connection and its request may take, with request and response at their
+// maximum size.
 const maxClientConnBytes = 192 << 10
 
-// NewBudget divides the descriptors that a process may hold. An operation holds one of the front's and at most one of
-// the destinations' at a time, and those being closed linger a moment, so the latter get the larger part.
+// NewBudget divides the descriptors that a process may hold. A request holds one client connection and at most one upstream
+// connection at a time. Upstream connections that are being closed hold their descriptor a little longer, so they get the
+// larger part.
 func NewBudget(sockets int, memory int64) Budget {
-	// The overflow shrinks with the whole: taken from 64 as from 1,024 it left the clients seven connections.
+	// The overflow scales with the total: a fixed number that suits 1,024 descriptors left only seven client connections out
+	// of 64.
 	b := Budget{OverflowConns: min(2+sockets/64, 16)}
 	free := max(sockets-reservedDescriptors-b.OverflowConns, 2)
 	b.ClientConns = free * 9 / 20
 	b.UpstreamConns = free - b.ClientConns
-	// Clients that are slow to send and to read, all at once, must not take the memory of the others.
+	// Clients that all send and read slowly at once must not take the memory of the rest of the process.
 	b.ClientConns = min(b.ClientConns, int(memory*6/10/maxClientConnBytes))
 	return b
 }
 
-// Room holds the descriptors that connections to destinations may take. Any goroutine may call it.
+// ConnLimiter bounds the upstream connections that may be open at a time. It is safe for concurrent use.
 type ConnLimiter interface {
-	Acquire() bool // one, if there is one
-	Release()      // gives one back
+	Acquire() bool // takes one descriptor and reports whether one was free
+	Release()      // gives one descriptor back
 }
 
-// meter is the Room of a process with one pool.
-type meter struct {
-	mu   sync.Mutex
-	open int
-	most int
+// countingLimiter is the ConnLimiter of a process with a single pool.
+type countingLimiter struct {
+	mu    sync.Mutex
+	open  int
+	limit int
 }
 
-// NewRoom returns a Room for some connections.
-func NewConnLimiter(most int) ConnLimiter { return &meter{most: most} }
+// NewConnLimiter returns a ConnLimiter that allows up to limit connections.
+func NewConnLimiter(limit int) ConnLimiter { return &countingLimiter{limit: limit} }
 
-// Take takes one. It implements Room.
-func (m *meter) Acquire() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.open >= m.most {
+// Acquire implements ConnLimiter.
+func (l *countingLimiter) Acquire() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open >= l.limit {
 		return false
 	}
-	m.open++
+	l.open++
 	return true
 }
 
-// Give gives one back. It implements Room.
-func (m *meter) Release() {
-	m.mu.Lock()
-	m.open--
-	m.mu.Unlock()
+// Release implements ConnLimiter.
+func (l *countingLimiter) Release() {
+	l.mu.Lock()
+	l.open--
+	l.mu.Unlock()
 }
--- a/internal/transport/chain.go
+++ b/internal/transport/chain.go
@@ -9,58 +9,61 @@
 	"kitewood/internal/protocol"
 )
 
-// Chain keeps the word of a chain of services for the operations of a pool: see package chain.
+// Chain applies the limits of a chain of services to the requests of a pool: it reads the chain header of an incoming request
+// and writes those of its attempts. See package chain. It is safe for concurrent use.
 type Chain struct {
-	Field string // that carries it, in the canonical form of header names
-	clock func() time.Duration
-	log   *slog.Logger
+	HeaderName string // of the chain header, in canonical form
+	clock      func() time.Duration
+	log        *slog.Logger
 
-	mu   sync.Mutex // each operation takes it a few times, for less than a microsecond
-	book *chain.Book
+	mu      sync.Mutex // held a few times per request, for less than a microsecond each
+	tracker *chain.Book
 }
 
-// NewChain returns a Chain by its limits. The seed draws the tokens of its words.
-func NewChain(field string, limits chain.Limits, seed uint64, clock func() time.Duration, log *slog.Logger) *Chain {
-	return &Chain{Field: field, clock: clock, log: log, book: chain.New(limits, seed)}
+// NewChain returns a Chain with the given limits. The seed determines the tokens of its chain headers.
+func NewChain(headerName string, limits chain.Limits, seed uint64, clock func() time.Duration, log *slog.Logger) *Chain {
+	return &Chain{HeaderName: headerName, clock: clock, log: log, tracker: chain.New(limits, seed)}
 }
 
-// enter takes an operation that waits until a deadline; the reply is the client's where it goes no further.
-func (c *Chain) enter(m *protocol.Message, deadline time.Duration, worth float64) (*chain.Visit, *protocol.Reply) {
+// begin registers a request with the given deadline and utility. A reply other than nil is the response to the client, and the
+// request must not be sent on.
+func (c *Chain) begin(m *protocol.Message, deadline time.Duration, utility float64) (*chain.Visit, *protocol.Reply) {
 	text := ""
-	if v := m.Header[c.Field]; len(v) > 1 {
-		return nil, &protocol.Reply{Status: 400, Why: "a request has one " + c.Field}
+	if v := m.Header[c.HeaderName]; len(v) > 1 {
+		return nil, &protocol.Reply{Status: 400, Why: "a request has one " + c.HeaderName}
 	} else if len(v) == 1 {
 		text = v[0]
 	}
 	now := c.clock()
 	c.mu.Lock()
-	v, no, first, err := c.book.Enter(now, text, deadline, worth)
+	entry, rejection, first, err := c.tracker.Enter(now, text, deadline, utility)
 	c.mu.Unlock()
 	switch {
 	case err != nil:
-		return nil, &protocol.Reply{Status: 400, Why: c.Field + ": " + err.Error()}
-	case no != nil:
+		return nil, &protocol.Reply{Status: 400, Why: c.HeaderName + ": " + err.Error()}
+	case rejection != nil:
 		if first {
-			c.log.Warn("a route leads operations in a circle or too far", "why", no.Why)
+			c.log.Warn("rejecting requests: the route forms a loop or passes too many services", "why", rejection.Why)
 		}
-		return nil, &protocol.Reply{Status: 508, Why: no.Why, Chain: c.Field}
-	case v.Deadline <= now:
-		c.end(v)
-		return nil, &protocol.Reply{Status: 503, Why: "busy: no time is left", Chain: c.Field}
+		return nil, &protocol.Reply{Status: 508, Why: rejection.Why, Chain: c.HeaderName}
+	case entry.Deadline <= now:
+		c.end(entry)
+		return nil, &protocol.Reply{Status: 503, Why: "busy: no time is left", Chain: c.HeaderName}
 	}
-	return v, nil
+	return entry, nil
 }
 
-// word is what the next attempt carries on; ok is false if it may not go out.
-func (c *Chain) word(v *chain.Visit) (string, bool) {
+// nextHeader returns the chain header of the next attempt of a request, and false if the attempt must not be sent.
+func (c *Chain) nextHeader(entry *chain.Visit) (string, bool) {
 	now := c.clock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return v.Send(now)
+	return entry.Send(now)
 }
 
-func (c *Chain) end(v *chain.Visit) {
+// end returns what the request has not used of its chain's retries.
+func (c *Chain) end(entry *chain.Visit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v.End()
+	entry.End()
 }
--- /dev/null
+++ b/internal/transport/clientconn.go
@@ -0,0 +1,456 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"runtime/debug"
+	"strings"
+	"time"
+
+	"kitewood/internal/guard"
+	"kitewood/internal/protocol"
+	"kitewood/internal/routing"
+)
+
+const (
+	requestReadTimeout   = 2500 * time.Millisecond             // to receive a request, from its first byte or from the accept
+	clientIdleTimeout    = 3 * time.Second                     // between two requests: many clients send one and never close
+	responseWriteTimeout = 5 * time.Second                     // to write a response to a client that does not read it
+	deadlineGrace        = 25 * time.Millisecond               // after a request's deadline, before the connection answers by itself
+	maxReadAhead         = protocol.MaxHead + protocol.MaxBody // bytes buffered while a response is pending
+	lingerTimeout        = 500 * time.Millisecond              // for the client to close its side
+	readMergeWindow      = 5 * time.Millisecond                // reads within it share a timestamp
+	shortLingerTimeout   = 50 * time.Millisecond               // replaces lingerTimeout while another client waits for a descriptor
+)
+
+// clientConn is one client connection. A single goroutine serves and closes it; others may only ask it to close. While a
+// request is in flight that goroutine keeps reading, as nothing else shows that the client has disconnected. The answer wakes it
+// up by moving its read deadline into the past.
+type clientConn struct {
+	server            *Server
+	conn              net.Conn
+	overBudget        bool // accepted beyond the budget: its requests are answered "busy"
+	parser            protocol.Machine
+	readAhead         []byte     // read from the connection and not yet parsed
+	readMarks         []readMark // when the bytes of readAhead, and those parsed last, were read
+	bytesRead         int        // in total
+	closing           bool       // the connection closes once all that was read is answered
+	readAheadExceeded bool       // the client sent more than is buffered: the connection closes after its next response
+
+	state          clientState // guarded by server.mu, as are since, closeRequested and closable
+	since          time.Time   // when the state, or the request being received, began
+	closeRequested bool        // asked to close, to free a descriptor or because the sidecar stops
+	closable       bool        // may be asked to close: it has come to its first read
+
+	reason          closeReason // why it closes
+	lastID          string      // of the last request
+	responsePending bool        // a request was received and its response is not written
+
+	request *routing.Operation // in flight, nil for none
+	loop    *routing.Loop      // that handles request
+	answer  chan routing.Answer
+}
+
+// readMark records when the bytes of the connection up to an offset were read.
+type readMark struct {
+	offset int
+	at     time.Time
+}
+
+// clientState is the state of a client connection. Except for clientActive, requestClose prefers the lower values.
+type clientState uint8
+
+const (
+	clientActive  clientState = iota // a request is in flight or being answered
+	clientNew                        // nothing has been received yet
+	clientReading                    // a part of a request has been received
+	clientIdle                       // between two requests
+)
+
+// serve handles the requests of the connection until it closes.
+func (c *clientConn) serve() {
+	defer c.finish()
+	buf := make([]byte, 4<<10)
+	// A connection without a request has the same time as a slow request, so that masses of silent connections are closed.
+	state, since := clientNew, c.since
+	readDeadline := since.Add(requestReadTimeout)
+	var requestBegan time.Time // when the first bytes of a request arrived
+	continued := false         // the client was sent "100 Continue"
+	for {
+		msg, err := c.nextRequest()
+		if err != nil {
+			c.setCloseReason(closedBadRequest)
+			c.replyError(err)
+			return
+		}
+		if msg != nil {
+			continued = false
+			if !c.handle(msg, buf) {
+				return
+			}
+			state, since = clientIdle, time.Now()
+			readDeadline = since.Add(clientIdleTimeout)
+			continue
+		}
+		if !c.parser.Idle() && state != clientReading {
+			if state == clientIdle {
+				since = time.Now()
+				readDeadline = since.Add(requestReadTimeout)
+			}
+			state, requestBegan = clientReading, time.Now()
+		}
+		if head := c.parser.Head(); head != nil && !continued && head.Header.Get("Expect") != "" {
+			continued = true
+			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		}
+		if c.closing && peek(c.conn) != peekData {
+			// A partial request gets as much time as in requestClose.
+			graceEnd := requestBegan.Add(partialRequestGrace)
+			if state != clientReading || !time.Now().Before(graceEnd) {
+				c.setCloseReason(closedOnRequest)
+				c.closeGracefully(state) // nothing further has been received, and what arrives from here on is not read as a request
+				return
+			}
+			if graceEnd.Before(readDeadline) {
+				readDeadline = graceEnd
+			}
+		}
+		// The deadline is set anew before each read: the wake-up of an answer may come after the answer itself was
+		// seen, and must not end a later read. It is set before the state: from then on the connection may be asked to
+		// close, and that wake-up must not be lost.
+		c.conn.SetReadDeadline(readDeadline)
+		c.setState(state, since)
+		n, err := c.conn.Read(buf)
+		if c.setState(clientActive, since) {
+			if c.closing = true; n > 0 {
+				c.drainPending() // what has been read is answered first, as the client waits for it
+			}
+		}
+		c.bufferRead(buf[:n])
+		switch {
+		case n > 0 || err == nil:
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			if !time.Now().Before(readDeadline) {
+				if state == clientReading || peek(c.conn) != peekData {
+					c.setCloseReason(map[bool]closeReason{true: closedIdleTimeout, false: closedRequestTimeout}[state == clientIdle])
+					c.closeGracefully(state)
+					return
+				}
+				readDeadline = time.Now().Add(requestReadTimeout) // a request arrived just as the time ran out
+			}
+		default:
+			if state == clientReading && errors.Is(err, io.EOF) {
+				_, truncated := c.parser.End()
+				c.setCloseReason(closedBadRequest)
+				c.replyError(truncated)
+			}
+			c.setCloseReason(closedByClient)
+			return
+		}
+	}
+}
+
+// closeGracefully closes a connection without a pending response. It closes the write side first: a request that crosses the
+// close on the wire is then not reset, and its client knows that it was not processed.
+func (c *clientConn) closeGracefully(state clientState) {
+	switch {
+	case state == clientReading:
+		c.replyError(&protocol.Error{Status: 408, Why: "the request took too long to come"})
+	case state == clientIdle || c.server.closing.Load():
+		c.lingeringClose()
+	}
+}
+
+// drainPending makes a connection that was asked to close count as open again: it has a request to answer before it closes, and
+// other connections may close sooner.
+func (c *clientConn) drainPending() {
+	c.server.mu.Lock()
+	c.closeRequested = false
+	c.server.openConns++
+	c.server.mu.Unlock()
+}
+
+// bufferRead buffers what has been read until it is parsed. A client that sends more than the longest request ahead of its
+// response gets no answer to the excess: the connection closes after the next response. Reading goes on all the same, as
+// otherwise the client's disconnect would not be seen.
+func (c *clientConn) bufferRead(p []byte) {
+	if len(c.readAhead)+len(p) > maxReadAhead {
+		c.closing, c.readAheadExceeded = true, true
+		return
+	}
+	if len(p) == 0 {
+		return
+	}
+	if len(c.readAhead) == 0 { // all earlier bytes have been parsed
+		c.readMarks = c.readMarks[:0]
+	}
+	c.readAhead = append(c.readAhead, p...)
+	c.bytesRead += len(p)
+	// Bytes that arrive one by one share a timestamp. The time left that is reported is then a little too short, never too long.
+	if last := len(c.readMarks) - 1; last >= 0 && time.Since(c.readMarks[last].at) < readMergeWindow {
+		c.readMarks[last].offset = c.bytesRead
+	} else {
+		c.readMarks = append(c.readMarks, readMark{c.bytesRead, time.Now()})
+	}
+}
+
+// requestReadAt returns when the last byte of the most recently parsed request was read. A client's deadline counts from there:
+// a request that was sent ahead may have waited long for the response before it.
+func (c *clientConn) requestReadAt() time.Time {
+	parsed := c.bytesRead - len(c.readAhead)
+	for len(c.readMarks) > 1 && c.readMarks[0].offset < parsed {
+		c.readMarks = c.readMarks[1:]
+	}
+	return c.readMarks[0].at
+}
+
+// setState records the state of the connection and reports whether it has been asked to close, which can happen in every state
+// but clientActive.
+func (c *clientConn) setState(state clientState, since time.Time) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.markClosable()
+	if c.state, c.since = state, since; state != clientActive {
+		c.server.changed.Broadcast()
+	}
+	return c.closeRequested
+}
+
+// markClosable removes the connection from the count of those that cannot be asked to close yet. server.mu is held.
+func (c *clientConn) markClosable() {
+	if !c.closable {
+		c.closable = true
+		c.server.notClosable--
+	}
+}
+
+// nextRequest parses a request from the buffered bytes. It returns nil while the request is incomplete.
+func (c *clientConn) nextRequest() (*protocol.Message, error) {
+	if len(c.readAhead) == 0 {
+		return nil, nil
+	}
+	used, msg, err := c.parser.Feed(c.readAhead)
+	if c.readAhead = c.readAhead[used:]; len(c.readAhead) == 0 {
+		c.readAhead = nil
+	}
+	return msg, err
+}
+
+// closesSoon reports whether the connection is to close once all that has been read is answered.
+func (c *clientConn) closesSoon() bool { return c.overBudget || c.closing || c.server.closing.Load() }
+
+// handle answers one request and reports whether the connection stays open.
+func (c *clientConn) handle(m *protocol.Message, buf []byte) bool {
+	c.responsePending = true
+	last := func() bool { return m.Close || c.readAheadExceeded || c.closesSoon() && len(c.readAhead) == 0 }
+	if path, _, _ := strings.Cut(m.Start[1], "?"); path == "/health/ready" {
+		r := protocol.Reply{Status: 200, Why: "ready"}
+		if m.Start[0] != "GET" {
+			r = protocol.Reply{Status: 405, Allow: "GET", Why: "this path wants GET"}
+		} else if d := guard.MayStart(guard.Starting{Serving: c.server.serving.Load(), Stopping: c.server.draining.Load()}); d != nil {
+			r = protocol.Reply{Status: 503, Why: d.Why}
+		} else {
+			c.server.checkReady(c.server.clock.Now() - time.Since(c.requestReadAt()))
+		}
+		return c.reply(r, last())
+	}
+	backend, meta, err := (*c.server.router.Load())(m)
+	if err != nil {
+		var e *protocol.Error
+		errors.As(err, &e)
+		return c.reply(protocol.Reply{Status: e.Status, Why: e.Why, Allow: e.Allow}, last())
+	}
+	if c.overBudget {
+		return c.reply(protocol.Reply{Status: 503, Why: "busy: too many connections"}, last())
+	}
+	return c.forward(m, backend, meta, buf, last)
+}
+
+// forward sends a request to its backend and answers the client. It reports whether the connection stays open.
+func (c *clientConn) forward(m *protocol.Message, backend *Backend, meta protocol.Operation, buf []byte, last func() bool) bool {
+	loop := backend.Loop
+	busy := protocol.Reply{Status: 503, RetryAfter: backend.RetryAfter, Why: "busy"}
+	if backend.Chain != nil {
+		busy.Chain = backend.Chain.HeaderName
+	}
+	var sent func()
+	if backend.Admission != nil {
+		admission, ok := backend.Admission.Admit(len(m.Body))
+		if !ok {
+			return c.reply(busy, last())
+		}
+		defer admission.Release()
+		sent = admission.Sent
+	}
+	answer := make(chan routing.Answer, 1)
+	c.answer = answer
+	deadline := loop.Now() - time.Since(c.requestReadAt()) + meta.TimeLeft
+	var nextHeader func() (string, bool)
+	if backend.Chain != nil {
+		entry, reply := backend.Chain.begin(m, deadline, backend.utility(meta.Class))
+		if reply != nil {
+			return c.reply(*reply, last())
+		}
+		defer backend.Chain.end(entry)
+		deadline, nextHeader = entry.Deadline, func() (string, bool) { return backend.Chain.nextHeader(entry) }
+	}
+	if c.server.draining.Load() { // the process may be killed after that, and the request lost
+		deadline = min(deadline, time.Duration(c.server.drainDeadline.Load()))
+	}
+	req := &routing.Operation{Class: meta.Class, Deadline: deadline, Hint: meta.Hint,
+		Repeat: meta.Repeat, Payload: m, Key: meta.ID, Sent: sent, Origin: backend.originHash(m), Word: nextHeader, Left: func() bool { return peek(c.conn) == peekClosed }}
+	c.lastID = meta.ID
+	if req.Left() { // the client has disconnected: nothing is started for it
+		c.setCloseReason(closedMidRequest)
+		return false
+	}
+	req.Done = func(a routing.Answer) {
+		answer <- a                            // not c.answer: a late answer must not reach the next request
+		c.conn.SetReadDeadline(pastDeadline()) // wakes up the read in awaitAnswer
+	}
+	c.request, c.loop = req, loop
+	if !loop.Submit(req) {
+		c.request = nil
+		return c.reply(busy, last())
+	}
+	a, connected := c.awaitAnswer(buf)
+	c.request = nil
+	if !connected {
+		c.setCloseReason(closedMidRequest)
+		loop.Abandon(req)
+		return false
+	}
+	close := last()
+	switch a.Verdict {
+	case routing.Served:
+		served := a.Payload.(*protocol.Message)
+		return c.send(close, protocol.ServedHead(served, close), served.Body)
+	case routing.Busy:
+		busy.RetryAfter = a.RetryAfter
+		return c.reply(busy, close)
+	}
+	if a.Verdict == routing.Doubled {
+		return c.reply(protocol.Reply{Status: 409, Why: "a request with this id is open"}, close)
+	}
+	return c.reply(protocol.Reply{Status: 502, Why: "failed"}, close)
+}
+
+// awaitAnswer keeps reading until the answer to the request is there; it returns false if the client disconnects first. If there
+// is no answer shortly after the deadline, the request has failed.
+func (c *clientConn) awaitAnswer(buf []byte) (routing.Answer, bool) {
+	readDeadline := c.loop.At(c.request.Deadline + deadlineGrace)
+	for time.Now().Before(readDeadline) {
+		// The deadline is set before the answer is looked for: an answer that comes later moves the deadline again.
+		c.conn.SetReadDeadline(readDeadline)
+		select {
+		case a := <-c.answer:
+			return a, true
+		default:
+		}
+		n, err := c.conn.Read(buf)
+		c.bufferRead(buf[:n])
+		if n == 0 && err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			select {
+			case a := <-c.answer: // the client may have closed only its write side
+				return a, true
+			default:
+				return routing.Answer{}, false
+			}
+		}
+	}
+	c.loop.Abandon(c.request)
+	select {
+	case a := <-c.answer:
+		return a, true
+	default:
+		return routing.Answer{Verdict: routing.Failed}, true
+	}
+}
+
+// replyError answers data that is not a valid request. As the end of that request is not known, the connection closes.
+func (c *clientConn) replyError(err error) {
+	var e *protocol.Error
+	if errors.As(err, &e) {
+		c.reply(protocol.Reply{Status: e.Status, Why: e.Why}, true)
+	}
+}
+
+// reply writes a response of the sidecar's own and reports whether the connection stays open.
+func (c *clientConn) reply(r protocol.Reply, last bool) bool {
+	return c.send(last, r.Text(last))
+}
+
+// send writes a response and reports whether the connection stays open.
+func (c *clientConn) send(last bool, parts ...[]byte) bool {
+	if !c.write(parts...) {
+		c.setCloseReason(closedWriteFailed)
+		return false
+	}
+	c.responsePending = false
+	if last {
+		c.setCloseReason(closedLastResponse)
+		c.lingeringClose()
+	}
+	return !last
+}
+
+// write reports whether all parts were written in time.
+func (c *clientConn) write(parts ...[]byte) bool {
+	c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	text := net.Buffers(parts)
+	_, err := text.WriteTo(c.conn)
+	return err == nil
+}
+
+// lingeringClose closes the write side and lets the client read the response: closing both sides while the client still sends
+// would reset the connection and lose it. What the client sends is discarded. The wake-up of an answer that was already seen may
+// come now, and is no reason to close.
+func (c *clientConn) lingeringClose() {
+	tcp, ok := c.conn.(interface{ CloseWrite() error })
+	if !ok || tcp.CloseWrite() != nil {
+		return
+	}
+	began := time.Now()
+	buf := make([]byte, 4<<10)
+	for budget := 4 * protocol.MaxBody; ; {
+		elapsed := time.Since(began)
+		if elapsed >= lingerTimeout || elapsed >= shortLingerTimeout && c.server.descriptorWanted.Load() {
+			return
+		}
+		if budget <= 0 { // a flood is not read forever, but the response still gets its time
+			time.Sleep(shortLingerTimeout)
+			continue
+		}
+		c.conn.SetReadDeadline(time.Now().Add(shortLingerTimeout))
+		n, err := c.conn.Read(buf)
+		if budget -= n; n == 0 && err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			return
+		}
+	}
+}
+
+// finish closes the connection. It recovers from a panic of its goroutine; a request that was in flight is still answered.
+func (c *clientConn) finish() {
+	if p := recover(); p != nil {
+		c.setCloseReason(closedPanic)
+		c.server.log.Error("panic while serving a client connection", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+		if c.request != nil {
+			c.loop.Abandon(c.request)
+		}
+		c.reply(protocol.Reply{Status: 500, Why: "failed"}, true)
+	}
+	c.answerPending()
+	c.recordClose()
+	c.conn.Close()
+	c.server.mu.Lock()
+	delete(c.server.conns, c)
+	c.markClosable()
+	if !c.closeRequested {
+		c.server.openConns--
+	}
+	c.server.changed.Broadcast()
+	c.server.mu.Unlock()
+}
--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -5,18 +5,18 @@
 	"syscall"
 )
 
-// sight is what waits on a connection, as peek tells.
-type sight uint8
+// peekResult is what peek found on a connection.
+type peekResult uint8
 
 const (
-	peekNothing sight = iota // nothing: it stands
-	peekData                 // bytes that were not read
-	peekClosed               // its end, or an error
+	peekNothing peekResult = iota // open, with nothing to read
+	peekData                      // unread bytes
+	peekClosed                    // closed by the peer, or an error
 )
 
-// peek tells what waits on a connection without reading it. The peer's end or bytes can be there before the goroutine
-// that reads the connection has run.
-func peek(conn net.Conn) sight {
+// peek reports what can be read from a connection without consuming it. Bytes or the peer's close can have arrived before the
+// goroutine that reads the connection has run.
+func peek(conn net.Conn) peekResult {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return peekClosed
@@ -25,18 +25,18 @@
 	if err != nil {
 		return peekClosed
 	}
-	seen := peekClosed
+	result := peekClosed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		switch n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case e == syscall.EAGAIN || e == syscall.EINTR:
-			seen = peekNothing
+			result = peekNothing
 		case e == nil && n > 0:
-			seen = peekData
+			result = peekData
 		}
 	})
 	if err != nil {
 		return peekClosed
 	}
-	return seen
+	return result
 }
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/race_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	h.TCPConn = conn.(*net.TCPConn)
-	go f.enter(h).serve()
+	go f.register(h).serve()
 	return client, r
 }
 
@@ -81,7 +81,7 @@
 func ask(f *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.askOne()
+	return f.requestClose()
 }
 
 // counted is a destination that answers, and counts what comes to it.
@@ -111,7 +111,7 @@
 	if !asked.Load() || len(came) != 1 {
 		t.Errorf("asked: %v; it was sent on %d times", asked.Load(), len(came))
 	}
-	testkit.Until(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.live == 0 && len(f.conns) == 0 })
+	testkit.Until(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.openConns == 0 && len(f.conns) == 0 })
 }
 
 // A connection is asked to end as the first part of its request is read: the rest has a moment to come, and the request is
@@ -185,7 +185,11 @@
 	}})
 	_, r := dial(t, ln)
 	began := time.Now()
-	testkit.Until(t, "it is asked to end", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) > 0 && f.live == 0 || f.askOne() })
+	testkit.Until(t, "it is asked to end", func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.conns) > 0 && f.openConns == 0 || f.requestClose()
+	})
 	if _, err := r.ReadByte(); err != io.EOF || time.Since(began) > time.Second {
 		t.Errorf("it ended %v after it was asked to: %v", time.Since(began), err)
 	}
@@ -270,7 +274,7 @@
 	h := &hooked{closed: func() { ending.Store(true) }}
 	h.timed = func(time.Time) {
 		if ending.CompareAndSwap(true, false) {
-			h.TCPConn.SetReadDeadline(longAgo())
+			h.TCPConn.SetReadDeadline(pastDeadline())
 		}
 	}
 	c, r := serveHooked(t, f, h)
@@ -647,7 +651,7 @@
 	<-came
 	time.Sleep(20 * time.Millisecond) // the others are read
 	f.draining.Store(true)
-	f.until.Store(int64(f.clock.Now() + 2*time.Second))
+	f.drainDeadline.Store(int64(f.clock.Now() + 2*time.Second))
 	f.closing.Store(true)
 	close(let)
 	for i := range requests {
--- a/internal/transport/front_test.go
+++ b/internal/transport/server_test.go
@@ -62,7 +62,7 @@
 // leads is the Loop that a listener takes operations to.
 func leads(t *testing.T, f *Server) *routing.Loop {
 	t.Helper()
-	to, _, err := (*f.find.Load())(&protocol.Message{Start: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
+	to, _, err := (*f.router.Load())(&protocol.Message{Start: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,10 +307,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c := &frontConn{front: f, conn: conn, since: time.Now().Add(-time.Hour)}
+	c := &clientConn{server: f, conn: conn, since: time.Now().Add(-time.Hour)}
 	f.mu.Lock()
 	f.conns[c] = struct{}{}
-	f.live++
+	f.openConns++
 	f.mu.Unlock()
 	go c.serve()
 	if status, _ := readResponse(t, r); status != "200" {
@@ -378,12 +378,12 @@
 		violations uint64
 	}{{true, 0, 0}, {true, came + time.Second, 0}, {true, came - time.Second, 1}, {false, 0, 2}} {
 		f.serving.Store(c.serving)
-		f.stopsSince.Store(int64(c.stopsSince))
+		f.stopRequestedAt.Store(int64(c.stopsSince))
 		f.checkReady(came)
 		if n := f.guard.Violations()[guard.Start.String()]; n != c.violations {
 			t.Errorf("case %d: %d violations are counted, want %d", i, n, c.violations)
 		}
 	}
 	f.serving.Store(true)
-	f.stopsSince.Store(0)
+	f.stopRequestedAt.Store(0)
 }
