--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -13,43 +13,44 @@
 	"kitewood/internal/testkit"
 )
 
-// failingListener fails to accept for some time, in all the ways in which the system does.
+// failingListener fails to accept until a given time, with each of the errors that the operating system returns.
 type failingListener struct {
 	net.Listener
-	until time.Time
-	tries atomic.Int64 // the test reads it while the listener is served
+	until    time.Time
+	attempts atomic.Int64 // atomic: the test reads it while the listener is served
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
 	errnos := []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
 	if time.Now().Before(l.until) {
-		try := int(l.tries.Add(1))
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: errnos[try%len(errnos)]}
+		attempt := int(l.attempts.Add(1))
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: errnos[attempt%len(errnos)]}
 	}
 	return l.Listener.Accept()
 }
 
-// Accept fails for a while: that neither spins nor fills the log, and who waits is served as soon as it works again.
-func TestAcceptFails(t *testing.T) {
-	f, ln := unserved(t)
+// Accept fails for a while: the accept loop must neither spin nor fill the log, and must serve waiting clients soon after accept
+// works again.
+func TestAcceptFailures(t *testing.T) {
+	srv, ln := newUnservedSidecar(t)
 	log := &testkit.Log{}
-	f.log = slog.New(slog.NewTextHandler(log, nil))
-	const fails = 700 * time.Millisecond
-	failing := &failingListener{Listener: ln, until: time.Now().Add(fails)}
+	srv.log = slog.New(slog.NewTextHandler(log, nil))
+	const outage = 700 * time.Millisecond
+	failing := &failingListener{Listener: ln, until: time.Now().Add(outage)}
 	c, r := dial(t, ln)
-	io.WriteString(c, look)
+	io.WriteString(c, lookRequest)
 	began := time.Now()
-	go f.Serve(failing)
+	go srv.Serve(failing)
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Errorf("answered %s", status)
+		t.Errorf("response status %s, want 200", status)
 	}
-	if took := time.Since(began); took > fails+300*time.Millisecond {
-		t.Errorf("answered %v after accept worked again", took-fails)
+	if took := time.Since(began); took > outage+300*time.Millisecond {
+		t.Errorf("responded %v after accept worked again, want at most 300ms", took-outage)
 	}
-	if tries := failing.tries.Load(); tries > 60 {
-		t.Errorf("%d tries in %v", tries, fails)
+	if attempts := failing.attempts.Load(); attempts > 60 {
+		t.Errorf("%d accept calls in %v, want at most 60", attempts, outage)
 	}
 	if n := strings.Count(log.String(), "\n"); n != 2 {
-		t.Errorf("%d lines, want the first failure and the end: %s", n, log)
+		t.Errorf("%d log lines, want 2, for the first failure and the recovery: %s", n, log)
 	}
 }
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -15,9 +15,10 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
+// discardLog is a logger without output.
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// server listens on loopback and hands each connection to a function.
+// startTestServer listens on loopback, calls serve for each connection and returns its address.
 func startTestServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +38,7 @@
 	return ln.Addr().String()
 }
 
-// head reads one request without a body and returns its text.
+// readRequest reads one request without a body and returns its text, which is empty if the connection ends first.
 func readRequest(c net.Conn) string {
 	var text []byte
 	for b := make([]byte, 1); !strings.HasSuffix(string(text), "\r\n\r\n"); text = append(text, b[0]) {
@@ -48,14 +49,15 @@
 	return string(text)
 }
 
+// newTestPool returns a connection pool of up to four connections.
 func newTestPool(clock routing.Clock) *Destinations {
 	return NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: NewConnLimiter(4), Log: discardLog})
 }
 
-// probe runs one exchange and returns how it ended.
-func runProbe(u *Destinations, d *routing.Destination) balance.Status {
+// runProbe sends one probe and returns its status.
+func runProbe(pool *Destinations, endpoint *routing.Destination) balance.Status {
 	ended := make(chan routing.Result, 1)
-	u.Probe(d, func(r routing.Result) { ended <- r })
+	pool.Probe(endpoint, func(r routing.Result) { ended <- r })
 	r := <-ended
 	if r.Err != nil {
 		return r.Err.Status()
--- a/internal/transport/race_test.go
+++ b/internal/transport/race_test.go
@@ -20,47 +20,47 @@
 	"kitewood/internal/testkit"
 )
 
-// Two things that meet between two lines of the code are forced to here: each test puts the second where the first has
-// just happened, over real sockets.
+// The tests in this file force a particular order of two concurrent events that otherwise comes about only by chance: each test
+// triggers the second event right after the first, over real sockets.
 
-// hooked is a connection that tells when something has been done on it.
-type hooked struct {
+// hookedConn is a connection that calls hooks around its operations.
+type hookedConn struct {
 	*net.TCPConn
-	read   func()          // some bytes were read
-	timing func()          // the time of its read is about to be set
-	closed func()          // its own side was closed
-	timed  func(time.Time) // the time of its read was set
+	onRead                func()          // bytes have been read
+	beforeSetReadDeadline func()          // the read deadline is about to be set
+	onCloseWrite          func()          // the write side has been closed
+	onSetReadDeadline     func(time.Time) // the read deadline has been set
 }
 
-func (h *hooked) Read(p []byte) (int, error) {
+func (h *hookedConn) Read(p []byte) (int, error) {
 	n, err := h.TCPConn.Read(p)
-	if n > 0 && h.read != nil {
-		h.read()
+	if n > 0 && h.onRead != nil {
+		h.onRead()
 	}
 	return n, err
 }
 
-func (h *hooked) CloseWrite() error {
+func (h *hookedConn) CloseWrite() error {
 	err := h.TCPConn.CloseWrite()
-	if h.closed != nil {
-		h.closed()
+	if h.onCloseWrite != nil {
+		h.onCloseWrite()
 	}
 	return err
 }
 
-func (h *hooked) SetReadDeadline(t time.Time) error {
-	if h.timing != nil {
-		h.timing()
+func (h *hookedConn) SetReadDeadline(t time.Time) error {
+	if h.beforeSetReadDeadline != nil {
+		h.beforeSetReadDeadline()
 	}
 	err := h.TCPConn.SetReadDeadline(t)
-	if h.timed != nil {
-		h.timed(t)
+	if h.onSetReadDeadline != nil {
+		h.onSetReadDeadline(t)
 	}
 	return err
 }
 
-// serveHooked has a Front serve one connection with hooks, and returns the client's end.
-func serveHooked(t *testing.T, f *Server, h *hooked) (net.Conn, *bufio.Reader) {
+// serveHookedConn makes a server serve one connection with hooks, and returns the client's end.
+func serveHookedConn(t *testing.T, srv *Server, h *hookedConn) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,97 +73,97 @@
 		t.Fatal(err)
 	}
 	h.TCPConn = conn.(*net.TCPConn)
-	go f.register(h).serve()
+	go srv.register(h).serve()
 	return client, r
 }
 
-// ask asks one connection to end, as making room does.
-func ask(f *Server) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.requestClose()
+// requestOneClose asks one connection to close, as is done to free a descriptor.
+func requestOneClose(srv *Server) bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return srv.requestClose()
 }
 
-// counted is a destination that answers, and counts what comes to it.
-func counted(t *testing.T) (string, chan string) {
-	came := make(chan string, 99)
+// startCountingServer starts an endpoint that answers each request with 200. The text of each request is sent to the channel.
+func startCountingServer(t *testing.T) (string, chan string) {
+	requests := make(chan string, 99)
 	return startTestServer(t, func(conn net.Conn) {
 		for text := readRequest(conn); text != ""; text = readRequest(conn) {
-			came <- text
+			requests <- text
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		}
-	}), came
+	}), requests
 }
 
-// A connection is asked to end when its request has just been read: the request is answered whole, and once, and then the
-// connection ends. Closed by whoever asked, it ended with no answer to what had been read.
-func TestAskedToEndOverARequest(t *testing.T) {
-	at, came := counted(t)
-	f, _ := sidecar(t, 4, at)
+// A connection is asked to close just after a request has been read from it: the request is sent on once and answered, and then
+// the connection closes. If another goroutine closed it, a request that has been read would get no response.
+func TestCloseRequestedAfterARequestIsRead(t *testing.T) {
+	address, requests := startCountingServer(t)
+	srv, _ := startSidecar(t, 4, address)
 	var once sync.Once
-	var asked atomic.Bool
-	c, r := serveHooked(t, f, &hooked{read: func() { once.Do(func() { asked.Store(ask(f)) }) }})
-	io.WriteString(c, look)
+	var closeRequested atomic.Bool
+	c, r := serveHookedConn(t, srv, &hookedConn{onRead: func() { once.Do(func() { closeRequested.Store(requestOneClose(srv)) }) }})
+	io.WriteString(c, lookRequest)
 	text, err := io.ReadAll(r)
 	if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 200 ") || !strings.Contains(string(text), "Connection: close") {
-		t.Errorf("answered %q, %v", text, err)
+		t.Errorf("response %q, %v; want status 200 and Connection: close", text, err)
 	}
-	if !asked.Load() || len(came) != 1 {
-		t.Errorf("asked: %v; it was sent on %d times", asked.Load(), len(came))
+	if !closeRequested.Load() || len(requests) != 1 {
+		t.Errorf("close requested: %v, want true; request sent on %d times, want 1", closeRequested.Load(), len(requests))
 	}
-	testkit.Until(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.openConns == 0 && len(f.conns) == 0 })
+	testkit.Until(t, "all connections are released", func() bool { srv.mu.Lock(); defer srv.mu.Unlock(); return srv.openConns == 0 && len(srv.conns) == 0 })
 }
 
-// A connection is asked to end as the first part of its request is read: the rest has a moment to come, and the request is
-// answered whole. It was told that it had taken too long.
-func TestAskedToEndOverHalfARequest(t *testing.T) {
-	at, came := counted(t)
-	f, _ := sidecar(t, 4, at)
-	half := func() (net.Conn, *bufio.Reader) {
+// A connection is asked to close just after the first part of a request has been read from it: the rest gets a short grace period
+// to arrive, and the request is answered, not rejected with 408.
+func TestCloseRequestedAfterAPartialRequestIsRead(t *testing.T) {
+	address, requests := startCountingServer(t)
+	srv, _ := startSidecar(t, 4, address)
+	sendPartial := func() (net.Conn, *bufio.Reader) {
 		var once sync.Once
-		asked := make(chan bool, 1)
-		c, r := serveHooked(t, f, &hooked{read: func() { once.Do(func() { asked <- ask(f) }) }})
-		io.WriteString(c, look[:20])
-		if !<-asked {
-			t.Fatal("it was not asked to end")
+		requested := make(chan bool, 1)
+		c, r := serveHookedConn(t, srv, &hookedConn{onRead: func() { once.Do(func() { requested <- requestOneClose(srv) }) }})
+		io.WriteString(c, lookRequest[:20])
+		if !<-requested {
+			t.Fatal("no connection could be asked to close")
 		}
 		return c, r
 	}
-	c, r := half()
+	c, r := sendPartial()
 	time.Sleep(30 * time.Millisecond)
-	io.WriteString(c, look[20:])
-	if text, err := io.ReadAll(r); err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 200 ") || len(came) != 1 {
-		t.Errorf("answered %q, %v; it was sent on %d times", text, err, len(came))
+	io.WriteString(c, lookRequest[20:])
+	if text, err := io.ReadAll(r); err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 200 ") || len(requests) != 1 {
+		t.Errorf("response %q, %v, want status 200; request sent on %d times, want 1", text, err, len(requests))
 	}
-	// One that never comes whole does not hold its descriptor for longer than that.
+	// A request that is never completed holds its descriptor no longer than the grace period.
 	began := time.Now()
-	_, r = half()
+	_, r = sendPartial()
 	if text, _ := io.ReadAll(r); !strings.HasPrefix(string(text), "HTTP/1.1 408 ") || time.Since(began) > time.Second {
-		t.Errorf("half a request was answered %q after %v", text, time.Since(began))
+		t.Errorf("partial request: response %q after %v, want status 408 within a second", text, time.Since(began))
 	}
 }
 
-// unserved is a sidecar without a listener, and one that the test has it serve as it likes.
-func unserved(t *testing.T) (*Server, net.Listener) {
+// newUnservedSidecar returns a sidecar that serves no listener, and a listener that the test makes it serve as needed.
+func newUnservedSidecar(t *testing.T) (*Server, net.Listener) {
 	t.Helper()
-	f, plain, run := prepareSidecar(t, 4, startTestServer(t, serveOK), testSettings(), "")
+	srv, unused, run := prepareSidecar(t, 4, startTestServer(t, serveOK), testSettings(), "")
 	run()
-	plain.Close()
+	unused.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	return f, ln
+	return srv, ln
 }
 
-// wrapping is a listener whose connections are wrapped.
-type wrapping struct {
+// wrappingListener wraps the connections that it accepts.
+type wrappingListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
 }
 
-func (w *wrapping) Accept() (net.Conn, error) {
+func (w *wrappingListener) Accept() (net.Conn, error) {
 	c, err := w.Listener.Accept()
 	if err == nil {
 		c = w.wrap(c)
@@ -171,180 +171,180 @@
 	return c, err
 }
 
-// A connection is asked to end before it has first set the time of its read: either it is not yet one that can be asked, or it
-// ends at once. It set that time over the wake-up and stood for 2.5 s, while no other client was accepted.
-func TestAskedToEndBeforeItsFirstRead(t *testing.T) {
-	f, ln := unserved(t)
-	var asked atomic.Bool
-	go f.Serve(&wrapping{ln, func(c net.Conn) net.Conn {
-		return &hooked{TCPConn: c.(*net.TCPConn), timing: func() {
-			if asked.CompareAndSwap(false, true) { // to ask sets the time, too
-				ask(f)
+// A connection is asked to close before it has set its first read deadline: either it cannot be asked yet, or it closes at once.
+// Otherwise it sets that deadline over the wake-up and stays open for 2.5 s, while no other client is accepted.
+func TestCloseRequestedBeforeTheFirstRead(t *testing.T) {
+	srv, ln := newUnservedSidecar(t)
+	var requested atomic.Bool
+	go srv.Serve(&wrappingListener{ln, func(c net.Conn) net.Conn {
+		return &hookedConn{TCPConn: c.(*net.TCPConn), beforeSetReadDeadline: func() {
+			if requested.CompareAndSwap(false, true) { // a close request sets the deadline, too
+				requestOneClose(srv)
 			}
 		}}
 	}})
 	_, r := dial(t, ln)
 	began := time.Now()
-	testkit.Until(t, "it is asked to end", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.conns) > 0 && f.openConns == 0 || f.requestClose()
+	testkit.Until(t, "the connection is asked to close", func() bool {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		return len(srv.conns) > 0 && srv.openConns == 0 || srv.requestClose()
 	})
 	if _, err := r.ReadByte(); err != io.EOF || time.Since(began) > time.Second {
-		t.Errorf("it ended %v after it was asked to: %v", time.Since(began), err)
+		t.Errorf("closed %v after the request, with %v; want EOF within a second", time.Since(began), err)
 	}
 }
 
-// A client sends its next request before it has the answer to the last one: its time counts from when it came, not from when
-// its turn did, for what its attempt tells and for when it is answered.
-func TestTimeOfARequestSentAhead(t *testing.T) {
-	const wait, given = 400 * time.Millisecond, 1500
-	told := make(chan int, 9)
-	_, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+// A client sends its next requests before it has the response to the first. The time left of a request counts from when it was
+// received, not from when its turn came, both for the value that the attempt reports and for when the request is answered.
+func TestDeadlineOfAPipelinedRequest(t *testing.T) {
+	const serviceTime, timeLeft = 400 * time.Millisecond, 1500
+	reported := make(chan int, 9)
+	_, ln := startSidecar(t, 4, startTestServer(t, func(conn net.Conn) {
 		for text := readRequest(conn); text != ""; text = readRequest(conn) {
-			_, left, _ := strings.Cut(text, "X-Time-Left-Ms: ")
-			ms, _ := strconv.Atoi(strings.TrimSpace(strings.SplitN(left, "\r\n", 2)[0]))
-			told <- ms
-			time.Sleep(wait)
+			_, rest, _ := strings.Cut(text, "X-Time-Left-Ms: ")
+			ms, _ := strconv.Atoi(strings.TrimSpace(strings.SplitN(rest, "\r\n", 2)[0]))
+			reported <- ms
+			time.Sleep(serviceTime)
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}))
 	c, r := dial(t, ln)
 	for _, id := range []string{"1", "2", "3"} {
-		io.WriteString(c, strings.Replace(look, "Id: 1", fmt.Sprintf("Id: %s\r\nX-Time-Left-Ms: %d", id, given), 1))
+		io.WriteString(c, strings.Replace(lookRequest, "Id: 1", fmt.Sprintf("Id: %s\r\nX-Time-Left-Ms: %d", id, timeLeft), 1))
 	}
 	for i := range 3 {
 		if status, _ := readResponse(t, r); status != "200" {
-			t.Fatalf("request %d was answered %s", i, status)
+			t.Fatalf("request %d: response status %s, want 200", i, status)
 		}
-		if ms, most := <-told, given-i*int(wait/time.Millisecond)+20; ms > most || ms < most-300 {
-			t.Errorf("request %d told %d ms, %d were left", i, ms, most-20)
+		if ms, maxMS := <-reported, timeLeft-i*int(serviceTime/time.Millisecond)+20; ms > maxMS || ms < maxMS-300 {
+			t.Errorf("request %d reported %d ms left, want about %d ms", i, ms, maxMS-20)
 		}
 	}
 }
 
-// A client names the id and the key of its request as fields for one hop. They reach the destination all the same, on every attempt:
-// it knows the request by the one and drops repeats by the other. Another field that it names so ends here.
-func TestIDAndKeyPassThoughConnectionNamesThem(t *testing.T) {
-	at, came := counted(t)
+// A client lists the request ID and the idempotency key in the Connection header. Both still reach the endpoint on every attempt,
+// as it identifies the request by the first and discards duplicates by the second. Other listed fields are not forwarded.
+func TestIDAndKeyAreForwardedDespiteConnectionHeader(t *testing.T) {
+	address, requests := startCountingServer(t)
 	set := testSettings()
 	set.Classes[0].Effect, set.Classes[0].Window = balance.Keyed, time.Second
-	_, ln, run := prepareSidecar(t, 4, at, set, "")
+	_, ln, run := prepareSidecar(t, 4, address, set, "")
 	run()
 	c, r := dial(t, ln)
-	io.WriteString(c, strings.Replace(look, "Host", "Connection: x-correlation-id, Idempotency-Key, X-Mine\r\nX-Mine: 1\r\nIdempotency-Key: k1\r\nHost", 1))
+	io.WriteString(c, strings.Replace(lookRequest, "Host", "Connection: x-correlation-id, Idempotency-Key, X-Mine\r\nX-Mine: 1\r\nIdempotency-Key: k1\r\nHost", 1))
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Fatalf("answered %s", status)
+		t.Fatalf("response status %s, want 200", status)
 	}
-	text := <-came
-	for field, passes := range map[string]bool{"X-Correlation-Id: 1\r\n": true, "Idempotency-Key: k1\r\n": true, "X-Mine": false} {
-		if strings.Contains(text, field) != passes {
-			t.Errorf("the destination got %q", text)
+	text := <-requests
+	for field, forwarded := range map[string]bool{"X-Correlation-Id: 1\r\n": true, "Idempotency-Key: k1\r\n": true, "X-Mine": false} {
+		if strings.Contains(text, field) != forwarded {
+			t.Errorf("the endpoint received %q", text)
 		}
 	}
 }
 
-// A request that crosses the end of its connection is not taken: its client sees the end, no reset, and nothing runs.
-func TestRequestCrossesTheEnd(t *testing.T) {
-	at, came := counted(t)
-	f, _ := sidecar(t, 4, at)
+// A request that crosses the close of its connection on the wire is not processed: the client sees the close, not a reset.
+func TestRequestCrossesTheClose(t *testing.T) {
+	address, requests := startCountingServer(t)
+	srv, _ := startSidecar(t, 4, address)
 	var client net.Conn
 	ready := make(chan bool)
-	c, r := serveHooked(t, f, &hooked{closed: func() { <-ready; io.WriteString(client, look) }})
+	c, r := serveHookedConn(t, srv, &hookedConn{onCloseWrite: func() { <-ready; io.WriteString(client, lookRequest) }})
 	client = c
 	close(ready)
-	io.WriteString(c, strings.Replace(look, "Id: 1", "Id: 0", 1))
+	io.WriteString(c, strings.Replace(lookRequest, "Id: 1", "Id: 0", 1))
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Fatalf("the first request got %s", status)
+		t.Fatalf("first request: response status %s, want 200", status)
 	}
-	testkit.Until(t, "it rests and is asked to end", func() bool { return ask(f) })
+	testkit.Until(t, "the idle connection is asked to close", func() bool { return requestOneClose(srv) })
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("the client read %q, %v", rest, err)
+		t.Errorf("the client read %q, %v, want nothing", rest, err)
 	}
-	if len(came) != 1 {
-		t.Errorf("%d requests were sent on", len(came))
+	if len(requests) != 1 {
+		t.Errorf("%d requests were sent on, want 1", len(requests))
 	}
 }
 
-// The wake-up of an answer comes when the connection already lets its client read that answer: it must not end that, or
-// what the client still sends is reset, and the answer with it.
-func TestLateWakeUpWhileTheClientReads(t *testing.T) {
-	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
-	var ending atomic.Bool
-	h := &hooked{closed: func() { ending.Store(true) }}
-	h.timed = func(time.Time) {
-		if ending.CompareAndSwap(true, false) {
+// The wake-up of an answer arrives while the connection lingers for its client to read the response. It must not end the
+// lingering: what the client still sends would be answered with a reset, and the response lost.
+func TestLateWakeUpDuringLingeringClose(t *testing.T) {
+	srv, _ := startSidecar(t, 4, startTestServer(t, serveOK))
+	var lingering atomic.Bool
+	h := &hookedConn{onCloseWrite: func() { lingering.Store(true) }}
+	h.onSetReadDeadline = func(time.Time) {
+		if lingering.CompareAndSwap(true, false) {
 			h.TCPConn.SetReadDeadline(pastDeadline())
 		}
 	}
-	c, r := serveHooked(t, f, h)
-	io.WriteString(c, strings.Replace(look, "Host", "Connection: close\r\nHost", 1))
+	c, r := serveHookedConn(t, srv, h)
+	io.WriteString(c, strings.Replace(lookRequest, "Host", "Connection: close\r\nHost", 1))
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Fatalf("answered %s", status)
+		t.Fatalf("response status %s, want 200", status)
 	}
-	time.Sleep(20 * time.Millisecond) // it lingers, and has been woken
+	time.Sleep(20 * time.Millisecond) // the connection lingers, and its read has been woken up
 	for range 3 {
-		if _, err := io.WriteString(c, look); err != nil {
-			t.Fatalf("the connection is closed under its client: %v", err)
+		if _, err := io.WriteString(c, lookRequest); err != nil {
+			t.Fatalf("the connection was closed while its client was sending: %v", err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("the client read %q, %v", rest, err)
+		t.Errorf("the client read %q, %v, want nothing", rest, err)
 	}
 }
 
-// queued is a listener from which nothing is accepted before it gets a time limit.
-type queued struct {
+// delayedListener accepts nothing until its deadline is set or it is closed.
+type delayedListener struct {
 	*net.TCPListener
-	limited chan struct{}
-	once    sync.Once
+	deadlineSet chan struct{}
+	once        sync.Once
 }
 
-func (q *queued) Accept() (net.Conn, error) { <-q.limited; return q.TCPListener.Accept() }
+func (l *delayedListener) Accept() (net.Conn, error) { <-l.deadlineSet; return l.TCPListener.Accept() }
 
-func (q *queued) SetDeadline(t time.Time) error {
-	err := q.TCPListener.SetDeadline(t)
-	q.once.Do(func() { close(q.limited) })
+func (l *delayedListener) SetDeadline(t time.Time) error {
+	err := l.TCPListener.SetDeadline(t)
+	l.once.Do(func() { close(l.deadlineSet) })
 	return err
 }
 
-func (q *queued) Close() error {
-	err := q.TCPListener.Close()
-	q.once.Do(func() { close(q.limited) })
+func (l *delayedListener) Close() error {
+	err := l.TCPListener.Close()
+	l.once.Do(func() { close(l.deadlineSet) })
 	return err
 }
 
-// A client whose connection waits in the system's queue when the sidecar stops accepting has sent its request, and gets its
-// answer. Closing the listener over it reset it.
-func TestStopAnswersWhoeverWaitsToBeAccepted(t *testing.T) {
-	f, ln := unserved(t)
-	q := &queued{TCPListener: ln.(*net.TCPListener), limited: make(chan struct{})}
-	go f.Serve(q)
+// A client whose connection is in the kernel's accept queue when the sidecar stops has sent its request, and is answered. Closing
+// the listener right away would reset such connections.
+func TestStopServesTheAcceptQueue(t *testing.T) {
+	srv, ln := newUnservedSidecar(t)
+	delayed := &delayedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: make(chan struct{})}
+	go srv.Serve(delayed)
 	var waiting []*bufio.Reader
-	for i := range 9 { // more than are served at a time: they are accepted one by one as others end
+	for i := range 9 { // more than are served at a time: they are accepted one by one as others close
 		c, r := dial(t, ln)
-		io.WriteString(c, strings.Replace(look, "Id: 1", fmt.Sprint("Id: ", i), 1))
+		io.WriteString(c, strings.Replace(lookRequest, "Id: 1", fmt.Sprint("Id: ", i), 1))
 		waiting = append(waiting, r)
 	}
-	ended := make(chan struct{})
-	go func() { f.Stop(context.Background(), 600*time.Millisecond, q); close(ended) }()
+	stopped := make(chan struct{})
+	go func() { srv.Stop(context.Background(), 600*time.Millisecond, delayed); close(stopped) }()
 	for i, r := range waiting {
 		if status, _ := readResponse(t, r); status != "200" && status != "503" || i < 4 && status != "200" {
-			t.Errorf("the one at place %d was answered %s", i, status)
+			t.Errorf("client %d: response status %s", i, status)
 		}
 	}
-	<-ended
+	<-stopped
 	if conn, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		conn.Close()
 		t.Error("the listener is still open")
 	}
 }
 
-// late is a destination whose connections come up only when it is let: its system's queue is full until then. What is sent
-// to it comes on a channel.
-func startSlowAcceptServer(t *testing.T) (address string, let func(), came chan string) {
+// startSlowAcceptServer starts an endpoint to which connections are established only once accept is called: until then its accept
+// queue is full. The text of each request is sent to the channel.
+func startSlowAcceptServer(t *testing.T) (address string, accept func(), requests chan string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
@@ -361,38 +361,38 @@
 		t.Fatal(err)
 	}
 	address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	filler, err := net.Dial("tcp", address) // fills the queue of one
+	filler, err := net.Dial("tcp", address) // fills the queue, which has one place
 	if err != nil {
 		t.Fatal(err)
 	}
-	came = make(chan string, 9)
-	let = func() {
+	requests = make(chan string, 9)
+	accept = func() {
 		go func() {
 			for {
-				nfd, _, err := syscall.Accept(fd)
+				connFD, _, err := syscall.Accept(fd)
 				if err != nil {
 					return
 				}
 				go func() {
-					defer syscall.Close(nfd)
+					defer syscall.Close(connFD)
 					buf := make([]byte, 4<<10)
-					if n, _ := syscall.Read(nfd, buf); n > 0 {
-						came <- string(buf[:n])
-						syscall.Write(nfd, []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+					if n, _ := syscall.Read(connFD, buf); n > 0 {
+						requests <- string(buf[:n])
+						syscall.Write(connFD, []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 					}
 				}()
 			}
 		}()
 	}
 	t.Cleanup(func() { filler.Close(); syscall.Shutdown(fd, syscall.SHUT_RDWR); syscall.Close(fd) })
-	return address, let, came
+	return address, accept, requests
 }
 
-// carried runs one attempt of an operation against a destination whose connection comes up late, with something done
-// meanwhile, and tells whether the request was sent.
-func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Operation, ran bool, meanwhile func(*routing.Loop)) bool {
+// attemptSent runs one attempt of a request against an endpoint whose connection is established late, calls meanwhile before that,
+// and reports whether the request was sent. If ran is true, it is the second attempt, and the first may have run.
+func attemptSent(t *testing.T, class balance.Class, limits balance.Limits, req *routing.Operation, ran bool, meanwhile func(*routing.Loop)) bool {
 	t.Helper()
-	at, let, came := startSlowAcceptServer(t)
+	address, accept, requests := startSlowAcceptServer(t)
 	clock := routing.NewClock()
 	set := testSettings()
 	set.Classes, set.Limits = []balance.Class{class}, limits
@@ -402,68 +402,68 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	u := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewConnLimiter(4), Log: discardLog})
-	members := []routing.Member{{Name: "s", Address: at, State: balance.Ready}}
-	first, cut := make(chan struct{}), make(chan struct{})
-	if ran { // the operation's first attempt may have run, at another destination, which drains by then
-		members[0].Address = startTestServer(t, func(conn net.Conn) { readRequest(conn); close(first); <-cut; conn.Close() })
+	pool := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewConnLimiter(4), Log: discardLog})
+	members := []routing.Member{{Name: "s", Address: address, State: balance.Ready}}
+	firstReceived, closeFirst := make(chan struct{}), make(chan struct{})
+	if ran { // the first attempt went to another endpoint, which is draining by the second
+		members[0].Address = startTestServer(t, func(conn net.Conn) { readRequest(conn); close(firstReceived); <-closeFirst; conn.Close() })
 	}
 	loop.Pool(balance.Cached, 1, members)
-	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
-	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
-	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
-	loop.Submit(op)
+	go loop.Run(ctx, pool, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
+	req.Deadline, req.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
+	req.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
+	loop.Submit(req)
 	if ran {
-		<-first
+		<-firstReceived
 		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: members[0].Address, State: balance.Draining},
-			{Name: "t", Address: at, State: balance.Ready}})
-		loop.View(time.Second) // it has taken that
-		close(cut)
+			{Name: "t", Address: address, State: balance.Ready}})
+		loop.View(time.Second) // waits until the loop has handled the update
+		close(closeFirst)
 	}
-	time.Sleep(50 * time.Millisecond) // its connection is asked for
+	time.Sleep(50 * time.Millisecond) // the connection attempt has started
 	meanwhile(loop)
-	let()
+	accept()
 	select {
-	case text := <-came:
+	case text := <-requests:
 		return text != ""
-	case <-time.After(3500 * time.Millisecond): // the system tries again after 1 s and after 3 s
+	case <-time.After(3500 * time.Millisecond): // the kernel repeats a lost SYN after 1 s and after 3 s
 		return false
 	}
 }
 
-// A client leaves while its attempt's connection is still coming up: the attempt does not begin, also where the settings
-// do not allow that attempts are called off.
-func TestClientLeavesBeforeTheConnectionIsUp(t *testing.T) {
+// A client disconnects while the connection for its attempt is being established: the attempt is not sent, even if the settings
+// do not allow attempts to be canceled.
+func TestClientDisconnectsWhileConnecting(t *testing.T) {
 	t.Parallel()
 	class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1}
-	op := &routing.Operation{}
-	if carried(t, class, balance.Limits{MaxAttempts: 1}, op, false, func(l *routing.Loop) { l.Abandon(op) }) {
-		t.Error("the request was sent on after its client had left")
+	req := &routing.Operation{}
+	if attemptSent(t, class, balance.Limits{MaxAttempts: 1}, req, false, func(l *routing.Loop) { l.Abandon(req) }) {
+		t.Error("the request was sent on after its client had disconnected")
 	}
-	if !carried(t, class, balance.Limits{MaxAttempts: 1}, &routing.Operation{}, false, func(*routing.Loop) {}) {
-		t.Error("the request of a client that stays was not sent on")
+	if !attemptSent(t, class, balance.Limits{MaxAttempts: 1}, &routing.Operation{}, false, func(*routing.Loop) {}) {
+		t.Error("the request of a client that stayed connected was not sent on")
 	}
 }
 
-// gated is a Room in which whoever asks once it is shut waits until it is opened.
-type gated struct {
+// gatedLimiter is a ConnLimiter whose Acquire blocks while it is closed, until it is opened.
+type gatedLimiter struct {
 	ConnLimiter
-	shut          atomic.Bool
-	waits, opened chan struct{}
+	closed          atomic.Bool
+	waiting, opened chan struct{}
 }
 
-func (g *gated) Acquire() bool {
-	if g.shut.Load() {
-		g.waits <- struct{}{}
+func (g *gatedLimiter) Acquire() bool {
+	if g.closed.Load() {
+		g.waiting <- struct{}{}
 		<-g.opened
 	}
 	return g.ConnLimiter.Acquire()
 }
 
-// A destination begins to drain between the decision to probe it and the probe's first byte: the probe does not begin.
-func TestDrainBeforeAProbeBegins(t *testing.T) {
-	for drains, sent := range map[bool]bool{true: false, false: true} {
-		at, came := counted(t)
+// An endpoint begins to drain between the decision to probe it and the first byte of the probe: the probe is not sent.
+func TestDrainBeforeAProbeIsSent(t *testing.T) {
+	for draining, sent := range map[bool]bool{true: false, false: true} {
+		address, requests := startCountingServer(t)
 		clock, set := routing.NewClock(), testSettings()
 		set.Report.Via, set.Limits.Probes = balance.OnProbes, true
 		loop, err := routing.New(set, routing.Names{}, clock, discardLog)
@@ -472,194 +472,195 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		room := &gated{ConnLimiter: NewConnLimiter(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
-		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
-		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: discardLog})
-		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
+		limiter := &gatedLimiter{ConnLimiter: NewConnLimiter(9), waiting: make(chan struct{}, 9), opened: make(chan struct{})}
+		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: address, State: balance.Ready}})
+		pool := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: limiter, ProbePath: "/stats", Log: discardLog})
+		go loop.Run(ctx, pool, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
 		done := make(chan routing.Answer, 9)
-		for n := range 3 { // one probe for three requests: it comes with the third, and both need a connection
+		for n := range 3 { // there is one probe for three requests: it is sent with the third, and both need a connection
 			if n == 2 {
-				room.shut.Store(true)
-				for u.Evict() {
+				limiter.closed.Store(true)
+				for pool.Evict() {
 				}
 			}
 			m := &protocol.Message{Start: [3]string{"GET", "/look"}}
 			loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
 			if n < 2 {
 				<-done
-				<-came
+				<-requests
 			}
 		}
-		<-room.waits
-		<-room.waits
-		if drains {
-			loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: balance.Draining}})
-			loop.View(time.Second) // it has taken that
+		<-limiter.waiting
+		<-limiter.waiting
+		if draining {
+			loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: address, State: balance.Draining}})
+			loop.View(time.Second) // waits until the loop has handled the update
 		}
-		close(room.opened)
-		probed, until := false, time.After(300*time.Millisecond)
+		close(limiter.opened)
+		probed, timeout := false, time.After(300*time.Millisecond)
 		for wait := true; wait; {
 			select {
-			case text := <-came:
-				if probed = probed || strings.HasPrefix(text, "GET /stats "); drains {
-					t.Errorf("a destination that drains got %q", text)
+			case text := <-requests:
+				if probed = probed || strings.HasPrefix(text, "GET /stats "); draining {
+					t.Errorf("a draining endpoint received %q", text)
 				}
-			case <-until:
+			case <-timeout:
 				wait = false
 			}
 		}
 		if probed != sent {
-			t.Errorf("drains: %v; it was probed: %v", drains, probed)
+			t.Errorf("draining: %v; probed: %v", draining, probed)
 		}
 	}
 }
 
-// A client leaves while its request waits for a destination that can take it: when one can, the request is not sent on.
-func TestClientLeavesWhileItsRequestIsQueued(t *testing.T) {
-	at, came := counted(t)
-	f, ln := sidecar(t, 4, at)
-	loop := leads(t, f)
-	state := func(s balance.State) {
-		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: s}})
-		loop.View(time.Second) // it has taken that
-	}
-	state(balance.Draining)
-	leaver, _ := dial(t, ln)
-	io.WriteString(leaver, look)
-	stayer, r := dial(t, ln)
-	io.WriteString(stayer, strings.Replace(look, "Id: 1", "Id: 2", 1))
-	testkit.Until(t, "both wait", func() bool { return loop.Owed() == 2 })
-	left := time.Now()
-	leaver.Close()
-	testkit.Until(t, "one has gone", func() bool { return loop.Owed() == 1 })
-	if took := time.Since(left); took > 100*time.Millisecond {
-		t.Errorf("its leaving was known after %v", took)
-	}
-	state(balance.Ready)
+// A client disconnects while its request is queued for an endpoint that accepts requests: the request is not sent once there is
+// one.
+func TestClientDisconnectsWhileQueued(t *testing.T) {
+	address, requests := startCountingServer(t)
+	srv, ln := startSidecar(t, 4, address)
+	loop := loopOf(t, srv)
+	setState := func(s balance.State) {
+		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: address, State: s}})
+		loop.View(time.Second) // waits until the loop has handled the update
+	}
+	setState(balance.Draining)
+	leaving, _ := dial(t, ln)
+	io.WriteString(leaving, lookRequest)
+	staying, r := dial(t, ln)
+	io.WriteString(staying, strings.Replace(lookRequest, "Id: 1", "Id: 2", 1))
+	testkit.Until(t, "both requests are queued", func() bool { return loop.Owed() == 2 })
+	disconnected := time.Now()
+	leaving.Close()
+	testkit.Until(t, "one request is removed", func() bool { return loop.Owed() == 1 })
+	if took := time.Since(disconnected); took > 100*time.Millisecond {
+		t.Errorf("the disconnect was noticed after %v, want at most 100ms", took)
+	}
+	setState(balance.Ready)
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Errorf("the other was answered %s", status)
+		t.Errorf("the other request: response status %s, want 200", status)
 	}
-	if len(came) != 1 || !strings.Contains(<-came, "Id: 2\r\n") {
-		t.Errorf("%d requests were sent on, or the wrong one", len(came)+1)
+	if len(requests) != 1 || !strings.Contains(<-requests, "Id: 2\r\n") {
+		t.Errorf("%d requests were sent on, or the wrong one", len(requests)+1)
 	}
 }
 
-// A keyed request that may have run is sent again while its window lasts. The window ends while the repeat's connection is
-// coming up: the repeat does not begin, as nobody would drop it any more.
-func TestWindowEndsBeforeTheConnectionIsUp(t *testing.T) {
+// A keyed request that may have run is retried within its idempotency window. If the window ends while the connection for the retry
+// is being established, the retry is not sent, as the endpoint would no longer discard it as a duplicate.
+func TestIdempotencyWindowEndsWhileConnecting(t *testing.T) {
 	t.Parallel()
 	for window, sent := range map[time.Duration]bool{400 * time.Millisecond: false, 5 * time.Second: true} {
 		t.Run(window.String(), func(t *testing.T) {
 			t.Parallel()
 			class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: balance.Keyed, Window: window}
 			limits := balance.Limits{MaxAttempts: 2, RetryShare: 1, RetryBurst: 8}
-			if got := carried(t, class, limits, &routing.Operation{}, true, func(*routing.Loop) {}); got != sent {
-				t.Errorf("with a window of %v the repeat was sent: %v", window, got)
+			if got := attemptSent(t, class, limits, &routing.Operation{}, true, func(*routing.Loop) {}); got != sent {
+				t.Errorf("window %v: retry sent: %v", window, got)
 			}
 		})
 	}
 }
 
-// A client that sends far ahead of its answers and goes has gone: what it had out is called off, and what it sent ahead is
-// not begun. Its leaving was not seen while more than some kilobytes of it waited.
-func TestFloodAndGo(t *testing.T) {
-	came, ended := make(chan string, 99), make(chan struct{}, 9)
-	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
-		came <- readRequest(conn)
+// A client sends many requests ahead of its responses and disconnects: its request in flight is canceled, and those sent ahead are
+// not started. The disconnect must be noticed even while more than some kilobytes wait to be read.
+func TestClientFloodsAndDisconnects(t *testing.T) {
+	requests, ended := make(chan string, 99), make(chan struct{}, 9)
+	srv, ln := startSidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		requests <- readRequest(conn)
 		conn.Read(make([]byte, 1))
 		ended <- struct{}{}
 	}))
 	c, _ := dial(t, ln)
-	io.WriteString(c, look)
-	<-came
-	io.WriteString(c, strings.Repeat(strings.Replace(look, "Id: 1", "Id: 2", 1), 4000))
+	io.WriteString(c, lookRequest)
+	<-requests
+	io.WriteString(c, strings.Repeat(strings.Replace(lookRequest, "Id: 1", "Id: 2", 1), 4000))
 	c.Close()
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Error("the attempt goes on a second after its client went")
+		t.Error("the attempt was not canceled within a second of the disconnect")
 	}
-	testkit.Until(t, "nothing is owed", func() bool { return leads(t, f).Owed() == 0 })
-	if len(came) > 0 {
-		t.Errorf("begun for a client that had gone: %q", <-came)
+	testkit.Until(t, "no request is pending", func() bool { return loopOf(t, srv).Owed() == 0 })
+	if len(requests) > 0 {
+		t.Errorf("started for a client that had disconnected: %q", <-requests)
 	}
 }
 
-// A connection comes up later than its attempt waits: the attempt never ran and ends in time, and the connection rests for
-// the next one, which would have to wait as long for another.
-func TestLateConnectionServesTheNext(t *testing.T) {
+// A connection is established only after its attempt has timed out: the attempt was not sent and ends in time, and the connection
+// is kept idle for the next attempt, which would have to wait as long for a new one.
+func TestLateConnectionIsReused(t *testing.T) {
 	t.Parallel()
-	at, let, came := startSlowAcceptServer(t)
-	u := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
+	address, accept, requests := startSlowAcceptServer(t)
+	pool := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
 		Room: NewConnLimiter(1), Log: discardLog})
-	d := &routing.Destination{Address: at}
+	endpoint := &routing.Destination{Address: address}
 	began := time.Now()
-	if s := runProbe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
-		t.Errorf("the first ended %v after %v", s, time.Since(began))
+	if s := runProbe(pool, endpoint); s != balance.ConnectFailed || time.Since(began) > time.Second {
+		t.Errorf("first attempt: status %v after %v", s, time.Since(began))
 	}
-	let()
-	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
-	if len(came) > 0 {
-		t.Errorf("something was sent over it: %q", <-came)
+	accept()
+	testkit.Until(t, "the connection is idle", func() bool { pool.mu.Lock(); defer pool.mu.Unlock(); return len(pool.idle[endpoint]) == 1 })
+	if len(requests) > 0 {
+		t.Errorf("something was sent over it: %q", <-requests)
 	}
 	time.Sleep(2 * leastRest)
-	if s := runProbe(u, d); s != balance.OK { // there is room for one: it is that one
-		t.Errorf("the next ended %v", s)
+	if s := runProbe(pool, endpoint); s != balance.OK { // the limit is one connection, so it is the same one
+		t.Errorf("next attempt: status %v, want OK", s)
 	}
-	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.Room.Acquire(); return ok })
+	testkit.Until(t, "the descriptor is released", func() bool { pool.Close(); ok := pool.Room.Acquire(); return ok })
 }
 
-// A second copy of an answer comes some milliseconds behind it: the next request does not travel on that connection, and gets
-// its own answer.
-func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
-	at := startTestServer(t, func(conn net.Conn) {
+// An endpoint sends a second copy of a response a few milliseconds after the first: the next request does not use that connection,
+// and gets its own response.
+func TestDelayedDuplicateResponse(t *testing.T) {
+	address := startTestServer(t, func(conn net.Conn) {
 		for text := readRequest(conn); text != ""; text = readRequest(conn) {
-			own := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%c", text[strings.Index(text, "Id: ")+4])
-			io.WriteString(conn, own)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%c", text[strings.Index(text, "Id: ")+4])
+			io.WriteString(conn, response)
 			time.Sleep(12 * time.Millisecond)
-			io.WriteString(conn, own)
+			io.WriteString(conn, response)
 		}
 	})
-	_, ln := sidecar(t, 4, at)
+	_, ln := startSidecar(t, 4, address)
 	c, r := dial(t, ln)
 	for i, id := range []string{"1", "2", "3"} {
-		io.WriteString(c, strings.Replace(look, "Id: 1", "Id: "+id, 1))
+		io.WriteString(c, strings.Replace(lookRequest, "Id: 1", "Id: "+id, 1))
 		if status, body := readResponse(t, r); status != "200" || body != id {
-			t.Errorf("request %s was answered %s %q", id, status, body)
+			t.Errorf("request %s: response %s %q", id, status, body)
 		}
 		time.Sleep(time.Duration(5+2*i) * time.Millisecond)
 	}
 }
 
-// A client has sent further requests when the sidecar stops, and they have been read: all of them are answered before the
-// connection ends, as nobody else can answer what was read here.
-func TestRequestsReadAheadAreAnsweredAtTheEnd(t *testing.T) {
-	let := make(chan bool)
-	came := make(chan bool, 9)
-	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+// Requests that were received while another was in flight when the sidecar stops are all answered before the connection closes,
+// as no other process can answer what was read here.
+func TestPipelinedRequestsAreAnsweredOnStop(t *testing.T) {
+	respond := make(chan bool)
+	received := make(chan bool, 9)
+	srv, ln := startSidecar(t, 4, startTestServer(t, func(conn net.Conn) {
 		for text := readRequest(conn); text != ""; text = readRequest(conn) {
-			came <- true
-			<-let
+			received <- true
+			<-respond
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}))
 	c, r := dial(t, ln)
 	const requests = 3
 	for i := range requests {
-		io.WriteString(c, strings.Replace(look, "Id: 1", fmt.Sprint("Id: ", i), 1))
-	}
-	<-came
-	time.Sleep(20 * time.Millisecond) // the others are read
-	f.draining.Store(true)
-	f.drainDeadline.Store(int64(f.clock.Now() + 2*time.Second))
-	f.closing.Store(true)
-	close(let)
+		io.WriteString(c, strings.Replace(lookRequest, "Id: 1", fmt.Sprint("Id: ", i), 1))
+	}
+	<-received
+	time.Sleep(20 * time.Millisecond) // the others have been read
+	srv.draining.Store(true)
+	srv.drainDeadline.Store(int64(srv.clock.Now() + 2*time.Second))
+	srv.closing.Store(true)
+	close(respond)
 	for i := range requests {
 		if status, _ := readResponse(t, r); status != "200" {
-			t.Errorf("request %d was answered %s", i, status)
+			t.Errorf("request %d: response status %s, want 200", i, status)
 		}
 	}
 	if n, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("behind the last answer came %q, %v", n, err)
+		t.Errorf("after the last response: read %q, %v, want EOF", n, err)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -147,13 +147,13 @@
 }
 
 // register adds a connection to the Server. It can be asked to close only from its first read on. Before that it has not set its
-// read deadline, and setting it would undo the wake-up: the connection then stayed open until its timeout, and whoever waited
-// for its descriptor waited as long.
+// read deadline, and setting it would undo the wake-up: the connection would stay open until its timeout, and whoever waits for its
+// descriptor would wait as long.
 func (s *Server) register(conn net.Conn) *clientConn {
 	c := &clientConn{server: s, conn: conn, state: clientActive, since: time.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// New connections are the first to close, but cannot be asked to yet. Without this wait an idle client connection was closed in
+	// New connections are the first to close, but cannot be asked to yet. Without this wait an idle client connection is closed in
 	// their place.
 	for s.openConns >= s.budget.ClientConns && s.notClosable > 0 {
 		s.changed.Wait()
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -18,7 +18,7 @@
 	"kitewood/internal/testkit"
 )
 
-// settings are the module's for one class that is safe and one that is not.
+// testSettings returns the decision module's settings with one safe class and one unsafe class.
 func testSettings() balance.Settings {
 	class := balance.Class{Aim: 2 * time.Second, Deadline: 2 * time.Second, Worth: 1}
 	unsafe := class
@@ -28,16 +28,17 @@
 		Rules:  balance.Rules{DrainGrace: time.Second / 2, AskWithin: 10 * time.Second}}
 }
 
-// sidecar serves a listener in front of one destination.
-func sidecar(t *testing.T, most int, destination string) (*Server, net.Listener) {
+// startSidecar serves a listener in front of one endpoint with up to maxConns client connections.
+func startSidecar(t *testing.T, maxConns int, endpoint string) (*Server, net.Listener) {
 	t.Helper()
-	f, ln, run := prepareSidecar(t, most, destination, testSettings(), "")
+	srv, ln, run := prepareSidecar(t, maxConns, endpoint, testSettings(), "")
 	run()
-	return f, ln
+	return srv, ln
 }
 
-// stopped is a sidecar whose loop waits for the word to run and to watch discovery.
-func prepareSidecar(t *testing.T, most int, destination string, set balance.Settings, discovery string) (*Server, net.Listener, func()) {
+// prepareSidecar is startSidecar with settings and discovery. The event loop and the discovery watch begin when the returned
+// function is called.
+func prepareSidecar(t *testing.T, maxConns int, endpoint string, set balance.Settings, discovery string) (*Server, net.Listener, func()) {
 	t.Helper()
 	clock := routing.NewClock()
 	loop, err := routing.New(set, routing.Names{}, clock, discardLog)
@@ -46,29 +47,30 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: destination, State: balance.Ready}})
+	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: endpoint, State: balance.Ready}})
 	classes := []protocol.Class{{Name: "look", Methods: []string{"GET"}, Deadline: 2 * time.Second, Keyed: set.Classes[0].Effect == balance.Keyed},
 		{Name: "pay", Methods: []string{"POST"}, Deadline: 2 * time.Second}}
-	f := NewServer(clock, SinglePoolRouter(&Backend{Loop: loop}, classes), Budget{ClientConns: most, OverflowConns: 2}, discardLog)
+	srv := NewServer(clock, SinglePoolRouter(&Backend{Loop: loop}, classes), Budget{ClientConns: maxConns, OverflowConns: 2}, discardLog)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go f.Serve(ln)
-	return f, ln, func() { go loop.Run(ctx, newTestPool(clock), NewDirectory(ctx, discovery, loop, discardLog)) }
+	go srv.Serve(ln)
+	return srv, ln, func() { go loop.Run(ctx, newTestPool(clock), NewDirectory(ctx, discovery, loop, discardLog)) }
 }
 
-// leads is the Loop that a listener takes operations to.
-func leads(t *testing.T, f *Server) *routing.Loop {
+// loopOf returns the event loop that a server sends requests to.
+func loopOf(t *testing.T, srv *Server) *routing.Loop {
 	t.Helper()
-	to, _, err := (*f.router.Load())(&protocol.Message{Start: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
+	backend, _, err := (*srv.router.Load())(&protocol.Message{Start: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return to.Loop
+	return backend.Loop
 }
 
+// dial connects a client to a listener.
 func dial(t *testing.T, ln net.Listener) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -80,20 +82,22 @@
 	return c, bufio.NewReader(c)
 }
 
-const look = "GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 1\r\n\r\n"
+// lookRequest is a request of the safe class.
+const lookRequest = "GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 1\r\n\r\n"
 
+// payRequest returns a request of the unsafe class.
 func payRequest(id string) string {
 	return "POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\n\r\n"
 }
 
-// answer reads one answer: its start line and its body.
+// readResponse reads one response and returns its status and its body.
 func readResponse(t *testing.T, r *bufio.Reader) (string, string) {
 	t.Helper()
 	m := protocol.Machine{Answers: true}
 	for {
 		b, err := r.ReadByte()
 		if err != nil {
-			t.Fatalf("no answer: %v", err)
+			t.Fatalf("no response: %v", err)
 		}
 		if _, msg, err := m.Feed([]byte{b}); err != nil {
 			t.Fatal(err)
@@ -103,200 +107,204 @@
 	}
 }
 
+// serveOK answers each request of a connection with 200 and the body "ok".
 func serveOK(conn net.Conn) {
 	for text := readRequest(conn); text != ""; text = readRequest(conn) {
 		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	}
 }
 
-// The next request may come before the answer. The wake-up that an answer sends must not end a later read: seen as
-// connections closed with 408 while they were idle.
-func TestManyRequestsAhead(t *testing.T) {
-	_, ln := sidecar(t, 4, startTestServer(t, serveOK))
+// Clients may send the next requests before they have a response. The wake-up that an answer causes must not end a later read,
+// or idle connections are closed with status 408.
+func TestPipelinedRequests(t *testing.T) {
+	_, ln := startSidecar(t, 4, startTestServer(t, serveOK))
 	c, r := dial(t, ln)
 	for range 100 {
-		io.WriteString(c, look+look+look)
+		io.WriteString(c, lookRequest+lookRequest+lookRequest)
 		for range 3 {
 			if status, body := readResponse(t, r); status != "200" || body != "ok" {
-				t.Fatalf("%s %q", status, body)
+				t.Fatalf("response %s %q, want 200 \"ok\"", status, body)
 			}
 		}
 	}
 	c.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-		t.Errorf("%q, %v after the last answer", rest, err)
+		t.Errorf("%q, %v after the last response, want nothing", rest, err)
 	}
 }
 
-// A wake-up that comes late, after its answer was seen otherwise, ends neither an idle connection nor an operation.
+// A wake-up that comes late, after its answer was already seen, must end neither an idle connection nor a request.
 func TestLateWakeUp(t *testing.T) {
-	slow := make(chan struct{})
-	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+	respond := make(chan struct{})
+	srv, ln := startSidecar(t, 4, startTestServer(t, func(conn net.Conn) {
 		readRequest(conn)
-		<-slow
+		<-respond
 		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	}))
 	c, r := dial(t, ln)
 	wake := func() {
 		time.Sleep(20 * time.Millisecond)
-		f.mu.Lock()
-		for conn := range f.conns {
+		srv.mu.Lock()
+		for conn := range srv.conns {
 			conn.conn.SetReadDeadline(time.Unix(1, 0))
 		}
-		f.mu.Unlock()
+		srv.mu.Unlock()
 		time.Sleep(20 * time.Millisecond)
 	}
 	wake()
-	io.WriteString(c, look)
+	io.WriteString(c, lookRequest)
 	wake()
-	close(slow)
+	close(respond)
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Errorf("answered %s", status)
+		t.Errorf("response status %s, want 200", status)
 	}
 }
 
-// An operation whose time is up is answered even if the loop does not come to it; what the loop then says of it must
-// not reach the next operation of the connection.
-func TestLateAnswer(t *testing.T) {
+// A request whose deadline has passed is answered even if the event loop has not handled it. The loop's later answer must not
+// reach the next request of the connection.
+func TestLateAnswerDoesNotReachTheNextRequest(t *testing.T) {
 	_, ln, run := prepareSidecar(t, 4, startTestServer(t, serveOK), testSettings(), "")
 	c, r := dial(t, ln)
-	io.WriteString(c, strings.Replace(look, "Host", "X-Time-Left-Ms: 1\r\nHost", 1))
+	io.WriteString(c, strings.Replace(lookRequest, "Host", "X-Time-Left-Ms: 1\r\nHost", 1))
 	if status, _ := readResponse(t, r); status != "502" {
-		t.Errorf("out of time answered %s", status)
+		t.Errorf("request past its deadline: response status %s, want 502", status)
 	}
-	io.WriteString(c, look)
-	time.Sleep(50 * time.Millisecond) // it is on its way to the loop
+	io.WriteString(c, lookRequest)
+	time.Sleep(50 * time.Millisecond) // it is queued for the loop
 	run()
 	if status, body := readResponse(t, r); status != "200" || body != "ok" {
-		t.Errorf("the next one answered %s %q", status, body)
+		t.Errorf("next request: response %s %q, want 200 \"ok\"", status, body)
 	}
 }
 
-// Whoever sends no request, or only a part of one, is told or closed soon; who has asked before is not in the crowd's way.
+// A client that sends no request, or only a part of one, is answered or disconnected soon. One that keeps its connection after
+// a request is disconnected, too.
 func TestSlowClients(t *testing.T) {
-	for _, c := range []struct{ text, want string }{{"", ""}, {"GET /look HTTP/1.1\r\nHost: h", "408"}, {look, "200"},
+	for _, c := range []struct{ text, want string }{{"", ""}, {"GET /look HTTP/1.1\r\nHost: h", "408"}, {lookRequest, "200"},
 		{"GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 7\r\nContent-Length: 2\r\n\r\nok", "400"},
 		{"GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 7\r\nA: \x01\r\n\r\n", "400"}} {
 		t.Run(c.want, func(t *testing.T) {
 			t.Parallel()
-			_, ln := sidecar(t, 4, startTestServer(t, serveOK))
+			_, ln := startSidecar(t, 4, startTestServer(t, serveOK))
 			conn, r := dial(t, ln)
 			io.WriteString(conn, c.text)
 			if text, err := io.ReadAll(r); err != nil || len(text) > 0 != (c.want != "") || !strings.Contains(string(text), c.want) {
-				t.Errorf("%q got %q, %v", c.text, text, err)
+				t.Errorf("request %q: response %q, %v", c.text, text, err)
 			}
 		})
 	}
 }
 
-// A crowd that says nothing makes room for itself, and for a client that comes later; one that has asked before stays.
-func TestSilentCrowd(t *testing.T) {
-	_, ln := sidecar(t, 4, startTestServer(t, serveOK))
-	usual, r := dial(t, ln)
+// Many connections without a request must leave descriptors for one another and for a client that connects later. The
+// connection of a client that has sent requests before stays open.
+func TestSilentConnectionsAreClosedFirst(t *testing.T) {
+	_, ln := startSidecar(t, 4, startTestServer(t, serveOK))
+	regular, r := dial(t, ln)
 	for range 3 {
-		io.WriteString(usual, look)
+		io.WriteString(regular, lookRequest)
 		if status, _ := readResponse(t, r); status != "200" {
-			t.Fatalf("the usual client got %s", status)
+			t.Fatalf("regular client: response status %s, want 200", status)
 		}
 		for range 20 {
 			dial(t, ln)
 		}
-		late, rl := dial(t, ln)
-		io.WriteString(late, strings.Replace(look, "Id: 1", "Id: 2", 1))
-		if status, _ := readResponse(t, rl); status != "200" {
-			t.Errorf("the late client got %s", status)
+		late, lateReader := dial(t, ln)
+		io.WriteString(late, strings.Replace(lookRequest, "Id: 1", "Id: 2", 1))
+		if status, _ := readResponse(t, lateReader); status != "200" {
+			t.Errorf("late client: response status %s, want 200", status)
 		}
 	}
 }
 
-// At the cap an idle connection makes room; where all are at work the next is told that the sidecar is busy.
-func TestFrontBudget(t *testing.T) {
-	hold := make(chan struct{})
-	held := make(chan struct{}, 2)
-	_, ln := sidecar(t, 2, startTestServer(t, func(conn net.Conn) { readRequest(conn); held <- struct{}{}; <-hold; conn.Close() }))
-	idle, ri := dial(t, ln)
+// At the connection limit an idle connection is closed for a new one. If all have a request in flight, the next client is
+// answered "busy".
+func TestClientConnectionBudget(t *testing.T) {
+	release := make(chan struct{})
+	inFlight := make(chan struct{}, 2)
+	_, ln := startSidecar(t, 2, startTestServer(t, func(conn net.Conn) { readRequest(conn); inFlight <- struct{}{}; <-release; conn.Close() }))
+	idle, idleReader := dial(t, ln)
 	io.WriteString(idle, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	if status, _ := readResponse(t, ri); status != "200" {
-		t.Fatalf("ready answered %s", status)
+	if status, _ := readResponse(t, idleReader); status != "200" {
+		t.Fatalf("readiness check: response status %s, want 200", status)
 	}
 	for i := range 2 {
 		c, _ := dial(t, ln)
 		io.WriteString(c, payRequest(fmt.Sprint("p", i)))
-		<-held
+		<-inFlight
 	}
-	if _, err := ri.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+	if _, err := idleReader.ReadByte(); err != io.EOF {
+		t.Errorf("idle connection: read ended with %v, want EOF", err)
 	}
 	c, r := dial(t, ln)
-	io.WriteString(c, look)
+	io.WriteString(c, lookRequest)
 	if status, _ := readResponse(t, r); status != "503" {
-		t.Errorf("beyond the cap answered %s", status)
+		t.Errorf("beyond the limit: response status %s, want 503", status)
 	}
-	close(hold)
+	close(release)
 }
 
-// A client that leaves takes its operation along: the attempt is called off by closing its connection.
-func TestClientLeaves(t *testing.T) {
-	came, ended := make(chan struct{}), make(chan error, 1)
-	_, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+// When a client disconnects, its attempt is canceled by closing the upstream connection.
+func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
+	received, ended := make(chan struct{}), make(chan error, 1)
+	_, ln := startSidecar(t, 4, startTestServer(t, func(conn net.Conn) {
 		readRequest(conn)
-		close(came)
+		close(received)
 		_, err := conn.Read(make([]byte, 1))
 		ended <- err
 	}))
 	c, _ := dial(t, ln)
-	io.WriteString(c, look)
-	<-came
+	io.WriteString(c, lookRequest)
+	<-received
 	c.Close()
 	if err := <-ended; err == nil {
-		t.Error("the attempt went on")
+		t.Error("the attempt was not canceled")
 	}
 }
 
-// Bad answers and bad data end a watch, and are not half believed.
-func TestWatch(t *testing.T) {
-	for answer, want := range map[string]callKind{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": callRefused, "": callFailed,
+// An invalid response or invalid data ends a discovery watch, and no part of it is used.
+func TestWatchRejectsBadResponses(t *testing.T) {
+	for response, want := range map[string]callKind{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": callRefused, "": callFailed,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{x}\n\r\n": callUnreadable} {
-		at := startTestServer(t, func(conn net.Conn) { readRequest(conn); io.WriteString(conn, answer); conn.Close() })
-		d := NewDirectory(context.Background(), at, nil, discardLog)
+		address := startTestServer(t, func(conn net.Conn) { readRequest(conn); io.WriteString(conn, response); conn.Close() })
+		d := NewDirectory(context.Background(), address, nil, discardLog)
 		d.prepare()
 		if end := d.call(d.latest()); end.err == nil || end.kind != want {
-			t.Errorf("%q ended as %v with %v, want %v", answer, end.kind, end.err, want)
+			t.Errorf("response %q: watch ended as %v with %v, want %v", response, end.kind, end.err, want)
 		}
 	}
 }
 
-// A panic stops where it happens: its operation has an answer, its connection an end, and the rest goes on.
-func TestPanics(t *testing.T) {
-	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
+// A panic is contained where it happens: its request is answered, its connection is closed, and the rest continues.
+func TestPanicIsContained(t *testing.T) {
+	srv, _ := startSidecar(t, 4, startTestServer(t, serveOK))
 	answers := make(chan routing.Answer, 1)
-	loop := leads(t, f)
+	loop := loopOf(t, srv)
 	loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Minute, Payload: "no message",
 		Done: func(a routing.Answer) { answers <- a }})
 	if a := <-answers; a.Verdict == routing.Served {
-		t.Errorf("answered %+v", a)
+		t.Errorf("answer %+v, want a failure", a)
 	}
-	f, ln := sidecar(t, 4, startTestServer(t, serveOK))
-	f.SetRoutes(func(*protocol.Message) (*Backend, protocol.Operation, error) { panic("odd") })
-	for _, c := range []struct{ text, want string }{{look, "500"}, {"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n", "200"}} {
+	srv, ln := startSidecar(t, 4, startTestServer(t, serveOK))
+	srv.SetRoutes(func(*protocol.Message) (*Backend, protocol.Operation, error) { panic("odd") })
+	for _, c := range []struct{ text, want string }{{lookRequest, "500"}, {"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n", "200"}} {
 		conn, r := dial(t, ln)
 		io.WriteString(conn, c.text)
 		if status, _ := readResponse(t, r); status != c.want {
-			t.Errorf("%.12q answered %s", c.text, status)
+			t.Errorf("request %.12q: response status %s", c.text, status)
 		}
 	}
 }
 
-// A request that came as the connection's time ran out is served, not told that it was slow.
-func TestRequestAtTheLastMoment(t *testing.T) {
-	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
+// A request that arrives just as the connection's read timeout expires is served, not answered with 408.
+func TestRequestArrivesAtTheReadTimeout(t *testing.T) {
+	srv, _ := startSidecar(t, 4, startTestServer(t, serveOK))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	client, r := dial(t, ln)
-	io.WriteString(client, look)
+	io.WriteString(client, lookRequest)
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -307,30 +315,31 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c := &clientConn{server: f, conn: conn, since: time.Now().Add(-time.Hour)}
-	f.mu.Lock()
-	f.conns[c] = struct{}{}
-	f.openConns++
-	f.mu.Unlock()
+	c := &clientConn{server: srv, conn: conn, since: time.Now().Add(-time.Hour)}
+	srv.mu.Lock()
+	srv.conns[c] = struct{}{}
+	srv.openConns++
+	srv.mu.Unlock()
 	go c.serve()
 	if status, _ := readResponse(t, r); status != "200" {
-		t.Errorf("answered %s", status)
+		t.Errorf("response status %s, want 200", status)
 	}
 }
 
-// stuckCarrier never comes back from an attempt.
-type stuckCarrier struct {
+// stuckTransport blocks in the first attempt until it is released.
+type stuckTransport struct {
 	*Destinations
-	held, free chan struct{}
+	entered, release chan struct{}
 }
 
-func (c stuckCarrier) Carry(*routing.Attempt, func(routing.Result)) {
-	close(c.held)
-	<-c.free
+func (c stuckTransport) Carry(*routing.Attempt, func(routing.Result)) {
+	close(c.entered)
+	<-c.release
 }
 
-// A pool whose loop is stuck is answered busy at once, with advice; what it held has its one answer by its time.
-func TestStuckPoolIsBusy(t *testing.T) {
+// Requests to a pool whose event loop is stuck are answered "busy" at once, with Retry-After. A request that the loop had already
+// accepted is answered once, by its deadline.
+func TestStuckLoopIsAnsweredBusy(t *testing.T) {
 	clock := routing.NewClock()
 	loop, err := routing.New(testSettings(), routing.Names{}, clock, discardLog)
 	if err != nil {
@@ -339,51 +348,51 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: "127.0.0.1:1", State: balance.Ready}})
-	carrier := stuckCarrier{newTestPool(clock), make(chan struct{}), make(chan struct{})}
-	defer close(carrier.free)
-	go loop.Run(ctx, carrier, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
+	transport := stuckTransport{newTestPool(clock), make(chan struct{}), make(chan struct{})}
+	defer close(transport.release)
+	go loop.Run(ctx, transport, NewDirectory(ctx, "127.0.0.1:1", loop, discardLog))
 	classes := []protocol.Class{{Name: "look", Methods: []string{"GET"}, Deadline: 2 * time.Second}}
-	f := NewServer(clock, SinglePoolRouter(&Backend{Loop: loop, RetryAfter: time.Second}, classes), Budget{ClientConns: 4, OverflowConns: 2}, discardLog)
+	srv := NewServer(clock, SinglePoolRouter(&Backend{Loop: loop, RetryAfter: time.Second}, classes), Budget{ClientConns: 4, OverflowConns: 2}, discardLog)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go f.Serve(ln)
-	first, firstAnswer := dial(t, ln)
-	io.WriteString(first, look)
-	<-carrier.held
+	go srv.Serve(ln)
+	first, firstReader := dial(t, ln)
+	io.WriteString(first, lookRequest)
+	<-transport.entered
 	testkit.Until(t, "the loop is stuck", loop.Stuck)
-	second, secondAnswer := dial(t, ln)
+	second, secondReader := dial(t, ln)
 	began := time.Now()
-	io.WriteString(second, strings.Replace(look, "Id: 1", "Id: 2", 1))
-	in := textproto.NewReader(secondAnswer)
-	line, _ := in.ReadLine()
-	fields, err := in.ReadMIMEHeader()
+	io.WriteString(second, strings.Replace(lookRequest, "Id: 1", "Id: 2", 1))
+	reader := textproto.NewReader(secondReader)
+	line, _ := reader.ReadLine()
+	fields, err := reader.ReadMIMEHeader()
 	if !strings.HasPrefix(line, "HTTP/1.1 503 ") || fields.Get("Retry-After") != "1" || time.Since(began) > time.Second {
-		t.Errorf("answered %q after %s: %v, %v", line, time.Since(began), fields, err)
+		t.Errorf("response %q after %s: %v, %v; want 503 with Retry-After: 1 within a second", line, time.Since(began), fields, err)
 	}
-	if status, _ := readResponse(t, firstAnswer); status != "502" {
-		t.Errorf("what the stuck loop held was answered %s", status)
+	if status, _ := readResponse(t, firstReader); status != "502" {
+		t.Errorf("request in the stuck loop: response status %s, want 502", status)
 	}
 }
 
-// A process that says it is ready before it serves, or after it was told to stop, counts a violation.
-func TestReadyIsChecked(t *testing.T) {
-	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
-	came := f.clock.Now()
+// Reporting ready before the sidecar serves a listener, or after it was asked to stop, counts as an invariant violation.
+func TestFalseReadinessIsAViolation(t *testing.T) {
+	srv, _ := startSidecar(t, 4, startTestServer(t, serveOK))
+	receivedAt := srv.clock.Now()
 	for i, c := range []struct {
 		serving    bool
 		stopsSince time.Duration
 		violations uint64
-	}{{true, 0, 0}, {true, came + time.Second, 0}, {true, came - time.Second, 1}, {false, 0, 2}} {
-		f.serving.Store(c.serving)
-		f.stopRequestedAt.Store(int64(c.stopsSince))
-		f.checkReady(came)
-		if n := f.guard.Violations()[guard.Start.String()]; n != c.violations {
-			t.Errorf("case %d: %d violations are counted, want %d", i, n, c.violations)
+	}{{true, 0, 0}, {true, receivedAt + time.Second, 0}, {true, receivedAt - time.Second, 1}, {false, 0, 2}} {
+		srv.serving.Store(c.serving)
+		srv.stopRequestedAt.Store(int64(c.stopsSince))
+		srv.checkReady(receivedAt)
+		if n := srv.guard.Violations()[guard.Start.String()]; n != c.violations {
+			t.Errorf("case %d: %d violations, want %d", i, n, c.violations)
 		}
 	}
-	f.serving.Store(true)
-	f.stopRequestedAt.Store(0)
+	srv.serving.Store(true)
+	srv.stopRequestedAt.Store(0)
 }
