--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -110,7 +110,7 @@
 	}
 	if at := m.conf.Members.Discovery; at != "" {
 		f := &feed{m: m, name: fromDiscovery, history: at}
-		f.again = transport.NewDirectory(m.ctx, at, f, m.log)
+		f.again = transport.NewDiscoveryClient(m.ctx, at, f, m.log)
 		f.again.Follow(0)
 	}
 	if path := m.conf.Members.File; path != "" {
@@ -222,7 +222,7 @@
 	m       *members
 	name    string
 	history string
-	again   *transport.Directory // asked again where it is lost; nil for a source that is not lost
+	again   *transport.DiscoveryClient // asked again where it is lost; nil for a source that is not lost
 
 	// Of the members' lock.
 	spoken bool
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -96,9 +96,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	follower := transport.NewDirectory(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
+	follower := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
 	follower.Follow(0)
-	go sidecar.Run(ctx, transport.NewDestinations(transport.Options{Clock: clock, Room: transport.NewRoom(1), Log: quiet}), follower)
+	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewRoom(1), Log: quiet}), follower)
 	shows := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
 		if !ok {
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -56,7 +56,7 @@
 	set     balance.Settings
 	loop    *routing.Loop
 	members *members
-	carrier *transport.Destinations
+	carrier *transport.ConnectionPool
 	dirty   chan struct{}
 	refusal refusal
 	orca    *orca.Watcher            // nil if destinations are not asked out of band
@@ -91,9 +91,9 @@
 		}
 		p := &pool{conf: conf, set: set, loop: loop, dirty: make(chan struct{}, 1)}
 		loop.Notify(p.changed)
-		p.carrier = transport.NewDestinations(transport.Options{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
-			IdleFor: conf.Connections.Idle.D() / 2, Room: transport.NewRoom(f.Budget().Destinations / len(f.Pools)),
-			Fields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
+		p.carrier = transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
+			IdleTimeout: conf.Connections.Idle.D() / 2, ConnectionLimiter: transport.NewRoom(f.Budget().Destinations / len(f.Pools)),
+			LoadFields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
 		p.members = newMembers(ctx, conf, set.Seed, clock, loop, log)
 		if err := p.members.open(watcher); err != nil {
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -207,7 +207,7 @@
 	bufio.NewReaderSize(slow, 16).ReadString('\n')
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &list{}
-	d := transport.NewDirectory(ctx, at, l, slog.New(slog.DiscardHandler))
+	d := transport.NewDiscoveryClient(ctx, at, l, slog.New(slog.DiscardHandler))
 	d.Follow(0)
 	testkit.Until(t, "the list", func() bool { return l.is("x", balance.Ready) })
 	for i := range 50 {
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -184,7 +184,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[name]
-	return p != nil && p.destinations.Evict()
+	return p != nil && p.destinations.EvictOldestIdle()
 }
 
 // Owed tells how many operations have no answer yet.
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -46,7 +46,7 @@
 	Destinations []DestinationStatus `json:"destinations"`
 	Counts       map[string]uint64   `json:"counts"` // requests, attempts, refusals, retries and lists since the start, by name
 
-	Discovery *transport.DirectoryState `json:"discovery,omitempty"` // where its list comes from there
+	Discovery *transport.DiscoveryState `json:"discovery,omitempty"` // where its list comes from there
 }
 
 // Use is what a pool holds of a limit. Borrowed units are a part of those used.
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -44,23 +44,23 @@
 
 	clock := routing.NewClock()
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
-	options := transport.Options{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleFor: c.ConnIdle * 7 / 10,
-		Room: transport.NewRoom(budget.Destinations), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
+	options := transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleTimeout: c.ConnIdle * 7 / 10,
+		ConnectionLimiter: transport.NewRoom(budget.Destinations), LoadFields: c.LoadFields, ProbePath: "/health/live", Log: log}
 	if c.Module.Report.Via != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
-	destinations := transport.NewDestinations(options)
+	destinations := transport.NewConnectionPool(options)
 	loop, err := routing.New(c.Module, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
 	if err != nil {
 		return err
 	}
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
-	directory := transport.NewDirectory(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
+	directory := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
+	directory.Pushed, directory.DrainGrace = !c.Module.Ask, c.Module.Rules.DrainGrace
 	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
-	directory.Clock, directory.OnHold = clock, loop.Hold
-	directory.AtOnce = len(c.Known.Destinations) == 0
+	directory.Clock, directory.OnLeaseExpiry = clock, loop.Hold
+	directory.NoInitialDelay = len(c.Known.Destinations) == 0
 	service := &transport.Service{Loop: loop}
 	if c.Module.Limits.RetryAfter {
 		service.Advice = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
@@ -88,7 +88,7 @@
 			return err
 		}
 		log.Info("configuration read again: discovery is taken from it, all else at the next start", "discovery", next.Discovery)
-		directory.Move(next.Discovery)
+		directory.SwitchAddress(next.Discovery)
 		return nil
 	})
 	longest := time.Duration(0)
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -398,14 +398,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	u := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+	u := NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: 5 * time.Second, IdleTimeout: time.Minute, ConnectionLimiter: NewRoom(4), Log: quiet})
 	members := []routing.Member{{Name: "s", Address: at, State: balance.Ready}}
 	first, cut := make(chan struct{}), make(chan struct{})
 	if ran { // the operation's first attempt may have run, at another destination, which drains by then
 		members[0].Address = server(t, func(conn net.Conn) { head(conn); close(first); <-cut; conn.Close() })
 	}
 	loop.Pool(balance.Cached, 1, members)
-	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+	go loop.Run(ctx, u, NewDiscoveryClient(ctx, "127.0.0.1:1", loop, quiet))
 	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
 	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
 	loop.Submit(op)
@@ -470,13 +470,13 @@
 		t.Cleanup(cancel)
 		room := &gated{Room: NewRoom(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
 		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
-		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: quiet})
-		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+		u := NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ConnectionLimiter: room, ProbePath: "/stats", Log: quiet})
+		go loop.Run(ctx, u, NewDiscoveryClient(ctx, "127.0.0.1:1", loop, quiet))
 		done := make(chan routing.Answer, 9)
 		for n := range 3 { // one probe for three requests: it comes with the third, and both need a connection
 			if n == 2 {
 				room.shut.Store(true)
-				for u.Evict() {
+				for u.EvictOldestIdle() {
 				}
 			}
 			m := &protocol.Message{Start: [3]string{"GET", "/look"}}
@@ -586,8 +586,8 @@
 func TestLateConnectionServesTheNext(t *testing.T) {
 	t.Parallel()
 	at, let, came := late(t)
-	u := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
-		Room: NewRoom(1), Log: quiet})
+	u := NewConnectionPool(ConnectionPoolOptions{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute,
+		ConnectionLimiter: NewRoom(1), Log: quiet})
 	d := &routing.Destination{Address: at}
 	began := time.Now()
 	if s := probe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
@@ -598,11 +598,11 @@
 	if len(came) > 0 {
 		t.Errorf("something was sent over it: %q", <-came)
 	}
-	time.Sleep(2 * leastRest)
+	time.Sleep(2 * minIdleTime)
 	if s := probe(u, d); s != balance.OK { // there is room for one: it is that one
 		t.Errorf("the next ended %v", s)
 	}
-	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.Room.Take(); return ok })
+	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.ConnectionLimiter.Take(); return ok })
 }
 
 // A second copy of an answer comes some milliseconds behind it: the next request does not travel on that connection, and gets
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -106,7 +106,7 @@
 }
 
 // follows runs a Loop that follows a discovery, whose settings let it ask as seldom as can be, and returns its Directory.
-func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *Directory) {
+func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *DiscoveryClient) {
 	t.Helper()
 	set := settings()
 	set.Ask, set.Rules.AskWithin = ask, 100*time.Second
@@ -116,7 +116,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	d := NewDirectory(ctx, discovery, loop, quiet)
+	d := NewDiscoveryClient(ctx, discovery, loop, quiet)
 	d.Pushed = !ask
 	go loop.Run(ctx, destinations(routing.NewClock()), d)
 	loop.Pool(balance.Cached, 1, nil)
@@ -296,11 +296,11 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := NewDirectory(ctx, old, nil, quiet)
+	d := NewDiscoveryClient(ctx, old, nil, quiet)
 	var once sync.Once
 	d.Loop = told{pool: func(int64) {
 		once.Do(func() {
-			d.Move(next)
+			d.SwitchAddress(next)
 		})
 	}, lost: func() { ready.Store(true); d.Follow(77) }} // as the module does, from the last version that it knows
 	d.Follow(1)
@@ -373,10 +373,10 @@
 	loop, d := follows(t, old, true)
 	testkit.Until(t, "the first list is there", func() bool { return knows(loop, "old") })
 	for range 4 {
-		d.Move(server(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
+		d.SwitchAddress(server(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.Move(server(t, func(c net.Conn) { last.Add(1); head(c); io.Copy(io.Discard, c) }))
+	d.SwitchAddress(server(t, func(c net.Conn) { last.Add(1); head(c); io.Copy(io.Discard, c) }))
 	testkit.Until(t, "the last one is asked", func() bool { return last.Load() > 0 })
 	close(tell)
 	testkit.Until(t, "the old watch tells on", func() bool { return knows(loop, "new") })
@@ -399,7 +399,7 @@
 	_, d := follows(t, "127.0.0.1:1", true)
 	const moves = 6
 	for range moves {
-		d.Move(server(t, silent))
+		d.SwitchAddress(server(t, silent))
 		time.Sleep(100 * time.Millisecond)
 	}
 	testkit.Until(t, "each was called", func() bool { return called.Load() >= moves })
@@ -415,15 +415,15 @@
 // presumed anew, however many pools follow one another.
 func TestSuccessorPresumesNoOutageOnTopOfAnother(t *testing.T) {
 	heard := time.Now().Add(-time.Minute)
-	d := &Directory{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: heard}
+	d := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: heard}
 	d.add(0, "127.0.0.1:1")
-	d.prepare()
+	d.initLease()
 	for range 9 {
 		d.lease.Failed(d.Clock.Now())
-		next := &Directory{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: time.Now()}
+		next := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: time.Now()}
 		next.add(0, "127.0.0.1:1")
-		next.Succeed(d)
-		next.prepare()
+		next.TakeOver(d)
+		next.initLease()
 		d = next
 	}
 	if left := d.lease.Until() - d.Clock.Now(); left > -40*time.Second {
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -56,7 +56,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go f.Serve(ln)
-	return f, ln, func() { go loop.Run(ctx, destinations(clock), NewDirectory(ctx, discovery, loop, quiet)) }
+	return f, ln, func() { go loop.Run(ctx, destinations(clock), NewDiscoveryClient(ctx, discovery, loop, quiet)) }
 }
 
 // leads is the Loop that a listener takes operations to.
@@ -255,13 +255,13 @@
 
 // Bad answers and bad data end a watch, and are not half believed.
 func TestWatch(t *testing.T) {
-	for answer, want := range map[string]callKind{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": callRefused, "": callFailed,
+	for answer, want := range map[string]callOutcome{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": callRefused, "": callFailed,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{x}\n\r\n": callUnreadable} {
 		at := server(t, func(conn net.Conn) { head(conn); io.WriteString(conn, answer); conn.Close() })
-		d := NewDirectory(context.Background(), at, nil, quiet)
-		d.prepare()
-		if end := d.call(d.latest()); end.err == nil || end.kind != want {
-			t.Errorf("%q ended as %v with %v, want %v", answer, end.kind, end.err, want)
+		d := NewDiscoveryClient(context.Background(), at, nil, quiet)
+		d.initLease()
+		if end := d.call(d.latest()); end.err == nil || end.outcome != want {
+			t.Errorf("%q ended as %v with %v, want %v", answer, end.outcome, end.err, want)
 		}
 	}
 }
@@ -320,7 +320,7 @@
 
 // stuckCarrier never comes back from an attempt.
 type stuckCarrier struct {
-	*Destinations
+	*ConnectionPool
 	held, free chan struct{}
 }
 
@@ -341,7 +341,7 @@
 	loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: "127.0.0.1:1", State: balance.Ready}})
 	carrier := stuckCarrier{destinations(clock), make(chan struct{}), make(chan struct{})}
 	defer close(carrier.free)
-	go loop.Run(ctx, carrier, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+	go loop.Run(ctx, carrier, NewDiscoveryClient(ctx, "127.0.0.1:1", loop, quiet))
 	classes := []protocol.Class{{Name: "look", Methods: []string{"GET"}, Deadline: 2 * time.Second}}
 	f := NewFront(clock, OnePool(&Service{Loop: loop, Advice: time.Second}, classes), Budget{Front: 4, Overflow: 2}, quiet)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -137,7 +137,7 @@
 // link is one connection to a destination. Its reader runs for as long as it stands, so the end of an idle
 // connection is seen when it comes.
 type link struct {
-	home *Destinations
+	home *ConnectionPool
 	to   *routing.Destination
 	conn net.Conn
 	once sync.Once
@@ -195,7 +195,7 @@
 func (k *link) rest() {
 	k.task = nil
 	k.since = time.Now()
-	k.conn.SetReadDeadline(k.since.Add(k.home.IdleFor))
+	k.conn.SetReadDeadline(k.since.Add(k.home.IdleTimeout))
 }
 
 // close ends the connection. k.mu is held.
@@ -203,7 +203,7 @@
 	k.dead = true
 	k.once.Do(func() {
 		k.conn.Close()
-		k.home.Room.Give()
+		k.home.ConnectionLimiter.Give()
 	})
 }
 
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -55,7 +55,7 @@
 			})
 			u, d := destinations(routing.NewClock()), &routing.Destination{Address: at}
 			first := probe(u, d)
-			time.Sleep(2 * leastRest) // it is used again when it has rested
+			time.Sleep(2 * minIdleTime) // it is used again when it has rested
 			second := probe(u, d)
 			if first != c.status || second != c.status {
 				t.Errorf("ended %d, then %d; want %d", first, second, c.status)
@@ -213,7 +213,7 @@
 	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
 	k := u.idle[d][0]
 	k.mu.Lock()
-	k.since = time.Now().Add(-u.IdleFor - time.Millisecond)
+	k.since = time.Now().Add(-u.IdleTimeout - time.Millisecond)
 	k.mu.Unlock()
 	if s := probe(u, d); s != balance.OK {
 		t.Error(s)
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -48,12 +48,12 @@
 	return string(text)
 }
 
-func destinations(clock routing.Clock) *Destinations {
-	return NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+func destinations(clock routing.Clock) *ConnectionPool {
+	return NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ConnectionLimiter: NewRoom(4), Log: quiet})
 }
 
 // probe runs one exchange and returns how it ended.
-func probe(u *Destinations, d *routing.Destination) balance.Status {
+func probe(u *ConnectionPool, d *routing.Destination) balance.Status {
 	ended := make(chan routing.Result, 1)
 	u.Probe(d, func(r routing.Result) { ended <- r })
 	r := <-ended
