--- a/internal/transport/backoff.go
+++ b/internal/transport/backoff.go
@@ -5,77 +5,78 @@
 	"time"
 )
 
-// backoff paces the calls of one subscription to discovery.
+// backoff computes the delays between the calls of one subscription to discovery.
 type backoff struct {
-	pushed bool
-	moved  bool      // a reload has named its address
-	began  time.Time // of the subscription
-	pause  time.Duration
-	failed int // calls in a row that were refused, failed, or found discovery out of reach
+	pushed    bool          // lists are pushed by an agent beside the sidecar
+	reloaded  bool          // its address comes from a reload
+	startedAt time.Time     // of the subscription
+	pause     time.Duration // the last one of doublePause
+	failures  int           // consecutive calls that were refused, unanswered, failed, or found discovery unreachable
 }
 
 const (
-	leastPause = 100 * time.Millisecond
-	mostPause  = 800 * time.Millisecond // while a reload settles
-	mostPushed = 200 * time.Millisecond // an agent beside the sidecar is asked by nobody else
-	settling   = 4 * time.Second        // after a reload
+	minPause         = 100 * time.Millisecond
+	maxReloadPause   = 800 * time.Millisecond // within reloadSettleTime of a reload
+	maxPushedPause   = 200 * time.Millisecond // the agent beside the sidecar has no other callers
+	reloadSettleTime = 4 * time.Second        // for so long a subscription after a reload is called at short pauses
 
-	// Discovery takes calls in turn, and works off a call, too, that has waited too long and failed. Callers that come together,
-	// or again at once, keep its queue too long for all of them, for good; so whatever all sidecars meet together is followed by
-	// calls that are spread. These widths take callers through a queue of 5 s of calls within 6 s; see TestPaceInACrowd.
-	spreadWidth    = 3200 * time.Millisecond // after a start or a break, and after calls that failed
-	mostWidth      = 64 * time.Second        // of the pauses after calls that failed
-	steadyFailures = 3                       // so many have the first width, from then on it doubles
-	afterMiss      = 2 * time.Second         // after a watch that fell silent: most of the time until a change counts as told is over
-	afterReload    = 1200 * time.Millisecond // beyond the wait for other reloads: a watch that stands is beating still
-	afterRefusal   = 1250 * time.Millisecond // the first pause; a queue that was full may have a place soon
-	mostUnheard    = 5800 * time.Millisecond // from the begin of a call that fails to that of the next one, at first
-	afterMishap    = 625 * time.Millisecond  // after what this sidecar alone has met
+	// Discovery handles calls in order, and spends time even on a call that has waited too long and failed. Callers that call
+	// together, or retry at once, keep the queue too long for all of them indefinitely. So after an event that affects all
+	// sidecars together, calls are delayed by a random part of a spread. With these spreads a queue of 5 s of calls is served
+	// within 6 s; see TestBackoffOfManyCallers.
+	initialSpread        = 3200 * time.Millisecond // after a start or the break of a watch, and after the first failed calls
+	maxFailureSpread     = 64 * time.Second        // after failed calls
+	failuresBeforeGrowth = 3                       // number of failures with the initial spread; it doubles with each further one
+	silentWatchSpread    = 2 * time.Second         // after a watch fell silent: most of the time within which a change counts as delivered has passed
+	reloadSpread         = 1200 * time.Millisecond // added to the debounce of reloads: the open watch still renews the lease
+	firstRefusalSpread   = 1250 * time.Millisecond // after the first refusal: a full queue may have a free place soon
+	maxCallInterval      = 5800 * time.Millisecond // from the start of a call that fails to the start of the next one, before the spread doubles
+	isolatedFailurePause = 625 * time.Millisecond  // after a failure that affects this sidecar alone
 
-	atOnce = 100 * time.Millisecond // after a watch that was ended in order
-	stood  = time.Second            // a watch that lasted this long was no refusal
+	endedWatchSpread = 100 * time.Millisecond // after discovery ended a watch in order
+	minWatchDuration = time.Second            // a watch that ended sooner is not called again at once
 )
 
-// next is the pause after a call has ended.
-func (b *backoff) next(end callEnd, rng *rand.Rand) time.Duration {
-	part := func(of time.Duration) time.Duration { return time.Duration(rng.Float64() * float64(of)) }
-	around := func(d time.Duration) time.Duration { return d/2 + part(d) }
-	unserved := end.outcome == callUnreachable || end.outcome == callFailed || end.outcome == callUnanswered || end.outcome == callRefused
-	if !unserved {
-		b.failed = 0
+// next returns the pause after a call has ended.
+func (b *backoff) next(result callResult, rng *rand.Rand) time.Duration {
+	jitter := func(of time.Duration) time.Duration { return time.Duration(rng.Float64() * float64(of)) }
+	jitterAround := func(d time.Duration) time.Duration { return d/2 + jitter(d) }
+	failed := result.outcome == callUnreachable || result.outcome == callFailed || result.outcome == callUnanswered || result.outcome == callRefused
+	if !failed {
+		b.failures = 0
 	}
 	switch {
-	case b.pushed && end.outcome != callSilent && end.outcome != callUnanswered:
-		return around(b.grow(mostPushed))
-	case end.outcome == callSilent:
-		return part(afterMiss)
-	case (end.outcome == callEnded || end.outcome == callCut) && end.stood > stood:
-		return part(atOnce)
-	case b.moved && end.outcome != callRefused && end.stood < waitedOut && time.Since(b.began) < settling:
-		return around(b.grow(mostPause))
-	case end.outcome == callBroken, end.outcome == callCut:
-		return part(spreadWidth)
-	case !unserved:
-		return around(afterMishap)
+	case b.pushed && result.outcome != callSilent && result.outcome != callUnanswered:
+		return jitterAround(b.doublePause(maxPushedPause))
+	case result.outcome == callSilent:
+		return jitter(silentWatchSpread)
+	case (result.outcome == callEnded || result.outcome == callTruncated) && result.duration > minWatchDuration:
+		return jitter(endedWatchSpread)
+	case b.reloaded && result.outcome != callRefused && result.duration < maxRefusalDelay && time.Since(b.startedAt) < reloadSettleTime:
+		return jitterAround(b.doublePause(maxReloadPause))
+	case result.outcome == callBroken, result.outcome == callTruncated:
+		return jitter(initialSpread)
+	case !failed:
+		return jitterAround(isolatedFailurePause)
 	}
-	b.failed++
-	if b.failed == 1 && end.outcome == callRefused {
-		return part(afterRefusal)
+	b.failures++
+	if b.failures == 1 && result.outcome == callRefused {
+		return jitter(firstRefusalSpread)
 	}
-	return part(b.width(end.stood))
+	return jitter(b.failureSpread(result.duration))
 }
 
-// width is how far the pauses after calls that were not answered spread, the last of them after some time. The first ones leave
-// room for one more call before a change that came with the last one counts as told.
-func (b *backoff) width(took time.Duration) time.Duration {
-	if b.failed <= steadyFailures {
-		return min(spreadWidth, mostUnheard-took)
+// failureSpread returns the spread of the pause after a call that failed after duration. The first ones leave time for
+// one more call before a change that discovery got during the failed one counts as delivered.
+func (b *backoff) failureSpread(duration time.Duration) time.Duration {
+	if b.failures <= failuresBeforeGrowth {
+		return min(initialSpread, maxCallInterval-duration)
 	}
-	return min(spreadWidth<<min(b.failed-steadyFailures, 10), mostWidth)
+	return min(initialSpread<<min(b.failures-failuresBeforeGrowth, 10), maxFailureSpread)
 }
 
-// grow doubles the pause, up to a bound.
-func (b *backoff) grow(most time.Duration) time.Duration {
-	b.pause = min(max(2*b.pause, leastPause), most)
+// doublePause doubles the pause, up to a limit, and returns it.
+func (b *backoff) doublePause(limit time.Duration) time.Duration {
+	b.pause = min(max(2*b.pause, minPause), limit)
 	return b.pause
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -18,95 +18,96 @@
 	"kitewood/internal/testkit"
 )
 
-// chunked is the start of a watch with these lines, and no end.
-func chunked(lines ...string) string {
+// chunkedHead is the start of a watch response with these lines; the response does not end.
+func chunkedHead(lines ...string) string {
 	text := strings.Join(lines, "\n") + "\n"
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 }
 
-// Whatever discovery does, an operation that comes meanwhile has its answer, and a discovery that ends its watches is
-// asked again until one stands.
+// Whatever response discovery sends, a client's request meanwhile gets its response, and a discovery that ends its watches
+// is called again until a watch stays open.
 func TestDiscoveryMisbehaves(t *testing.T) {
 	t.Parallel()
-	echoes := server(t, echo)
+	endpoint := server(t, echo)
 	entry := func(name, status string) string {
-		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":%q,"weight":1}`, name, echoes, status)
+		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":%q,"weight":1}`, name, endpoint, status)
 	}
 	list := func(index int, whole bool, entries ...string) string {
 		return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, whole, strings.Join(entries, ","))
 	}
-	var many []string
+	var manyEntries []string
 	for i := range 4000 {
-		many = append(many, entry(fmt.Sprint("s", i), "Ready"))
+		manyEntries = append(manyEntries, entry(fmt.Sprint("s", i), "Ready"))
 	}
-	good := chunked(list(9, true, entry("s", "Ready")))
+	valid := chunkedHead(list(9, true, entry("s", "Ready")))
 	for _, c := range []struct {
 		name   string
 		answer string
-		closes bool   // the connection ends behind it, and is opened again
-		want   string // of an operation
+		closes bool   // discovery closes the connection after it, and is called again
+		want   string // status of the client's request
 	}{
-		{"accepts and says nothing", "", false, "200"},
+		{"accepts and sends nothing", "", false, "200"},
 		{"answers 503", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", true, "200"},
 		{"ends before its head", "HTTP/1.1 2", true, "200"},
-		{"ends in the middle of a line", strings.TrimSuffix(good, "]}\n\r\n"), true, "200"},
-		{"names an unknown state", chunked(list(2, true, entry("s", "Asleep"))), true, "200"},
-		{"sends no JSON", chunked("<html>"), true, "200"},
-		{"goes back in its versions", chunked(list(8, true, entry("s", "Ready")), list(3, false, entry("s", "Ready"))), false, "200"},
-		{"names thousands", chunked(list(2, true, many...)), false, "200"},
-		{"names nobody", chunked(list(2, true)), false, "503"},
+		{"ends in the middle of a line", strings.TrimSuffix(valid, "]}\n\r\n"), true, "200"},
+		{"sends an unknown state", chunkedHead(list(2, true, entry("s", "Asleep"))), true, "200"},
+		{"sends no JSON", chunkedHead("<html>"), true, "200"},
+		{"goes back in its versions", chunkedHead(list(8, true, entry("s", "Ready")), list(3, false, entry("s", "Ready"))), false, "200"},
+		{"lists thousands of endpoints", chunkedHead(list(2, true, manyEntries...)), false, "200"},
+		{"lists no endpoint", chunkedHead(list(2, true)), false, "503"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			asked, stands := make(chan bool, 99), make(chan bool, 99)
+			called, established := make(chan bool, 99), make(chan bool, 99)
 			var calls atomic.Int32
 			discovery := server(t, func(conn net.Conn) {
 				defer conn.Close()
 				head(conn)
-				first := calls.Add(1) <= 2
-				if !first {
-					io.WriteString(conn, good)
-					stands <- true
+				misbehave := calls.Add(1) <= 2
+				if !misbehave {
+					io.WriteString(conn, valid)
+					established <- true
 					io.Copy(io.Discard, conn)
 					return
 				}
 				io.WriteString(conn, c.answer)
-				asked <- true
+				called <- true
 				if !c.closes {
 					io.Copy(io.Discard, conn)
 				}
 			})
 			set := settings()
 			set.Ask, set.Rules.AskWithin = true, 640*time.Millisecond
-			_, ln, run := stopped(t, 4, echoes, set, discovery)
-			run()
-			<-asked
-			time.Sleep(20 * time.Millisecond) // what it said is taken, or the watch ends
+			_, ln, start := stopped(t, 4, endpoint, set, discovery)
+			start()
+			<-called
+			time.Sleep(20 * time.Millisecond) // its response has been handled, or the watch has ended
 			conn, r := dial(t, ln)
 			io.WriteString(conn, pay("a"))
 			if status, _ := answer(t, r); !strings.Contains(status, c.want) {
-				t.Errorf("an operation was answered %q, want %s", status, c.want)
+				t.Errorf("request: got response %q, want %s", status, c.want)
 			}
 			if !c.closes {
 				return
 			}
 			select {
-			case <-stands:
+			case <-established:
 			case <-time.After(20 * time.Second):
-				t.Fatal("discovery was not asked again")
+				t.Fatal("discovery was not called again")
 			}
 		})
 	}
 }
 
-// line is an endpoint list that names one destination.
-func line(index int, name, status string) string {
+// listLine is an endpoint list with one endpoint.
+func listLine(index int, name, status string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[{"name":%q,"address":"127.0.0.1:1","zone":"z","type":"k","status":%q,"weight":1}]}`,
 		index, name, status)
 }
 
-// follows runs a Loop that follows a discovery, whose settings let it ask as seldom as can be, and returns its Directory.
-func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *DiscoveryClient) {
+// startWatching runs a Loop that watches discovery, with settings under which package balance calls as seldom as possible. It
+// returns the Loop and its DiscoveryClient.
+func startWatching(t *testing.T, address string, ask bool) (*routing.Loop, *DiscoveryClient) {
 	t.Helper()
 	set := settings()
 	set.Ask, set.Rules.AskWithin = ask, 100*time.Second
@@ -116,7 +117,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	d := NewDiscoveryClient(ctx, discovery, loop, quiet)
+	d := NewDiscoveryClient(ctx, address, loop, quiet)
 	d.Pushed = !ask
 	go loop.Run(ctx, destinations(routing.NewClock()), d)
 	loop.Pool(balance.Cached, 1, nil)
@@ -126,72 +127,72 @@
 	return loop, d
 }
 
-// knows tells whether a Loop has heard of a destination.
-func knows(l *routing.Loop, name string) bool {
+// hasEndpoint reports whether the Loop has exactly one endpoint, with this name.
+func hasEndpoint(l *routing.Loop, name string) bool {
 	v, ok := l.View(time.Second)
 	return ok && len(v.Destinations) == 1 && v.Destinations[0].Name == name
 }
 
-// Whatever the calls before met, a change is there within 6 s of the moment at which discovery had it and could be reached:
-// from then on it counts as told. The settings allow 100 s between calls.
-func TestToldWithinSixSeconds(t *testing.T) {
-	good := chunked(line(9, "new", "Ready"))
-	hold := func(c net.Conn) { io.Copy(io.Discard, c) }
-	for name, bad := range map[string]func(c net.Conn){
-		"refused in words":    func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n") },
-		"reset":               func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) },
-		"ended in its head":   func(c net.Conn) { io.WriteString(c, "HTTP/1.1 20") },
-		"given up":            hold,
-		"silent behind heads": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); hold(c) },
-		"silent in a list":    func(c net.Conn) { io.WriteString(c, good[:len(good)-9]); hold(c) },
-		"silent behind one":   func(c net.Conn) { io.WriteString(c, chunked(line(2, "old", "Ready"))); hold(c) },
+// Whatever the previous calls met, a change arrives within 6 s after discovery has it and can be reached: from then on it
+// counts as delivered. The settings allow 100 s between the calls of package balance.
+func TestChangeArrivesWithinSixSeconds(t *testing.T) {
+	valid := chunkedHead(listLine(9, "new", "Ready"))
+	idle := func(c net.Conn) { io.Copy(io.Discard, c) }
+	for name, failCall := range map[string]func(c net.Conn){
+		"503 response":       func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n") },
+		"reset":              func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) },
+		"truncated head":     func(c net.Conn) { io.WriteString(c, "HTTP/1.1 20") },
+		"no response":        idle,
+		"silent after head":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); idle(c) },
+		"silent within list": func(c net.Conn) { io.WriteString(c, valid[:len(valid)-9]); idle(c) },
+		"silent after list":  func(c net.Conn) { io.WriteString(c, chunkedHead(listLine(2, "old", "Ready"))); idle(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var reached atomic.Bool
+			var available atomic.Bool
 			calls := make(chan bool, 999)
 			at := server(t, func(c net.Conn) {
 				defer c.Close()
 				head(c)
-				if calls <- true; !reached.Load() {
-					bad(c)
+				if calls <- true; !available.Load() {
+					failCall(c)
 					return
 				}
-				io.WriteString(c, good)
-				hold(c)
+				io.WriteString(c, valid)
+				idle(c)
 			})
-			loop, _ := follows(t, at, true)
-			for range 3 { // the module's back-off is at its longest
+			loop, _ := startWatching(t, at, true)
+			for range 3 { // the backoff of package balance has reached its maximum
 				<-calls
 			}
-			reached.Store(true) // right behind the start of a call, which it is too late for
+			available.Store(true) // just after a call has started, which fails still
 			from := time.Now()
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
-			if took := time.Since(from); took > 6*time.Second {
-				t.Errorf("the change was there after %v", took)
+			testkit.Until(t, "the change has arrived", func() bool { return hasEndpoint(loop, "new") })
+			if elapsed := time.Since(from); elapsed > 6*time.Second {
+				t.Errorf("the change arrived after %v, want at most 6 s", elapsed)
 			}
 		})
 	}
-	t.Run("never up", func(t *testing.T) {
+	t.Run("no connection", func(t *testing.T) {
 		t.Parallel()
-		at, let, came := late(t)
-		_, _ = follows(t, at, true)
+		at, accept, accepted := late(t)
+		_, _ = startWatching(t, at, true)
 		time.Sleep(2 * time.Second)
-		let()
+		accept()
 		select {
-		case <-came:
+		case <-accepted:
 		case <-time.After(4 * time.Second):
-			t.Error("no call came within 4 s of the moment at which connections come up")
+			t.Error("no call within 4 s after connections can be established")
 		}
 	})
 }
 
-// Discovery ends a watch that stood instead of telling a change: the next call follows at once, as calls may wait long for
-// their turn. One that it ends right away is followed by the back-off, or it would be called without an end.
-func TestWatchEndedInsteadOfTelling(t *testing.T) {
-	for lasts, want := range map[time.Duration][2]time.Duration{1100 * time.Millisecond: {0, 200 * time.Millisecond},
+// Discovery may end an open watch instead of delivering a change: the next call follows at once, as calls may be queued for
+// long. After a watch that ends right away the client backs off, or it would call in a busy loop.
+func TestCallAfterWatchEnded(t *testing.T) {
+	for lifetime, want := range map[time.Duration][2]time.Duration{1100 * time.Millisecond: {0, 200 * time.Millisecond},
 		0: {250 * time.Millisecond, 2 * time.Second}} {
-		t.Run(lasts.String(), func(t *testing.T) {
+		t.Run(lifetime.String(), func(t *testing.T) {
 			t.Parallel()
 			calls := make(chan time.Time, 99)
 			ended := make(chan time.Time, 99)
@@ -199,59 +200,59 @@
 				defer c.Close()
 				head(c)
 				if calls <- time.Now(); len(ended) < 1 {
-					text := chunked(line(2, "old", "Ready"))
+					text := chunkedHead(listLine(2, "old", "Ready"))
 					io.WriteString(c, text)
-					time.Sleep(lasts)
+					time.Sleep(lifetime)
 					ended <- time.Now()
 					io.WriteString(c, "0\r\n\r\n")
 					return
 				}
-				io.WriteString(c, chunked(line(9, "new", "Ready")))
+				io.WriteString(c, chunkedHead(listLine(9, "new", "Ready")))
 				io.Copy(io.Discard, c)
 			})
-			loop, _ := follows(t, at, true)
+			loop, _ := startWatching(t, at, true)
 			<-calls
 			next := <-calls
-			if took := next.Sub(<-ended); took < want[0] || took > want[1] {
-				t.Errorf("the next call came %v after the end, want %v to %v", took, want[0], want[1])
+			if elapsed := next.Sub(<-ended); elapsed < want[0] || elapsed > want[1] {
+				t.Errorf("next call %v after the end of the watch, want %v to %v", elapsed, want[0], want[1])
 			}
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
+			testkit.Until(t, "the change has arrived", func() bool { return hasEndpoint(loop, "new") })
 		})
 	}
 }
 
-// A list that is pushed counts as told at once: the sidecar watches by itself from the start, and opens a watch that has
-// ended within the time that it may go on sending.
-func TestPushed(t *testing.T) {
-	ends := make(chan bool)
+// Pushed lists count as delivered at once: the client watches from the start without a request of package balance, and reopens
+// an ended watch before its lease expires.
+func TestPushedLists(t *testing.T) {
+	end := make(chan bool)
 	calls := 0
 	at := server(t, func(c net.Conn) {
 		defer c.Close()
 		head(c)
 		calls++
-		io.WriteString(c, chunked(line(calls, fmt.Sprint("s", calls), "Ready")))
-		<-ends
+		io.WriteString(c, chunkedHead(listLine(calls, fmt.Sprint("s", calls), "Ready")))
+		<-end
 	})
-	loop, _ := follows(t, at, false)
+	loop, _ := startWatching(t, at, false)
 	for n := 1; n < 5; n++ {
 		from := time.Now()
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, fmt.Sprint("s", n)) })
-		if took := time.Since(from); took > 450*time.Millisecond {
-			t.Errorf("list %d was there after %v", n, took)
+		testkit.Until(t, "the list has arrived", func() bool { return hasEndpoint(loop, fmt.Sprint("s", n)) })
+		if elapsed := time.Since(from); elapsed > 450*time.Millisecond {
+			t.Errorf("list %d arrived after %v, want at most 450 ms", n, elapsed)
 		}
-		ends <- true
+		end <- true
 	}
-	close(ends)
+	close(end)
 }
 
-// Lists that come indented, over many lines and in pieces, are taken as those on one line.
+// Lists that are indented over many lines, and arrive in several chunks, are accepted like lists on one line.
 func TestIndentedLists(t *testing.T) {
 	at := server(t, func(c net.Conn) {
 		head(c)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for i, name := range []string{"a", "b"} {
 			var b bytes.Buffer
-			json.Indent(&b, []byte(line(2+i, name, "Ready")), "", "  ")
+			json.Indent(&b, []byte(listLine(2+i, name, "Ready")), "", "  ")
 			for _, piece := range strings.SplitAfter(b.String()+"\n\n", "\n") {
 				if piece != "" {
 					fmt.Fprintf(c, "%x\r\n%s\r\n", len(piece), piece)
@@ -261,172 +262,172 @@
 		}
 		io.Copy(io.Discard, c)
 	})
-	loop, _ := follows(t, at, true)
+	loop, _ := startWatching(t, at, true)
 	for _, name := range []string{"a", "b"} {
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, name) })
+		testkit.Until(t, "the list has arrived", func() bool { return hasEndpoint(loop, name) })
 	}
 }
 
-// told is a Lists that does something with each list, and each time the source is lost.
-type told struct {
-	pool func(index int64)
-	lost func()
+// receiverFuncs is an EndpointListReceiver that calls a function for each list and each loss of the source.
+type receiverFuncs struct {
+	onUpdate func(index int64)
+	onLost   func()
 }
 
-func (t told) Pool(_ balance.ListKind, index int64, _ []routing.Member) { t.pool(index) }
-func (t told) Lost()                                                    { t.lost() }
+func (r receiverFuncs) Pool(_ balance.ListKind, index int64, _ []routing.Member) { r.onUpdate(index) }
+func (r receiverFuncs) Lost()                                                    { r.onLost() }
 
-// The discovery moves while a list of the old one is being told, and the new one fails for longer than the Directory tries
-// by itself: whatever version the module then asks from, the new one is asked for its whole list.
-func TestMoveWhileAListIsTold(t *testing.T) {
-	asked := make(chan string, 99)
+// The address of discovery changes while a list from the old one is being delivered, and the first call to the new one fails.
+// Whatever version package balance then asks from, the new discovery is asked for its whole list.
+func TestSwitchAddressDuringUpdate(t *testing.T) {
+	requests := make(chan string, 99)
 	var ready atomic.Bool
 	next := server(t, func(c net.Conn) {
 		defer c.Close()
-		asked <- head(c)
+		requests <- head(c)
 		if ready.Load() {
-			io.WriteString(c, chunked(line(3, "a", "Ready")))
+			io.WriteString(c, chunkedHead(listLine(3, "a", "Ready")))
 			io.Copy(io.Discard, c)
 		}
 	})
 	old := server(t, func(c net.Conn) {
 		head(c)
-		io.WriteString(c, chunked(line(77, "a", "Ready")))
+		io.WriteString(c, chunkedHead(listLine(77, "a", "Ready")))
 		io.Copy(io.Discard, c)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := NewDiscoveryClient(ctx, old, nil, quiet)
 	var once sync.Once
-	d.Loop = told{pool: func(int64) {
+	d.Receiver = receiverFuncs{onUpdate: func(int64) {
 		once.Do(func() {
 			d.SwitchAddress(next)
 		})
-	}, lost: func() { ready.Store(true); d.Follow(77) }} // as the module does, from the last version that it knows
+	}, onLost: func() { ready.Store(true); d.Follow(77) }} // as package balance does, from the last version that it has
 	d.Follow(1)
 	for range 2 {
 		select {
-		case text := <-asked:
+		case text := <-requests:
 			if !strings.Contains(text, "since=0 ") {
-				t.Errorf("the new discovery is asked with %.60q", text)
+				t.Errorf("request to the new discovery %.60q, want since=0", text)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("the new discovery is not asked")
+			t.Fatal("no call to the new discovery")
 		}
 	}
 }
 
-// A watch falls silent, as where its path is cut one way, and delivers what was held while the next call still waits for its
-// turn: it is taken at once. When the next call is answered the old connection ends.
-func TestSilentWatchIsReadOn(t *testing.T) {
+// A watch falls silent, for example when its network path fails in one direction, and delivers a buffered list while the next
+// call is still queued at discovery: the list is accepted at once. When the next call is answered the old connection closes.
+func TestSilentWatchIsStillRead(t *testing.T) {
 	t.Parallel()
-	const held, turn = 4 * time.Second, 5500 * time.Millisecond
+	const deliveredAt, answeredAt = 4 * time.Second, 5500 * time.Millisecond
 	var calls atomic.Int32
-	began := time.Now()
-	ended := make(chan time.Duration, 9)
+	startedAt := time.Now()
+	closed := make(chan time.Duration, 9)
 	at := server(t, func(c net.Conn) {
 		defer c.Close()
 		head(c)
 		if calls.Add(1) > 1 {
-			time.Sleep(time.Until(began.Add(turn)))
-			io.WriteString(c, chunked(line(4, "last", "Ready")))
+			time.Sleep(time.Until(startedAt.Add(answeredAt)))
+			io.WriteString(c, chunkedHead(listLine(4, "last", "Ready")))
 			io.Copy(io.Discard, c)
 			return
 		}
-		io.WriteString(c, chunked(line(2, "old", "Ready")))
-		time.Sleep(time.Until(began.Add(held)))
-		text := line(3, "new", "Ready") + "\n"
+		io.WriteString(c, chunkedHead(listLine(2, "old", "Ready")))
+		time.Sleep(time.Until(startedAt.Add(deliveredAt)))
+		text := listLine(3, "new", "Ready") + "\n"
 		fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		io.Copy(io.Discard, c)
-		ended <- time.Since(began)
+		closed <- time.Since(startedAt)
 	})
-	loop, _ := follows(t, at, true)
-	testkit.Until(t, "what was held is there", func() bool { return knows(loop, "new") })
-	if took := time.Since(began); took > held+300*time.Millisecond {
-		t.Errorf("what was held was there %v after it came", took-held)
+	loop, _ := startWatching(t, at, true)
+	testkit.Until(t, "the buffered list has arrived", func() bool { return hasEndpoint(loop, "new") })
+	if elapsed := time.Since(startedAt); elapsed > deliveredAt+300*time.Millisecond {
+		t.Errorf("the buffered list arrived %v after it was sent, want at most 300 ms", elapsed-deliveredAt)
 	}
-	testkit.Until(t, "the next call's list is there", func() bool { return knows(loop, "last") })
+	testkit.Until(t, "the list of the next call has arrived", func() bool { return hasEndpoint(loop, "last") })
 	select {
-	case at := <-ended:
-		if at < turn-50*time.Millisecond {
-			t.Errorf("the silent connection ended after %v, before the next call's turn", at)
+	case at := <-closed:
+		if at < answeredAt-50*time.Millisecond {
+			t.Errorf("the silent connection closed after %v, before the next call was answered", at)
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the silent connection stands on")
+		t.Error("the silent connection is still open 2 s after the next call was answered")
 	}
 }
 
-// Reloads in a row: while a watch stands the addresses between are not called at all, and the old watch tells on until the
-// last one has.
-func TestReloadsInARowAreGathered(t *testing.T) {
+// Several reloads in quick succession while a watch is open: the addresses in between are not called, and the old watch goes
+// on delivering lists until the last address has delivered one.
+func TestReloadsAreDebounced(t *testing.T) {
 	t.Parallel()
-	tell := make(chan bool)
+	deliver := make(chan bool)
 	old := server(t, func(c net.Conn) {
 		head(c)
-		io.WriteString(c, chunked(line(2, "old", "Ready")))
-		<-tell
-		text := line(3, "new", "Ready") + "\n"
+		io.WriteString(c, chunkedHead(listLine(2, "old", "Ready")))
+		<-deliver
+		text := listLine(3, "new", "Ready") + "\n"
 		fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		io.Copy(io.Discard, c)
 	})
-	var between, last atomic.Int32
-	loop, d := follows(t, old, true)
-	testkit.Until(t, "the first list is there", func() bool { return knows(loop, "old") })
+	var skipped, last atomic.Int32
+	loop, d := startWatching(t, old, true)
+	testkit.Until(t, "the first list has arrived", func() bool { return hasEndpoint(loop, "old") })
 	for range 4 {
-		d.SwitchAddress(server(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
+		d.SwitchAddress(server(t, func(c net.Conn) { skipped.Add(1); io.Copy(io.Discard, c) }))
 		time.Sleep(50 * time.Millisecond)
 	}
 	d.SwitchAddress(server(t, func(c net.Conn) { last.Add(1); head(c); io.Copy(io.Discard, c) }))
-	testkit.Until(t, "the last one is asked", func() bool { return last.Load() > 0 })
-	close(tell)
-	testkit.Until(t, "the old watch tells on", func() bool { return knows(loop, "new") })
-	if n := between.Load(); n > 0 {
-		t.Errorf("discoveries that were named for a moment got %d calls", n)
+	testkit.Until(t, "the last address is called", func() bool { return last.Load() > 0 })
+	close(deliver)
+	testkit.Until(t, "the old watch delivers another list", func() bool { return hasEndpoint(loop, "new") })
+	if n := skipped.Load(); n > 0 {
+		t.Errorf("%d calls to addresses that were replaced at once, want none", n)
 	}
 }
 
-// Without a watch each reload is followed at once, and those that wait keep their place; but there are never more than a few
-// connections to discovery.
+// Without an open watch each reload is followed by a call at once, and the calls of earlier reloads stay queued, but the number
+// of connections to discovery is bounded.
 func TestReloadsWithoutAWatch(t *testing.T) {
 	t.Parallel()
-	var open, most, called atomic.Int32
+	var open, maxOpen, called atomic.Int32
 	silent := func(c net.Conn) {
 		called.Add(1)
-		most.Store(max(most.Load(), open.Add(1)))
+		maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 		io.Copy(io.Discard, c)
 		open.Add(-1)
 	}
-	_, d := follows(t, "127.0.0.1:1", true)
-	const moves = 6
-	for range moves {
+	_, d := startWatching(t, "127.0.0.1:1", true)
+	const reloads = 6
+	for range reloads {
 		d.SwitchAddress(server(t, silent))
 		time.Sleep(100 * time.Millisecond)
 	}
-	testkit.Until(t, "each was called", func() bool { return called.Load() >= moves })
-	if n := most.Load(); n > mostSubscriptions+1 { // one may be ending
-		t.Errorf("%d connections at a time", n)
+	testkit.Until(t, "each address was called", func() bool { return called.Load() >= reloads })
+	if n := maxOpen.Load(); n > maxSubscriptions+1 { // one may be closing
+		t.Errorf("too many concurrent connections: %d", n)
 	}
-	if n := open.Load(); n < mostSubscriptions {
-		t.Errorf("%d calls wait on, want %d", n, mostSubscriptions)
+	if n := open.Load(); n < maxSubscriptions {
+		t.Errorf("%d calls are pending, want %d", n, maxSubscriptions)
 	}
 }
 
-// A pool that takes the place of another begins with the list's true age: an outage that its predecessor has only presumed is not
-// presumed anew, however many pools follow one another.
-func TestSuccessorPresumesNoOutageOnTopOfAnother(t *testing.T) {
-	heard := time.Now().Add(-time.Minute)
-	d := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: heard}
-	d.add(0, "127.0.0.1:1")
+// A pool that takes over from another one starts with the true age of the list. An outage that the predecessor has only presumed
+// does not extend the lease again, however many pools follow one another.
+func TestTakeOverKeepsListAge(t *testing.T) {
+	listTime := time.Now().Add(-time.Minute)
+	d := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), initialListTime: listTime}
+	d.addSubscription(0, "127.0.0.1:1")
 	d.initLease()
 	for range 9 {
 		d.lease.Failed(d.Clock.Now())
-		next := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: time.Now()}
-		next.add(0, "127.0.0.1:1")
+		next := &DiscoveryClient{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), initialListTime: time.Now()}
+		next.addSubscription(0, "127.0.0.1:1")
 		next.TakeOver(d)
 		next.initLease()
 		d = next
 	}
 	if left := d.lease.Until() - d.Clock.Now(); left > -40*time.Second {
-		t.Errorf("a list that was heard of a minute ago may be used for %v more", left)
+		t.Errorf("a list confirmed a minute ago may be used for %v more", left)
 	}
 }
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -13,115 +13,115 @@
 	"kitewood/internal/protocol"
 )
 
-// callKind tells how a call to discovery, or the watch that it became, has ended.
+// callOutcome says how a call to discovery, or the watch that it opened, has ended.
 type callOutcome uint8
 
-// The kinds.
+// The outcomes.
 const (
-	callUnreachable callOutcome = iota // no connection came up
-	callFailed                         // it broke before an answer, or the call failed after a wait: in an outage and in a crowd
-	callUnanswered                     // taken, and not answered within the time that discovery gives a call
-	callRefused                        // discovery is there, and takes no more calls
-	callUnreadable                     // what came is no endpoint list
-	callSilent                         // the watch missed its beats
-	callBroken                         // the watch broke
-	callEnded                          // the watch was ended by discovery, in order
-	callCut                            // discovery closed the watch's connection in the middle of its answer
-	callLocal                          // this machine could not make the call
-	callKinds
+	callUnreachable  callOutcome = iota // no connection was established
+	callFailed                          // the connection broke before a response, or an error came after a wait: discovery is down or overloaded
+	callUnanswered                      // connected, but no response within the time that discovery gives a call
+	callRefused                         // discovery is up and accepts no more calls
+	callUnreadable                      // the response is not a valid endpoint list
+	callSilent                          // the watch missed its heartbeats
+	callBroken                          // the connection of the watch broke
+	callEnded                           // discovery ended the watch with a complete response
+	callTruncated                       // discovery closed the connection in the middle of the response
+	callLocalFailure                    // this machine lacks the resources to make the call
+	callOutcomes
 )
 
-func (k callOutcome) String() string {
-	return [...]string{"unreachable", "failed", "unanswered", "refused", "unreadable", "silent", "broken", "ended in order", "cut", "local failure"}[k]
+func (o callOutcome) String() string {
+	return [...]string{"unreachable", "failed", "unanswered", "refused", "unreadable", "silent", "broken", "ended in order", "cut", "local failure"}[o]
 }
 
-// callEnd is the end of a call.
-type callEnd struct {
-	outcome callOutcome
-	err     error
-	began   time.Time
-	stood   time.Duration // from its begin to its end
+// callResult is the result of a call.
+type callResult struct {
+	outcome   callOutcome
+	err       error
+	startedAt time.Time
+	duration  time.Duration // to the end of the call or its watch
 }
 
 const (
-	beat     = 2 * time.Second         // discovery sends an empty line this often while nothing changes
-	silence  = beat + 3*time.Second/4  // after this long without a line a watch is dead: a beat is missing
-	comingUp = 1200 * time.Millisecond // a connection that has not come up by then will not
-	opening  = 3200 * time.Millisecond // a watch that has not begun by then will not: discovery gives a call 3 s
+	heartbeatInterval        = 2 * time.Second                     // discovery sends an empty line this often while nothing changes
+	heartbeatTimeout         = heartbeatInterval + 3*time.Second/4 // a watch without a line for so long has missed a heartbeat
+	discoveryConnectTimeout  = 1200 * time.Millisecond             // for a connection to discovery
+	discoveryResponseTimeout = 3200 * time.Millisecond             // from the call to the start of the response; discovery gives a call 3 s
 
-	lingerFor = 30 * time.Second // a watch that has been silent for longer is dead for good
+	lingerTimeout = 30 * time.Second // after this long without a line a silent watch is closed
 
-	// A call that fails after it has waited has had all the time that discovery gives it, be that 2 s or 3: so do those that
-	// meet a discovery which is down, and those that wait too long in a crowd. One that is refused at once has met a queue
-	// that is full.
-	waitedOut = 500 * time.Millisecond
+	// maxRefusalDelay separates refusals from failures. A call that is refused at once has met a full queue. A call that
+	// fails later has waited for all the time that discovery gives it, 2 s or 3 s: discovery is down, or its queue is too
+	// long.
+	maxRefusalDelay = 500 * time.Millisecond
 )
 
-// errWatchOver is the end of an answer that is complete.
-var errWatchOver = errors.New("discovery has ended the watch")
+// errWatchEnded is the error of a watch whose response is complete.
+var errWatchEnded = errors.New("discovery has ended the watch")
 
-// statusError is an answer of discovery that is no watch.
+// statusError is a response of discovery with a status other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered with status %d", int(e)) }
 
-// call makes one call for a subscription and runs the watch that it becomes to its end.
-func (d *DiscoveryClient) call(s *subscription) (end callEnd) {
-	began := time.Now()
-	w := &discoveryWatch{d: d, s: s, ctx: s.ctx}
+// call makes one call for a subscription and runs the watch that it opens until that ends.
+func (d *DiscoveryClient) call(s *subscription) (result callResult) {
+	startedAt := time.Now()
+	w := &discoveryWatch{client: d, subscription: s, ctx: s.ctx}
 	defer func() {
 		if p := recover(); p != nil {
-			end.outcome, end.err = callUnreadable, fmt.Errorf("panic: %v", p)
+			result.outcome, result.err = callUnreadable, fmt.Errorf("panic: %v", p)
 		}
-		end.began, end.stood = began, time.Since(began)
+		result.startedAt, result.duration = startedAt, time.Since(startedAt)
 	}()
 	d.mu.Lock()
 	d.calls++
-	w.number = d.calls
-	s.waiting = true
-	since := s.since
+	w.callNumber = d.calls
+	s.awaitingResponse = true
+	since := s.version
 	d.mu.Unlock()
-	d.Log.Info("discovery is asked", "call", w.number, "address", s.address, "since", since, "generation", s.generation)
+	d.Log.Info("discovery is asked", "call", w.callNumber, "address", s.address, "since", since, "generation", s.generation)
 	err := w.run(since)
-	return callEnd{outcome: w.kindOf(err, time.Since(began)), err: err}
+	return callResult{outcome: w.outcomeOf(err, time.Since(startedAt)), err: err}
 }
 
-// discoveryWatch is one call on its connection.
+// discoveryWatch is one call on its own connection.
 type discoveryWatch struct {
-	d        *DiscoveryClient
-	s        *subscription
-	ctx      context.Context // ends it
-	number   int
-	began    time.Time
-	conn     net.Conn
-	machine  protocol.Machine
-	lists    protocol.ListReader
-	answered bool // discovery has begun to answer
-	watching bool // with 200
-	told     bool // it has brought a list
-	lingers  bool // it has fallen silent, and is read on while another call is made
+	client       *DiscoveryClient
+	subscription *subscription
+	ctx          context.Context // ends the watch when done
+	callNumber   int
+	startedAt    time.Time
+	conn         net.Conn
+	parser       protocol.Machine
+	listReader   protocol.ListReader
+	responded    bool // the head of the response has been received
+	established  bool // its status is 200
+	delivered    bool // at least one list has been accepted
+	lingering    bool // silent, but still read while another call is made; see linger
 }
 
-// run calls discovery and reads until the end, which it returns. A watch that falls silent lingers.
+// run calls discovery, reads until the watch ends and returns the error that ended it. A watch that falls silent lingers.
 func (w *discoveryWatch) run(since int64) error {
-	w.began = time.Now()
-	dialer := net.Dialer{Timeout: comingUp, KeepAlive: -1}
-	conn, err := dialer.DialContext(w.ctx, "tcp", w.s.address)
+	w.startedAt = time.Now()
+	dialer := net.Dialer{Timeout: discoveryConnectTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(w.ctx, "tcp", w.subscription.address)
 	if err != nil {
 		return err
 	}
 	w.conn = conn
 	stop := context.AfterFunc(w.ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetDeadline(w.began.Add(opening))
+	conn.SetDeadline(w.startedAt.Add(discoveryResponseTimeout))
 	target := fmt.Sprintf("/registry/instances?follow=1&since=%d", since)
-	if _, err := conn.Write(protocol.GetText(w.s.address, target)); err != nil {
+	if _, err := conn.Write(protocol.GetText(w.subscription.address, target)); err != nil {
 		conn.Close()
 		return err
 	}
-	w.lists.Take = func(text []byte) error { return w.d.line(w, text) }
-	w.machine = protocol.Machine{Answers: true, OnBody: w.lists.Add}
-	if err = w.read(silence); isTimeout(err) && w.watching {
+	w.listReader.Take = func(text []byte) error { return w.client.handleList(w, text) }
+	w.parser = protocol.Machine{Answers: true, OnBody: w.listReader.Add}
+	if err = w.read(heartbeatTimeout); isTimeout(err) && w.established {
 		w.linger()
 		return err
 	}
@@ -129,133 +129,133 @@
 	return err
 }
 
-// linger reads a silent watch on until another call is answered: a path that was broken may deliver what it has held, and
-// that is sooner than the other call's turn.
+// linger goes on reading a silent watch until another call is answered: a network path that recovers may deliver buffered
+// lists earlier than the other call leaves discovery's queue.
 func (w *discoveryWatch) linger() {
-	ctx, cancel := context.WithCancelCause(w.s.ctx)
-	w.ctx, w.lingers = ctx, true
-	w.d.mu.Lock()
-	if w.s.lingering != nil {
-		w.s.lingering(errSucceeded)
+	ctx, cancel := context.WithCancelCause(w.subscription.ctx)
+	w.ctx, w.lingering = ctx, true
+	w.client.mu.Lock()
+	if w.subscription.cancelLingering != nil {
+		w.subscription.cancelLingering(errOtherCallAnswered)
 	}
-	w.s.lingering = cancel
-	w.d.mu.Unlock()
+	w.subscription.cancelLingering = cancel
+	w.client.mu.Unlock()
 	conn := w.conn
 	go func() {
 		defer conn.Close()
 		defer context.AfterFunc(ctx, func() { conn.Close() })()
-		defer cancel(errSucceeded)
+		defer cancel(errOtherCallAnswered)
 		defer func() {
 			if p := recover(); p != nil {
-				w.d.Log.Error("panic at a silent watch of discovery", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+				w.client.Log.Error("panic in a silent discovery watch", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			}
 		}()
-		err := w.read(lingerFor)
-		w.d.Log.Info("a silent watch of discovery is over", "call", w.number, "address", w.s.address, "error", err, "cause", context.Cause(ctx))
+		err := w.read(lingerTimeout)
+		w.client.Log.Info("silent discovery watch closed", "call", w.callNumber, "address", w.subscription.address, "error", err, "cause", context.Cause(ctx))
 	}()
 }
 
-// read reads the watch until its end, or until nothing comes for some time.
-func (w *discoveryWatch) read(patience time.Duration) error {
+// read reads the response until it ends, or until nothing arrives for the idle timeout.
+func (w *discoveryWatch) read(idleTimeout time.Duration) error {
 	buf := make([]byte, 16<<10)
 	for {
-		if w.watching {
-			w.conn.SetReadDeadline(time.Now().Add(patience))
+		if w.established {
+			w.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		}
 		n, err := w.conn.Read(buf)
-		if n == 0 && w.watching && isTimeout(err) && peek(w.conn) == waits {
-			continue // the process stood still over the watch's time: what it was told meanwhile has not been read
+		if n == 0 && w.established && isTimeout(err) && peek(w.conn) == waits {
+			continue // the process was suspended beyond the deadline, and unread data has arrived meanwhile
 		}
-		if err := w.took(buf[:n], err); err != nil {
+		if err := w.handleRead(buf[:n], err); err != nil {
 			return err
 		}
 	}
 }
 
-// took takes what one read brought, and returns what ends the watch.
-func (w *discoveryWatch) took(p []byte, err error) error {
-	used, msg, malformed := w.machine.Feed(p)
-	head := w.machine.Head()
+// handleRead handles the bytes and the error of one read. It returns the error that ends the watch, nil if it goes on.
+func (w *discoveryWatch) handleRead(p []byte, err error) error {
+	used, msg, malformed := w.parser.Feed(p)
+	head := w.parser.Head()
 	if head == nil {
 		head = msg
 	}
-	if head != nil && !w.answered {
-		w.noteAnswer(head.Status(), time.Since(w.began))
+	if head != nil && !w.responded {
+		w.noteResponse(head.Status(), time.Since(w.startedAt))
 	}
 	switch {
 	case head != nil && head.Status() != 200:
 		return statusError(head.Status())
 	case malformed != nil:
 		return malformed
-	case w.lists.Err != nil:
-		return w.lists.Err
+	case w.listReader.Err != nil:
+		return w.listReader.Err
 	case msg != nil || used < len(p):
-		return errWatchOver
+		return errWatchEnded
 	case err != nil:
 		return err
 	}
-	// An answer that has begun and half a list confirm nothing: what they are going to say is not known yet.
-	if w.told && !w.lists.Partial() {
-		w.d.heard(w.s)
+	// The start of a response or a partial list does not renew the lease: the rest may bring a change.
+	if w.delivered && !w.listReader.Partial() {
+		w.client.confirmLease(w.subscription)
 	}
 	return nil
 }
 
-// noteAnswer takes the head of the answer.
-func (w *discoveryWatch) noteAnswer(status int, waited time.Duration) {
-	w.answered, w.watching = true, status == 200
-	if w.watching {
-		w.d.mu.Lock()
-		w.d.longestWait = max(w.d.longestWait, waited)
-		w.d.mu.Unlock()
+// noteResponse records that the head of the response has arrived.
+func (w *discoveryWatch) noteResponse(status int, waited time.Duration) {
+	w.responded, w.established = true, status == 200
+	if w.established {
+		w.client.mu.Lock()
+		w.client.longestWait = max(w.client.longestWait, waited)
+		w.client.mu.Unlock()
 	}
-	w.d.Log.Info("discovery answers", "call", w.number, "status", status, "waited", waited.Round(time.Millisecond))
+	w.client.Log.Info("discovery has responded", "call", w.callNumber, "status", status, "waited", waited.Round(time.Millisecond))
 }
 
-// kindOf tells what an error that ended the call after some time means.
-func (w *discoveryWatch) kindOf(err error, took time.Duration) callOutcome {
+// outcomeOf classifies the error that ended the call after some time.
+func (w *discoveryWatch) outcomeOf(err error, duration time.Duration) callOutcome {
 	var status statusError
 	timedOut := isTimeout(err)
 	switch {
-	case w.conn == nil && localFailure(err):
-		return callLocal
+	case w.conn == nil && isLocalFailure(err):
+		return callLocalFailure
 	case w.conn == nil:
 		return callUnreachable
-	case errors.As(err, &status) && took >= waitedOut:
+	case errors.As(err, &status) && duration >= maxRefusalDelay:
 		return callFailed
 	case errors.As(err, &status):
 		return callRefused
-	case !w.answered && timedOut:
+	case !w.responded && timedOut:
 		return callUnanswered
-	case !w.answered && isConnectionEnd(err):
+	case !w.responded && isConnectionEnd(err):
 		return callFailed
 	case timedOut:
 		return callSilent
-	case errors.Is(err, errWatchOver):
+	case errors.Is(err, errWatchEnded):
 		return callEnded
 	case errors.Is(err, io.EOF):
-		return callCut
+		return callTruncated
 	case isConnectionEnd(err):
 		return callBroken
 	}
 	return callUnreadable
 }
 
-// isTimeout tells whether an error is the end of the time that a connection was given.
+// isTimeout reports whether an error is a timeout of a connection.
 func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// isConnectionEnd tells whether an error is the end of the connection, in whatever way the system reports it.
+// isConnectionEnd reports whether an error means that the connection has ended: EOF or any error of the network operation.
 func isConnectionEnd(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, io.EOF) || errors.As(err, &op)
 }
 
-// localFailure tells whether a connection could not be asked for because this machine lacks something: that says nothing
-// of whom it was for.
-func localFailure(err error) bool {
+// isLocalFailure reports whether a connection could not be opened because this machine lacks a resource, which says nothing
+// about the remote side.
+func isLocalFailure(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
 		if errors.Is(err, e) {
 			return true
