--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -49,7 +49,7 @@
 	discoveryConnectTimeout  = 1200 * time.Millisecond             // for a connection to discovery
 	discoveryResponseTimeout = 3200 * time.Millisecond             // from the call to the start of the response; discovery gives a call 3 s
 
-	lingerTimeout = 30 * time.Second // after this long without a line a silent watch is closed
+	silentWatchTimeout = 30 * time.Second // after this long without a line a silent watch is closed
 
 	// maxRefusalDelay separates refusals from failures. A call that is refused at once has met a full queue. A call that
 	// fails later has waited for all the time that discovery gives it, 2 s or 3 s: discovery is down, or its queue is too
@@ -150,7 +150,7 @@
 				w.client.Log.Error("panic in a silent discovery watch", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			}
 		}()
-		err := w.read(lingerTimeout)
+		err := w.read(silentWatchTimeout)
 		w.client.Log.Info("silent discovery watch closed", "call", w.callNumber, "address", w.subscription.address, "error", err, "cause", context.Cause(ctx))
 	}()
 }
