--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -208,10 +208,10 @@
 var states = map[balance.State]protocol.State{balance.Ready: protocol.Ready, balance.Draining: protocol.Draining, balance.Gone: protocol.Gone}
 
 // destinations are members in discovery's words.
-func destinations(all []routing.Member) []protocol.Destination {
-	out := make([]protocol.Destination, 0, len(all))
+func destinations(all []routing.Member) []protocol.Endpoint {
+	out := make([]protocol.Endpoint, 0, len(all))
 	for _, d := range all {
-		out = append(out, protocol.Destination{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Group, State: states[d.State],
+		out = append(out, protocol.Endpoint{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Group, State: states[d.State],
 			Weight: d.Weight, SinceMS: d.Since.Milliseconds()})
 	}
 	return out
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -45,8 +45,8 @@
 	}
 	go platform.Serve(ctx, ln)
 	at := func(name string) string { return fmt.Sprintf("10.0.0.%d:1", name[0]) } // two names at one address would be one destination
-	said := func(name string, state protocol.State, since int64) protocol.Destination {
-		return protocol.Destination{Name: name, Address: at(name), State: state, SinceMS: since, Weight: 1}
+	said := func(name string, state protocol.State, since int64) protocol.Endpoint {
+		return protocol.Endpoint{Name: name, Address: at(name), State: state, SinceMS: since, Weight: 1}
 	}
 	put := func(name, state, started string) {
 		text, _ := json.Marshal(map[string]string{"address": at(name), "state": state, "started": started})
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 	}
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 5000), said("p", protocol.Ready, 0)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Ready, 0)})
 	put("x", "ready", "1970-01-01T00:00:05Z")
 	put("e", "", "")
 	list("x", "f")
@@ -119,7 +119,7 @@
 	until("e f p x")
 	put("x", "draining", "1970-01-01T00:00:05Z")
 	until("e f p x-")
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
 	until("e f x-")
 	all, err := AskMembers(socket)
 	if err != nil || len(all) != 1 || len(all[0].Sources) != 3 || all[0].Watches != 1 {
@@ -132,7 +132,7 @@
 	}
 	seen := make(chan string, 100)
 	go FollowMembers(ctx, socket, func(c MemberChange) error { seen <- c.Now.Name + " " + c.Now.State; return nil })
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 6000)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 6000)})
 	until("e f x")
 	list("x")
 	until("e x")
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -72,7 +72,7 @@
 		Origin: textproto.CanonicalMIMEHeaderKey(conf.Origin)}
 	if c := conf.Chain; c != nil {
 		options.Chain, options.PassDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RepeatDeclined
-		p.service.Chain = transport.NewChain(options.Chain, chain.Limits{Service: c.Service, Hops: c.Hops, Repeats: c.Repeats},
+		p.service.Chain = transport.NewChain(options.Chain, chain.Limits{Service: c.Service, MaxHops: c.Hops, MaxRetries: c.Repeats},
 			f.SeedOf(conf.Name+"/chain"), s.clock.Now, log)
 	}
 	p.destinations = transport.NewDestinations(options)
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -150,13 +150,13 @@
 		p := pools[r.Pool]
 		ways[i] = way{&p.service, p.classes, r.As}
 	}
-	return func(m *protocol.Message) (*transport.Service, protocol.Operation, error) {
-		i, bad := table.Match(route.Request{Target: m.Start[1], Header: m.Header, Class: m.Stated()})
+	return func(m *protocol.Message) (*transport.Service, protocol.RequestMeta, error) {
+		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
 		if bad != nil {
-			return nil, protocol.Operation{}, &protocol.Error{Status: bad.Status, Why: bad.Why}
+			return nil, protocol.RequestMeta{}, &protocol.Error{Status: bad.Status, Reason: bad.Why}
 		}
-		m.Origin()
-		op, err := protocol.ReadRouted(m, ways[i].classes, ways[i].as)
+		m.ToOriginForm()
+		op, err := protocol.ReadRoutedRequestMeta(m, ways[i].classes, ways[i].as)
 		return ways[i].to, op, err
 	}
 }
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -60,7 +60,7 @@
 	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
 	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
 	directory.Clock, directory.OnHold = clock, loop.Hold
-	directory.AtOnce = len(c.Known.Destinations) == 0
+	directory.AtOnce = len(c.Known.Endpoints) == 0
 	service := &transport.Service{Loop: loop}
 	if c.Module.Limits.RetryAfter {
 		service.Advice = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
@@ -80,7 +80,7 @@
 		directory.Follow(c.Known.Index)
 	}
 	go front.Serve(ln)
-	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Destinations))
+	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Endpoints))
 
 	untilStopped(ctx, signals, log, loop.Owed, func() error {
 		next, err := Reload(env)
--- a/internal/transport/closing.go
+++ b/internal/transport/closing.go
@@ -62,7 +62,7 @@
 	if !c.front.guard.Denied(guard.MayClose(guard.Closing{Unanswered: c.owes, ClientLeft: left})) {
 		return
 	}
-	if c.reply(protocol.Reply{Status: 502, Why: "failed"}, true); c.owes {
+	if c.reply(protocol.LocalReply{Status: 502, Reason: "failed"}, true); c.owes {
 		c.front.guard.Violated(guard.Answer, "id", c.lastID, "reason", c.reason.String())
 	}
 }
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -407,7 +407,7 @@
 	loop.Pool(balance.Cached, 1, members)
 	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
 	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
-	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
+	op.Payload = &protocol.Message{StartLine: [3]string{"GET", "/look"}}
 	loop.Submit(op)
 	if ran {
 		<-first
@@ -479,7 +479,7 @@
 				for u.Evict() {
 				}
 			}
-			m := &protocol.Message{Start: [3]string{"GET", "/look"}}
+			m := &protocol.Message{StartLine: [3]string{"GET", "/look"}}
 			loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
 			if n < 2 {
 				<-done
--- a/internal/transport/destinations.go
+++ b/internal/transport/destinations.go
@@ -74,7 +74,7 @@
 		t := &task{done: done, deadline: time.Now().Add(probeTimeout), probe: true, opened: func() {}}
 		defer u.caught(t)
 		u.run(context.Background(), d, t, d.Closed, func() net.Buffers { // a probe, too, is nothing for who drains
-			return net.Buffers{protocol.GetText(d.Address, u.ProbePath)}
+			return net.Buffers{protocol.GetRequest(d.Address, u.ProbePath)}
 		})
 	}()
 }
@@ -146,7 +146,7 @@
 }
 
 func (u *Destinations) link(d *routing.Destination, conn net.Conn) *link {
-	return &link{home: u, to: d, conn: conn, machine: protocol.Machine{Answers: true}}
+	return &link{home: u, to: d, conn: conn, machine: protocol.Parser{Responses: true}}
 }
 
 // dial opens a connection for which there is room. One that is not up in time is waited for without the attempt: it comes
@@ -288,16 +288,16 @@
 
 // result turns a destination's answer into what it means.
 func (u *Destinations) result(m *protocol.Message, probe bool) routing.Result {
-	r := routing.Result{Load: m.Load(u.Fields)}
+	r := routing.Result{Load: m.LoadReport(u.Fields)}
 	if probe && r.Load == nil {
-		r.Load = protocol.LoadReport(string(m.Body), u.Fields)
+		r.Load = protocol.ParseLoadReport(string(m.Body), u.Fields)
 	}
 	switch {
 	case m.Status() == 200 || u.PassErrors && m.Status() < 500:
 		r.Status, r.Payload = balance.OK, m
-	case m.DeclinedBy(u.Chain) && u.PassDeclined:
+	case m.IsDeclined(u.Chain) && u.PassDeclined:
 		r.Status, r.Payload = balance.Declined, m
-	case m.NotRun(), m.DeclinedBy(u.Chain):
+	case m.Unprocessed(), m.IsDeclined(u.Chain):
 		r.Status = balance.FullUp
 	default:
 		r.Status = balance.Error
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -361,7 +361,7 @@
 		return err
 	}
 	kind := balance.Delta
-	if list.Whole {
+	if list.Snapshot {
 		kind = balance.Full
 	}
 	d.telling.Lock()
@@ -404,8 +404,8 @@
 func Members(list protocol.EndpointList) []routing.Member {
 	states := map[protocol.State]balance.State{protocol.Ready: balance.Ready, protocol.Draining: balance.Draining,
 		protocol.Gone: balance.Gone}
-	out := make([]routing.Member, 0, len(list.Destinations))
-	for _, e := range list.Destinations {
+	out := make([]routing.Member, 0, len(list.Endpoints))
+	for _, e := range list.Endpoints {
 		out = append(out, routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
 			State: states[e.State], Weight: e.Weight, Since: time.Duration(e.SinceMS) * time.Millisecond})
 	}
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -94,7 +94,7 @@
 	number   int
 	began    time.Time
 	conn     net.Conn
-	machine  protocol.Machine
+	machine  protocol.Parser
 	lists    protocol.ListReader
 	answered bool // discovery has begun to answer
 	watching bool // with 200
@@ -115,12 +115,12 @@
 	defer stop()
 	conn.SetDeadline(w.began.Add(opening))
 	target := fmt.Sprintf("/registry/instances?follow=1&since=%d", since)
-	if _, err := conn.Write(protocol.GetText(w.s.address, target)); err != nil {
+	if _, err := conn.Write(protocol.GetRequest(w.s.address, target)); err != nil {
 		conn.Close()
 		return err
 	}
-	w.lists.Take = func(text []byte) error { return w.d.line(w, text) }
-	w.machine = protocol.Machine{Answers: true, OnBody: w.lists.Add}
+	w.lists.OnList = func(text []byte) error { return w.d.line(w, text) }
+	w.machine = protocol.Parser{Responses: true, OnBody: w.lists.Feed}
 	if err = w.read(silence); isTimeout(err) && w.watching {
 		w.linger()
 		return err
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -80,12 +80,12 @@
 }
 
 // Directions find the service of a request and read its figures. An error is a *protocol.Error.
-type Directions func(*protocol.Message) (*Service, protocol.Operation, error)
+type Directions func(*protocol.Message) (*Service, protocol.RequestMeta, error)
 
 // OnePool leads all requests to one pool, by the platform's protocol.
 func OnePool(s *Service, classes []protocol.Class) Directions {
-	return func(m *protocol.Message) (*Service, protocol.Operation, error) {
-		op, err := protocol.ReadOperation(m, classes)
+	return func(m *protocol.Message) (*Service, protocol.RequestMeta, error) {
+		op, err := protocol.ReadRequestMeta(m, classes)
 		return s, op, err
 	}
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -62,7 +62,7 @@
 // leads is the Loop that a listener takes operations to.
 func leads(t *testing.T, f *Front) *routing.Loop {
 	t.Helper()
-	to, _, err := (*f.find.Load())(&protocol.Message{Start: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
+	to, _, err := (*f.find.Load())(&protocol.Message{StartLine: [3]string{"GET", "/look"}, Header: textproto.MIMEHeader{"X-Correlation-Id": {"1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 // answer reads one answer: its start line and its body.
 func answer(t *testing.T, r *bufio.Reader) (string, string) {
 	t.Helper()
-	m := protocol.Machine{Answers: true}
+	m := protocol.Parser{Responses: true}
 	for {
 		b, err := r.ReadByte()
 		if err != nil {
@@ -98,7 +98,7 @@
 		if _, msg, err := m.Feed([]byte{b}); err != nil {
 			t.Fatal(err)
 		} else if msg != nil {
-			return msg.Start[1], string(msg.Body)
+			return msg.StartLine[1], string(msg.Body)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 		t.Errorf("answered %+v", a)
 	}
 	f, ln := sidecar(t, 4, server(t, echo))
-	f.Lead(func(*protocol.Message) (*Service, protocol.Operation, error) { panic("odd") })
+	f.Lead(func(*protocol.Message) (*Service, protocol.RequestMeta, error) { panic("odd") })
 	for _, c := range []struct{ text, want string }{{look, "500"}, {"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n", "200"}} {
 		conn, r := dial(t, ln)
 		io.WriteString(conn, c.text)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -143,7 +143,7 @@
 	once sync.Once
 
 	mu      sync.Mutex
-	machine protocol.Machine
+	machine protocol.Parser
 	task    *task     // on its way, nil while idle
 	used    bool      // it has brought an answer
 	since   time.Time // idle since then
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -76,7 +76,7 @@
 		ended := make(chan routing.Result, 1)
 		late := &task{done: func(r routing.Result) { ended <- r }, deadline: time.Now().Add(time.Minute)}
 		k := &link{home: destinations(routing.NewClock()), to: &routing.Destination{}, conn: here, used: true, task: late,
-			machine: protocol.Machine{Answers: true}}
+			machine: protocol.Parser{Responses: true}}
 		late.startWriting()
 		go k.read()
 		go io.WriteString(there, "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
