--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,7 +64,7 @@
 	case wire.Catalog:
 		return nil
 	case wire.Start:
-		set, err := wire.Settings(e.Settings, e.Seed)
+		set, err := wire.ParseSettings(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -57,7 +57,7 @@
 )
 
 // Settings turns the text of a start event into the module's settings.
-func Settings(text []byte, seed uint64) (balance.Settings, error) {
+func ParseSettings(text []byte, seed uint64) (balance.Settings, error) {
 	var f facts
 	none := balance.Settings{}
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -188,7 +188,7 @@
  "peersTotal": 10, "me": 4, "tier": 1, "weights": "nominal", "unknown": [1, 2]}`
 
 func TestSettings(t *testing.T) {
-	s, err := Settings([]byte(someFacts), 9)
+	s, err := ParseSettings([]byte(someFacts), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 		"unknown repeat":               strings.Replace(someFacts, "keyed", "maybe", 1),
 		"unknown telemetry.via":        strings.Replace(someFacts, "inline", "mail", 1),
 	} {
-		if _, err := Settings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseSettings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
@@ -241,7 +241,7 @@
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(someFacts))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if s, err := Settings(text, 1); err == nil && len(s.Classes) == 0 {
+		if s, err := ParseSettings(text, 1); err == nil && len(s.Classes) == 0 {
 			t.Error("settings without classes and without an error")
 		}
 	})
