--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -48,7 +48,7 @@
 			if !more {
 				break
 			}
-			if err := deliver(instances, &writer, &event, clock); err != nil {
+			if err := dispatch(instances, &writer, &event, clock); err != nil {
 				return fmt.Errorf("batch %d, instance %d: %w", batch, event.Instance, err)
 			}
 		}
@@ -59,22 +59,22 @@
 }
 
 // deliver hands one event to its instance. Events for an instance that does not run are passed over.
-func deliver(instances map[int]*balance.Balancer, w *wire.Writer, e *wire.Event, now time.Duration) error {
+func dispatch(instances map[int]*balance.Balancer, w *wire.Writer, e *wire.Event, now time.Duration) error {
 	switch e.Kind {
-	case wire.Catalog:
+	case wire.ListDefined:
 		return nil
-	case wire.Start:
+	case wire.InstanceStarted:
 		set, err := wire.ParseSettings(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
-		b, err := balance.New(set, &wire.Instance{Writer: w, Who: e.Instance}, now)
+		b, err := balance.New(set, &wire.Instance{Writer: w, ID: e.Instance}, now)
 		if err != nil {
 			return err
 		}
 		instances[e.Instance] = b
 		return nil
-	case wire.Exit:
+	case wire.InstanceExited:
 		delete(instances, e.Instance)
 		return nil
 	}
@@ -84,21 +84,21 @@
 	}
 	o := &e.Outcome
 	switch e.Kind {
-	case wire.PeersKnown:
-		b.Members(now, e.List, e.Servers)
-	case wire.Gone:
+	case wire.EndpointsUpdated:
+		b.Members(now, e.ListKind, e.Endpoints)
+	case wire.ClientGone:
 		b.GoneClient(now, e.Request.ID)
-	case wire.Due:
+	case wire.TimerFired:
 		b.Timer(now, e.Token)
-	case wire.AckFirst:
+	case wire.StreamStarted:
 		b.First(now, o.ID, o.Server, o.Attempt, o.Latency)
 	case wire.ProbeDone:
 		b.Probed(now, o.Server, o.Latency, o.Status, o.Load)
-	case wire.Mail:
+	case wire.PeerMessage:
 		b.Peer(now, e.From, e.Data)
-	case wire.Demand:
+	case wire.RequestArrived:
 		b.Request(now, e.Request)
-	case wire.Answer:
+	case wire.AttemptDone:
 		b.Outcome(now, *o)
 	}
 	return nil
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-const facts = `{"registryMode": "push", "permissions": {"sendCap": 3}, "invariants": {},
+const settingsText = `{"registryMode": "push", "permissions": {"sendCap": 3}, "invariants": {},
  "profiles": [{"aimS": 1, "giveUpS": 2, "points": 1, "repeat": "safe"}], "peersTotal": 1}`
 
 type record []byte
 
-func rec(code uint8, who uint16) record {
+func newRecord(code uint8, who uint16) record {
 	return binary.LittleEndian.AppendUint16([]byte{code}, who)
 }
 func (r record) u8(v uint8) record   { return append(r, v) }
@@ -24,25 +24,25 @@
 	return r.u64(math.Float64bits(v))
 }
 
-func start(who uint16, text string) record {
-	return append(rec(1, who).u64(5).u32(uint32(len(text))), text...)
+func startRecord(who uint16, text string) record {
+	return append(newRecord(1, who).u64(5).u32(uint32(len(text))), text...)
 }
 
-func demand(who uint16, id uint32) record {
-	return rec(8, who).u32(id).u16(0).u32(0).u64(0).f64(3).f64(0).u16(0)
+func requestRecord(who uint16, id uint32) record {
+	return newRecord(8, who).u32(id).u16(0).u32(0).u64(0).f64(3).f64(0).u16(0)
 }
 
-func catalog(ids ...uint32) record {
-	r := rec(10, 0).u32(uint32(len(ids)))
+func listRecord(ids ...uint32) record {
+	r := newRecord(10, 0).u32(uint32(len(ids)))
 	for _, id := range ids {
 		r = r.u32(id).u16(0).u8(0).u16(0).u8(1).u32(0x3f800000).f64(0)
 	}
 	return r
 }
 
-func list(who uint16, how uint8) record { return rec(2, who).u8(how).u32(1).u16(0) }
+func updateRecord(who uint16, how uint8) record { return newRecord(2, who).u8(how).u32(1).u16(0) }
 
-func batch(clock float64, records ...record) []byte {
+func buildBatch(clock float64, records ...record) []byte {
 	body := bytes.Join(func() (b [][]byte) {
 		for _, r := range records {
 			b = append(b, r)
@@ -72,13 +72,13 @@
 
 func TestServe(t *testing.T) {
 	var out bytes.Buffer
-	in := batch(1)
+	in := buildBatch(1)
 	// The list number is used twice in one batch; each instance must see the one that was valid for it.
-	in = append(in, batch(1, start(0, facts), catalog(11), list(0, 2), demand(0, 1),
-		start(1, facts), catalog(22), list(1, 2), demand(1, 2))...)
+	in = append(in, buildBatch(1, startRecord(0, settingsText), listRecord(11), updateRecord(0, 2), requestRecord(0, 1),
+		startRecord(1, settingsText), listRecord(22), updateRecord(1, 2), requestRecord(1, 2))...)
 	// Killed and started again in one batch: the new one knows only its new list; outcomes of the old are void.
-	in = append(in, batch(2, rec(11, 0), start(0, facts), catalog(33), list(0, 2),
-		rec(9, 0).u32(1).u8(1).u16(0).u32(11).f64(1).u8(1).u8(0), demand(0, 3), demand(7, 9))...)
+	in = append(in, buildBatch(2, newRecord(11, 0), startRecord(0, settingsText), listRecord(33), updateRecord(0, 2),
+		newRecord(9, 0).u32(1).u8(1).u16(0).u32(11).f64(1).u8(1).u8(0), requestRecord(0, 3), requestRecord(7, 9))...)
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -104,12 +104,12 @@
 		in   []byte
 		want string
 	}{
-		"truncated":      {batch(1, demand(0, 1))[:30], "batch 1: truncated"},
-		"unknown code":   {batch(1, rec(77, 0)), "unknown event code 77"},
-		"no JSON":        {batch(1, start(0, "{")), "batch 1, instance 0: settings: "},
-		"no profiles":    {batch(1, start(0, "{}")), "profiles are missing"},
-		"invalid value":  {batch(1, start(4, strings.Replace(facts, `"sendCap": 3`, `"sendCap": 0`, 1))), "instance 4: balance: "},
-		"list not known": {batch(1, start(0, facts), list(0, 2)), "unknown list number 0"},
+		"truncated":      {buildBatch(1, requestRecord(0, 1))[:30], "batch 1: truncated"},
+		"unknown code":   {buildBatch(1, newRecord(77, 0)), "unknown event code 77"},
+		"no JSON":        {buildBatch(1, startRecord(0, "{")), "batch 1, instance 0: settings: "},
+		"no profiles":    {buildBatch(1, startRecord(0, "{}")), "profiles are missing"},
+		"invalid value":  {buildBatch(1, startRecord(4, strings.Replace(settingsText, `"sendCap": 3`, `"sendCap": 0`, 1))), "instance 4: balance: "},
+		"list not known": {buildBatch(1, startRecord(0, settingsText), updateRecord(0, 2)), "unknown list number 0"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWord(t *testing.T) {
+func TestHeader(t *testing.T) {
 	w := Header{TimeLeft: 1200 * time.Millisecond, Retries: 2, Utility: 1.5, Token: "x1", Via: []string{"a", "b"}}
 	if got, err := Parse(w.String() + ";later=1"); err != nil || got.String() != w.String() {
 		t.Errorf("%v %v", got, err)
@@ -17,18 +17,18 @@
 	good := w.String()
 	for _, text := range []string{"", "left=1", strings.Replace(good, "left=1200", "left=-1", 1), strings.Replace(good, "repeats=2", "repeats=x", 1),
 		strings.Replace(good, "repeats=2", "repeats=-1", 1), strings.Replace(good, "worth=1.5", "worth=NaN", 1), strings.Replace(good, "token=x1", "token=", 1),
-		good + ";left=3", strings.Replace(good, "via=a,b", "via=a,,b", 1), good + strings.Repeat("x", maxText)} {
-		if _, err := Parse(text); !errors.Is(err, errWord) {
+		good + ";left=3", strings.Replace(good, "via=a,b", "via=a,,b", 1), good + strings.Repeat("x", maxHeaderBytes)} {
+		if _, err := Parse(text); !errors.Is(err, errMalformed) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if got, err := Parse(strings.Replace(good, "1200", "99999999999999", 1)); err != nil || got.TimeLeft != maxLeft {
+	if got, err := Parse(strings.Replace(good, "1200", "99999999999999", 1)); err != nil || got.TimeLeft != maxTimeLeft {
 		t.Errorf("an absurd time: %v %v", got.TimeLeft, err)
 	}
 }
 
 // A service that is called by itself, and a chain that is too long, are refused, and told once for each route.
-func TestLoops(t *testing.T) {
+func TestRejections(t *testing.T) {
 	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
 	word := func(via ...string) string {
 		return Header{TimeLeft: time.Second, Token: "t", Via: via}.String()
@@ -44,13 +44,13 @@
 			t.Errorf("%q: %v %v %t %v", c.text, v, no, first, err)
 		}
 	}
-	if _, _, _, err := b.Enter(0, "nonsense", time.Second, 1); !errors.Is(err, errWord) {
+	if _, _, _, err := b.Enter(0, "nonsense", time.Second, 1); !errors.Is(err, errMalformed) {
 		t.Error(err)
 	}
 }
 
 // The time is the shorter of the two, and counts down with what is sent.
-func TestTime(t *testing.T) {
+func TestTimeLeft(t *testing.T) {
 	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
 	v, _, _, _ := b.Enter(time.Second, Header{TimeLeft: 300 * time.Millisecond, Utility: 3, Token: "t", Via: []string{"a"}}.String(), 9*time.Second, 1)
 	if v.Deadline != 1300*time.Millisecond || v.Utility != 3 {
@@ -65,7 +65,7 @@
 
 // Whatever fails in whatever tier, with services that make several calls for a request: the repeats that one operation
 // causes in all tiers together stay within what it came with, and a first attempt is never kept back.
-func TestRepeatsAreBounded(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeats := rapid.IntRange(0, 9).Draw(t, "repeats")
 		calls := rapid.SliceOfN(rapid.IntRange(1, 3), 1, 4).Draw(t, "calls") // of a request at each tier
@@ -114,7 +114,7 @@
 }
 
 // Tokens are forgotten when their time is over, and those beyond the bound have no repeats.
-func TestMemory(t *testing.T) {
+func TestRecordsAreBounded(t *testing.T) {
 	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
 	enter := func(now time.Duration, n int) *Entry {
 		w := Header{TimeLeft: time.Second, Retries: 4, Token: string(rune('0'+n%10)) + strings.Repeat("x", n/10), Via: []string{"a"}}
@@ -124,14 +124,14 @@
 		}
 		return v
 	}
-	for n := range mostPots + 10 {
+	for n := range maxRecords + 10 {
 		v := enter(0, n)
-		if beyond := n >= mostPots; beyond != (v.Retries == 0) {
+		if beyond := n >= maxRecords; beyond != (v.Retries == 0) {
 			t.Fatalf("%d: %d repeats", n, v.Retries)
 		}
 		v.Release()
 	}
-	if enter(2*time.Second, 5); len(b.pots) != 1 {
-		t.Errorf("%d are kept", len(b.pots))
+	if enter(2*time.Second, 5); len(b.budgets) != 1 {
+		t.Errorf("%d are kept", len(b.budgets))
 	}
 }
--- a/internal/chain/word.go
+++ b/internal/chain/header.go
@@ -24,10 +24,10 @@
 
 // Bounds of what is taken for a word at all.
 const (
-	maxText    = 1024
-	maxVia     = 64
-	maxRepeats = 1000
-	maxLeft    = 24 * time.Hour
+	maxHeaderBytes = 1024
+	maxViaServices = 64
+	maxRetries     = 1000
+	maxTimeLeft    = 24 * time.Hour
 )
 
 // String is the word's text.
@@ -37,29 +37,29 @@
 }
 
 // errWord says that a text is no word.
-var errWord = errors.New("malformed chain word")
+var errMalformed = errors.New("malformed chain word")
 
 // Parse reads a word. Keys that it does not know are passed over, as a newer version may write them; those that it knows
 // are all needed, once each.
 func Parse(text string) (w Header, err error) {
-	if len(text) > maxText {
-		return Header{}, fmt.Errorf("%w: over %d bytes", errWord, maxText)
+	if len(text) > maxHeaderBytes {
+		return Header{}, fmt.Errorf("%w: over %d bytes", errMalformed, maxHeaderBytes)
 	}
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ";") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[key] {
-			return Header{}, fmt.Errorf("%w: %q stands twice", errWord, key)
+			return Header{}, fmt.Errorf("%w: %q stands twice", errMalformed, key)
 		}
 		ok := true
 		switch key {
 		case "left":
 			var ms uint64
 			ms, err = strconv.ParseUint(value, 10, 53)
-			w.TimeLeft = min(time.Duration(min(ms, uint64(maxLeft/time.Millisecond)))*time.Millisecond, maxLeft)
+			w.TimeLeft = min(time.Duration(min(ms, uint64(maxTimeLeft/time.Millisecond)))*time.Millisecond, maxTimeLeft)
 		case "repeats":
 			w.Retries, err = strconv.Atoi(value)
-			ok = w.Retries >= 0 && w.Retries <= maxRepeats
+			ok = w.Retries >= 0 && w.Retries <= maxRetries
 		case "worth":
 			w.Utility, err = strconv.ParseFloat(value, 64)
 			ok = w.Utility >= 0 && w.Utility <= 1e9
@@ -67,16 +67,16 @@
 			w.Token, ok = value, value != ""
 		case "via":
 			w.Via = strings.Split(value, ",")
-			ok = len(w.Via) <= maxVia && !slices.Contains(w.Via, "")
+			ok = len(w.Via) <= maxViaServices && !slices.Contains(w.Via, "")
 		}
 		if err != nil || !ok {
-			return Header{}, fmt.Errorf("%w: %s=%q", errWord, key, value)
+			return Header{}, fmt.Errorf("%w: %s=%q", errMalformed, key, value)
 		}
 		seen[key] = true
 	}
 	for _, key := range []string{"left", "repeats", "worth", "token", "via"} {
 		if !seen[key] {
-			return Header{}, fmt.Errorf("%w: no %s", errWord, key)
+			return Header{}, fmt.Errorf("%w: no %s", errMalformed, key)
 		}
 	}
 	return w, nil
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -6,24 +6,25 @@
 	"net/netip"
 )
 
-// State is what discovery says of a destination.
+// State is the state of an endpoint as reported by discovery.
 type State uint8
 
-// The states of a destination.
+// The states of an endpoint.
 const (
-	Ready State = iota + 1
-	Draining
-	Gone
+	Ready    State = iota + 1 // accepts new requests
+	Draining                  // is shutting down and must get no new requests
+	Gone                      // no longer exists
 )
 
-// EndpointList is discovery's list of destinations, whole or only what changed.
+// EndpointList is one version of the endpoints known to discovery: either a full snapshot or the changes since the
+// previous version.
 type EndpointList struct {
-	Index     int64
-	Snapshot  bool
+	Index     int64 // version of the list
+	Snapshot  bool  // all endpoints, not only changes
 	Endpoints []Endpoint
 }
 
-// Destination is an entry of an endpoint list.
+// Endpoint is one entry of an EndpointList.
 type Endpoint struct {
 	Name    string
 	Address string
@@ -32,15 +33,15 @@
 	Group   int
 	State   State
 	Weight  float64
-	SinceMS int64
+	SinceMS int64 // Unix time of the last start in milliseconds; 0 for long ago
 }
 
-// ReadEndpointList decodes an endpoint list. One bad entry spoils it whole: a list that is partly believed would tell the
-// module that what was left out is gone.
+// ReadEndpointList decodes an endpoint list from JSON. One invalid entry makes the whole list invalid: in a partially
+// accepted snapshot, the decision module would treat the omitted endpoints as gone.
 func ReadEndpointList(text []byte) (EndpointList, error) {
 	var raw struct {
 		Index     *int64
-		Snapshot  bool
+		Snapshot  bool // all endpoints, not only changes
 		Endpoints []struct {
 			Name, Address, Zone, Type, Status string
 			Group                             int
@@ -57,34 +58,34 @@
 	}
 	list.Index, list.Snapshot = *raw.Index, raw.Snapshot
 	for i, e := range raw.Endpoints {
-		d := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Group: e.Group, Weight: e.Weight,
+		endpoint := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Group: e.Group, Weight: e.Weight,
 			SinceMS: max(e.SinceMS, 0)}
 		switch e.Status {
 		case "Ready":
-			d.State = Ready
+			endpoint.State = Ready
 		case "Terminating":
-			d.State = Draining
+			endpoint.State = Draining
 		case "Gone":
-			d.State = Gone
+			endpoint.State = Gone
 		default:
 			return list, fmt.Errorf("endpoint list: entry %d: unknown status %q", i, e.Status)
 		}
-		if d.Name == "" {
+		if endpoint.Name == "" {
 			return list, fmt.Errorf("endpoint list: entry %d has no name", i)
 		}
-		if _, err := netip.ParseAddrPort(d.Address); err != nil && d.State != Gone {
+		if _, err := netip.ParseAddrPort(endpoint.Address); err != nil && endpoint.State != Gone {
 			return list, fmt.Errorf("endpoint list: entry %d: %w", i, err)
 		}
-		list.Endpoints = append(list.Endpoints, d)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
 
-// words are the states as discovery writes them.
-var words = map[State]string{Ready: "Ready", Draining: "Terminating", Gone: "Gone"}
+// statusNames maps states to the status values used by discovery.
+var statusNames = map[State]string{Ready: "Ready", Draining: "Terminating", Gone: "Gone"}
 
-// Text is an endpoint list as discovery writes it, on one line.
-func (c EndpointList) Encode() ([]byte, error) {
+// Encode returns the endpoint list in discovery's JSON format, on a single line.
+func (l EndpointList) Encode() ([]byte, error) {
 	type entry struct {
 		Name    string  `json:"name"`
 		Address string  `json:"address"`
@@ -97,11 +98,11 @@
 	}
 	raw := struct {
 		Index     int64   `json:"index"`
-		Whole     bool    `json:"snapshot"`
+		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{c.Index, c.Snapshot, make([]entry, 0, len(c.Endpoints))}
-	for _, d := range c.Endpoints {
-		raw.Endpoints = append(raw.Endpoints, entry{d.Name, d.Address, d.Zone, d.Kind, d.Group, words[d.State], d.Weight, d.SinceMS})
+	}{l.Index, l.Snapshot, make([]entry, 0, len(l.Endpoints))}
+	for _, e := range l.Endpoints {
+		raw.Endpoints = append(raw.Endpoints, entry{e.Name, e.Address, e.Zone, e.Kind, e.Group, statusNames[e.State], e.Weight, e.SinceMS})
 	}
 	return json.Marshal(raw)
 }
--- a/internal/protocol/listreader.go
+++ b/internal/protocol/listreader.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// maxList bounds one endpoint list of a watch, in bytes.
-const maxList = 4 << 20
+// maxListBytes is the maximum size of one endpoint list in a watch.
+const maxListBytes = 4 << 20
 
-// ListReader cuts the body of a watch into endpoint lists, whatever pieces it comes in. One ends with its last bracket, not
-// with its line: a list may come indented, over many lines. What stands between them is white space, the watch's beat.
+// ListReader splits the body of a watch, fed in pieces of any size, into endpoint lists. A list ends with its closing
+// bracket rather than at the end of a line, because it may be indented over several lines. White space between lists is
+// the heartbeat of the watch.
 type ListReader struct {
-	OnList func([]byte) error // takes the text of one; its error ends the reading
-	Err    error              // what ended it
+	OnList func([]byte) error // receives the text of each list; an error stops the reader
+	Err    error              // why the reader stopped; nil while it runs
 
-	buf     []byte
-	depth   int
-	text    bool // within a string,
-	escaped bool // behind a backslash
+	buf      []byte // the incomplete list
+	depth    int    // open brackets
+	inString bool   // inside a JSON string
+	escaped  bool   // the previous byte was a backslash inside a string
 }
 
-// Partial tells whether a part of a list has come.
+// Partial reports whether an incomplete list has been read.
 func (r *ListReader) Partial() bool { return len(r.buf) > 0 }
 
-// Add takes the next piece.
+// Feed reads the next piece of the body.
 func (r *ListReader) Feed(p []byte) {
 	for len(p) > 0 && r.Err == nil {
 		if len(r.buf) == 0 {
@@ -31,37 +32,37 @@
 				return
 			}
 			if p[0] != '{' {
-				r.Err = fmt.Errorf("an endpoint list begins with %q", p[0])
+				r.Err = fmt.Errorf("endpoint list begins with %q, want '{'", p[0])
 				return
 			}
 		}
-		n := r.end(p)
-		whole := n > 0
-		if !whole {
+		n := r.listEnd(p)
+		complete := n > 0
+		if !complete {
 			n = len(p)
 		}
-		if len(r.buf)+n > maxList {
-			r.Err = fmt.Errorf("an endpoint list is over %d bytes", maxList)
+		if len(r.buf)+n > maxListBytes {
+			r.Err = fmt.Errorf("endpoint list exceeds %d bytes", maxListBytes)
 			return
 		}
 		r.buf, p = append(r.buf, p[:n]...), p[n:]
-		if whole {
+		if complete {
 			r.Err = r.OnList(r.buf)
 			r.buf = r.buf[:0]
 		}
 	}
 }
 
-// end is where the endpoint list ends in p, 0 if it does not.
-func (r *ListReader) end(p []byte) int {
+// listEnd returns the offset in p just past the end of the current list, or 0 if the list continues after p.
+func (r *ListReader) listEnd(p []byte) int {
 	for i, c := range p {
 		switch {
 		case r.escaped:
 			r.escaped = false
-		case r.text:
-			r.escaped, r.text = c == '\\', c != '"'
+		case r.inString:
+			r.escaped, r.inString = c == '\\', c != '"'
 		case c == '"':
-			r.text = true
+			r.inString = true
 		case c == '{' || c == '[':
 			r.depth++
 		case c == '}' || c == ']':
--- a/internal/protocol/listreader_test.go
+++ b/internal/protocol/listreader_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// However a watch is cut, and whether its lists stand on one line or come indented, each comes whole; what is white stands
-// for a beat. Brackets and quotes inside of words end nothing.
-func TestListReader(t *testing.T) {
+// Each list of a watch is returned complete, wherever the body is split into pieces and whether lists are on one line or
+// indented. White space between lists is ignored, and brackets and quotes inside strings do not end a list.
+func TestListReaderSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOf(rapid.SliceOf(rapid.StringMatching(`[{}\[\]a-z:"\\\n ]{0,20}`))).Draw(t, "words")
+		names := rapid.SliceOf(rapid.SliceOf(rapid.StringMatching(`[{}\[\]a-z:"\\\n ]{0,20}`))).Draw(t, "words")
 		var want []string
 		var text string
-		for _, w := range words {
-			line, err := json.Marshal(map[string]any{"index": len(w), "endpoints": w})
+		for _, list := range names {
+			line, err := json.Marshal(map[string]any{"index": len(list), "endpoints": list})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -31,24 +31,24 @@
 			text += string(line) + rapid.SampledFrom([]string{"\n", "\r\n", "\n\n\r\n \n"}).Draw(t, "end")
 		}
 		var got []string
-		lists := ListReader{OnList: func(b []byte) error { got = append(got, string(b)); return nil }}
+		reader := ListReader{OnList: func(b []byte) error { got = append(got, string(b)); return nil }}
 		for len(text) > 0 {
 			n := rapid.IntRange(1, len(text)).Draw(t, "piece")
-			lists.Feed([]byte(text[:n]))
+			reader.Feed([]byte(text[:n]))
 			text = text[n:]
 		}
-		if !slices.Equal(got, want) || lists.Err != nil {
-			t.Fatalf("%q came as %q, %v", want, got, lists.Err)
+		if !slices.Equal(got, want) || reader.Err != nil {
+			t.Fatalf("want lists %q, got %q, error %v", want, got, reader.Err)
 		}
 	})
 }
 
-// What is no list ends the reading, and so does one without an end.
-func TestListReaderRefuses(t *testing.T) {
-	for _, text := range []string{"x", "[]", "{}}", `{"a":1}"`, "{" + strings.Repeat(" ", maxList)} {
-		lists := ListReader{OnList: func([]byte) error { return nil }}
-		if lists.Feed([]byte(text)); lists.Err == nil {
-			t.Errorf("%.20q is taken", text)
+// Input that is not a list stops the reader, and so does a list that exceeds the size limit.
+func TestListReaderRejectsMalformedInput(t *testing.T) {
+	for _, text := range []string{"x", "[]", "{}}", `{"a":1}"`, "{" + strings.Repeat(" ", maxListBytes)} {
+		reader := ListReader{OnList: func([]byte) error { return nil }}
+		if reader.Feed([]byte(text)); reader.Err == nil {
+			t.Errorf("%.20q: no error", text)
 		}
 	}
 }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -1,5 +1,5 @@
-// Package protocol holds the platform's message formats: HTTP/1.1 as state machines that are fed bytes, and the
-// decoding of endpoint lists and load reports. It knows no socket and no clock.
+// Package protocol implements the platform's message formats: incremental HTTP/1.1 parsing, and encoding and decoding of
+// messages, endpoint lists and load reports. It does no I/O and does not read the clock.
 package protocol
 
 import (
@@ -11,44 +11,46 @@
 	"strings"
 )
 
-// The sizes that a message may have.
+// Limits on the size of a message.
 const (
-	MaxHeadBytes = 16 << 10 // start line and header fields
+	MaxHeadBytes = 16 << 10 // start line and header fields together
 	MaxBodyBytes = 64 << 10
-	maxLine      = 256 // the line of a chunk's size, or of a trailer
+	maxLineBytes = 256 // a chunk-size line or a trailer field
 
-	maxInterim = 8         // interim answers before one that counts
-	answers    = "HTTP/1." // what every answer begins with
+	maxInterimResponses = 8         // 1xx responses before the final one
+	responsePrefix      = "HTTP/1." // the first bytes of every response
 )
 
-// Error is a message that breaks the protocol, with the status that its sender is told.
+// Error is a violation of the protocol by a received message.
 type Error struct {
-	Status int
+	Status int // status code of the response to the sender
 	Reason string
-	Allow  string // 405: the methods that are taken
+	Allow  string // with status 405: the methods that are allowed
 }
 
+// Error returns the reason.
 func (e *Error) Error() string { return e.Reason }
 
-func bad(status int, format string, args ...any) *Error {
+// errorf returns an Error with a formatted reason.
+func errorf(status int, format string, args ...any) *Error {
 	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Message is a whole request or answer. Start holds the three parts of its first line.
+// Message is an HTTP request or response.
 type Message struct {
-	StartLine [3]string
+	StartLine [3]string // the three parts of the request line or status line
 	Header    textproto.MIMEHeader
 	Body      []byte
-	Close     bool // the connection ends with this message
+	Close     bool // the connection is closed after this message
 }
 
-// Status is the status code of an answer.
+// Status returns the status code of a response.
 func (m *Message) Status() int {
 	code, _ := strconv.Atoi(m.StartLine[1])
 	return code
 }
 
-// Origin turns the target of a request that is in absolute form into origin form, as destinations want it.
+// ToOriginForm converts a request target in absolute form to origin form, which endpoints expect.
 func (m *Message) ToOriginForm() {
 	if _, rest, absolute := strings.Cut(m.StartLine[1], "://"); absolute && !strings.HasPrefix(m.StartLine[1], "/") {
 		m.StartLine[1] = "/"
@@ -58,228 +60,235 @@
 	}
 }
 
-// Machine takes the bytes of one message after another. The zero value reads requests.
+// Parser incrementally parses a sequence of messages. The zero value parses requests.
 type Parser struct {
-	Responses bool         // it reads answers, not requests
-	OnBody    func([]byte) // if set, takes the body as it comes, and MaxBody does not bind
+	Responses bool         // parse responses instead of requests
+	OnBody    func([]byte) // if set, receives the body in pieces; MaxBodyBytes does not apply
 
-	step step
-	buf  []byte // the head or line that is not yet whole
-	msg  *Message
-	left int // bytes of the body or chunk to come
+	state     parserState
+	buf       []byte   // the incomplete head or line
+	msg       *Message // the message whose head is complete and whose body is not
+	remaining int      // bytes of the body or chunk not yet read
 
-	interim int // interim answers since the last message
+	interimCount int // 1xx responses since the last message
 }
 
-// step is what a Machine waits for.
-type step uint8
+// parserState is the part of a message that a Parser reads next.
+type parserState uint8
 
 const (
-	inHead step = iota
+	inHead parserState = iota
 	inBody
 	inChunkSize
 	inChunk
 	inChunkEnd
 	inTrailer
-	untilEnd
+	inBodyUntilEOF // a response without a length, ended by the end of the connection
 )
 
-// Idle tells whether the machine stands between two messages.
-func (m *Parser) Idle() bool { return m.step == inHead && len(m.buf) == 0 }
+// Idle reports whether the parser is between two messages.
+func (p *Parser) Idle() bool { return p.state == inHead && len(p.buf) == 0 }
 
-// Head is the message whose head has come and whose body is not whole, if there is one.
-func (m *Parser) Head() *Message { return m.msg }
+// Head returns the message whose head is complete and whose body is not, or nil.
+func (p *Parser) Head() *Message { return p.msg }
 
-// Feed takes bytes. It returns how many it used and the message if that is whole; bytes after a message are left.
-func (m *Parser) Feed(p []byte) (int, *Message, error) {
+// Feed parses bytes from b. It returns the number of bytes consumed, and the message once it is complete; bytes after the
+// end of a message are not consumed.
+func (p *Parser) Feed(b []byte) (int, *Message, error) {
 	used := 0
 	for {
-		n, done, err := m.take(p[used:])
+		n, done, err := p.consume(b[used:])
 		used += n
 		if err != nil {
 			return used, nil, err
 		}
 		if done {
-			return used, m.finish(), nil
+			return used, p.finish(), nil
 		}
-		if used == len(p) {
+		if used == len(b) {
 			return used, nil, nil
 		}
 	}
 }
 
-// End takes the end of the input. Only an answer without a length is whole by it.
-func (m *Parser) End() (*Message, error) {
-	if m.step == untilEnd {
-		return m.finish(), nil
+// End signals the end of the input, which completes only a response without a length.
+func (p *Parser) End() (*Message, error) {
+	if p.state == inBodyUntilEOF {
+		return p.finish(), nil
 	}
-	return nil, bad(400, "cut off inside a message")
+	return nil, errorf(400, "connection closed inside a message")
 }
 
-func (m *Parser) finish() *Message {
-	msg := m.msg
-	m.step, m.msg, m.left, m.interim = inHead, nil, 0, 0
+// finish returns the completed message and resets the parser for the next one.
+func (p *Parser) finish() *Message {
+	msg := p.msg
+	p.state, p.msg, p.remaining, p.interimCount = inHead, nil, 0, 0
 	return msg
 }
 
-// take uses some bytes of p, and tells whether the message is whole.
-func (m *Parser) take(p []byte) (int, bool, error) {
-	switch m.step {
+// consume parses some bytes of b. It returns the number of bytes consumed and whether the message is complete.
+func (p *Parser) consume(b []byte) (int, bool, error) {
+	switch p.state {
 	case inHead:
-		return m.takeHead(p)
+		return p.consumeHead(b)
 	case inBody, inChunk:
-		n := min(m.left, len(p))
-		m.left -= n
-		err := m.body(p[:n])
-		if m.left > 0 || err != nil {
+		n := min(p.remaining, len(b))
+		p.remaining -= n
+		err := p.appendBody(b[:n])
+		if p.remaining > 0 || err != nil {
 			return n, false, err
 		}
-		if m.step == inBody {
+		if p.state == inBody {
 			return n, true, nil
 		}
-		m.step = inChunkEnd
+		p.state = inChunkEnd
 		return n, false, nil
-	case untilEnd:
-		return len(p), false, m.body(p)
+	case inBodyUntilEOF:
+		return len(b), false, p.appendBody(b)
 	}
-	n, line, err := m.takeLine(p)
+	n, line, err := p.consumeLine(b)
 	if line == nil || err != nil {
 		return n, false, err
 	}
-	switch m.step {
+	switch p.state {
 	case inChunkSize:
-		return n, false, m.chunk(string(line))
+		return n, false, p.startChunk(string(line))
 	case inChunkEnd:
 		if len(line) > 0 {
-			return n, false, bad(400, "a chunk is longer than its size")
+			return n, false, errorf(400, "chunk data exceeds the chunk size")
 		}
-		m.step = inChunkSize
-	case inTrailer: // trailers are dropped: nothing in the platform's protocol uses them
+		p.state = inChunkSize
+	case inTrailer: // trailers are dropped; the platform's protocol does not use them
 		return n, len(line) == 0, nil
 	}
 	return n, false, nil
 }
 
-func (m *Parser) body(p []byte) error {
-	if m.OnBody != nil {
-		m.OnBody(p)
+// appendBody adds data to the body, or passes it to OnBody.
+func (p *Parser) appendBody(b []byte) error {
+	if p.OnBody != nil {
+		p.OnBody(b)
 		return nil
 	}
-	if len(m.msg.Body)+len(p) > MaxBodyBytes {
-		return bad(413, "the body is over %d bytes", MaxBodyBytes)
+	if len(p.msg.Body)+len(b) > MaxBodyBytes {
+		return errorf(413, "body exceeds %d bytes", MaxBodyBytes)
 	}
-	// A body grows with what comes, not with what is promised: whoever wants 64 KiB kept has sent a quarter of them.
-	if b := m.msg.Body; len(b)+len(p) > cap(b) && m.step == inBody && len(b)+len(p) >= MaxBodyBytes/4 {
-		m.msg.Body = append(make([]byte, 0, len(b)+len(p)+m.left), b...)
+	// Memory is allocated as data arrives, not by the declared length: the whole body is reserved only once a quarter of
+	// MaxBodyBytes has been received.
+	if body := p.msg.Body; len(body)+len(b) > cap(body) && p.state == inBody && len(body)+len(b) >= MaxBodyBytes/4 {
+		p.msg.Body = append(make([]byte, 0, len(body)+len(b)+p.remaining), body...)
 	}
-	m.msg.Body = append(m.msg.Body, p...)
+	p.msg.Body = append(p.msg.Body, b...)
 	return nil
 }
 
-// takeHead collects a head. It looks for the end only in what is new, so bytes that come singly cost no more.
-func (m *Parser) takeHead(p []byte) (int, bool, error) {
-	from := 0
-	if len(m.buf) == 0 { // empty lines before a message are passed over, as the standard asks
-		for from < len(p) && from < 2 && (p[from] == '\r' || p[from] == '\n') {
-			from++
+// consumeHead buffers bytes until the head is complete and parses it. Only new bytes are searched for the end of the head,
+// so input that arrives byte by byte costs no more.
+func (p *Parser) consumeHead(b []byte) (int, bool, error) {
+	skipped := 0
+	if len(p.buf) == 0 { // empty lines before a message are skipped, as RFC 9112 recommends
+		for skipped < len(b) && skipped < 2 && (b[skipped] == '\r' || b[skipped] == '\n') {
+			skipped++
 		}
-		if from > 0 {
-			return from, false, nil
+		if skipped > 0 {
+			return skipped, false, nil
 		}
 	}
-	old := len(m.buf)
-	room := min(len(p), MaxHeadBytes+4-old)
-	m.buf = append(m.buf, p[:room]...)
-	// Noise is known by its first bytes: it may hold no empty line, and who waits for one waits until the time is up.
-	if n := min(len(m.buf), len(answers)); m.Responses && string(m.buf[:n]) != answers[:n] {
-		return room, false, bad(400, "not an answer")
+	buffered := len(p.buf)
+	accepted := min(len(b), MaxHeadBytes+4-buffered)
+	p.buf = append(p.buf, b[:accepted]...)
+	// Input that is not HTTP is rejected by its first bytes: it may contain no empty line, and waiting for one would last
+	// until the timeout.
+	if n := min(len(p.buf), len(responsePrefix)); p.Responses && string(p.buf[:n]) != responsePrefix[:n] {
+		return accepted, false, errorf(400, "not an HTTP response")
 	}
-	look := max(0, old-3)
-	at := bytes.Index(m.buf[look:], []byte("\r\n\r\n"))
+	searchFrom := max(0, buffered-3)
+	at := bytes.Index(p.buf[searchFrom:], []byte("\r\n\r\n"))
 	if at < 0 {
-		if len(m.buf) >= MaxHeadBytes+4 {
-			return room, false, bad(431, "the head is over %d bytes", MaxHeadBytes)
+		if len(p.buf) >= MaxHeadBytes+4 {
+			return accepted, false, errorf(431, "head exceeds %d bytes", MaxHeadBytes)
 		}
-		return room, false, nil
+		return accepted, false, nil
 	}
-	end := look + at + 4
+	end := searchFrom + at + 4
 	if end > MaxHeadBytes {
-		return room, false, bad(431, "the head is over %d bytes", MaxHeadBytes)
+		return accepted, false, errorf(431, "head exceeds %d bytes", MaxHeadBytes)
 	}
-	msg, err := parseHead(m.buf[:end], m.Responses)
+	msg, err := parseHead(p.buf[:end], p.Responses)
 	if err != nil {
-		return room, false, err
+		return accepted, false, err
 	}
-	if m.buf = m.buf[:0]; cap(m.buf) > 4<<10 {
-		m.buf = nil // many connections stand idle: none keeps a large buffer
+	if p.buf = p.buf[:0]; cap(p.buf) > 4<<10 {
+		p.buf = nil // many connections are idle; none should retain a large buffer
 	}
-	m.msg = msg
-	done, err := m.frame(msg)
-	return end - old, done, err
+	p.msg = msg
+	done, err := p.startBody(msg)
+	return end - buffered, done, err
 }
 
-// takeLine collects a line that ends in CRLF; it returns nil until that is whole.
-func (m *Parser) takeLine(p []byte) (int, []byte, error) {
-	at := bytes.IndexByte(p, '\n')
+// consumeLine buffers bytes until a line ending in CRLF is complete and returns it without CRLF; until then it returns nil.
+func (p *Parser) consumeLine(b []byte) (int, []byte, error) {
+	at := bytes.IndexByte(b, '\n')
 	n := at + 1
 	if at < 0 {
-		n = len(p)
+		n = len(b)
 	}
-	if len(m.buf)+n > maxLine {
-		return n, nil, bad(400, "a line of the chunked body is over %d bytes", maxLine)
+	if len(p.buf)+n > maxLineBytes {
+		return n, nil, errorf(400, "line in chunked body exceeds %d bytes", maxLineBytes)
 	}
-	m.buf = append(m.buf, p[:n]...)
+	p.buf = append(p.buf, b[:n]...)
 	if at < 0 {
 		return n, nil, nil
 	}
-	line := m.buf
-	m.buf = m.buf[:0]
+	line := p.buf
+	p.buf = p.buf[:0]
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return n, nil, bad(400, "a line of the chunked body does not end in CRLF")
+		return n, nil, errorf(400, "line in chunked body does not end in CRLF")
 	}
 	return n, line[:len(line)-2], nil
 }
 
-func (m *Parser) chunk(line string) error {
+// startChunk parses a chunk-size line and prepares to read the chunk, or the trailers after the last chunk.
+func (p *Parser) startChunk(line string) error {
 	digits, _, _ := strings.Cut(line, ";")
 	digits = strings.TrimRight(digits, " \t")
 	size, err := strconv.ParseUint(digits, 16, 31)
 	if err != nil {
-		return bad(400, "malformed chunk size")
+		return errorf(400, "malformed chunk size")
 	}
 	if size == 0 {
-		m.step = inTrailer
+		p.state = inTrailer
 		return nil
 	}
-	if m.OnBody == nil && len(m.msg.Body)+int(size) > MaxBodyBytes {
-		return bad(413, "the body is over %d bytes", MaxBodyBytes)
+	if p.OnBody == nil && len(p.msg.Body)+int(size) > MaxBodyBytes {
+		return errorf(413, "body exceeds %d bytes", MaxBodyBytes)
 	}
-	m.left, m.step = int(size), inChunk
+	p.remaining, p.state = int(size), inChunk
 	return nil
 }
 
-// parseHead reads a head that is whole, its final empty line included.
-func parseHead(head []byte, answer bool) (*Message, error) {
+// parseHead parses a complete head, including its final empty line.
+func parseHead(head []byte, response bool) (*Message, error) {
 	for i, c := range head {
 		if c == 0 || c == '\r' && (i+1 == len(head) || head[i+1] != '\n') || c == '\n' && (i == 0 || head[i-1] != '\r') {
-			return nil, bad(400, "malformed head: a stray control character")
+			return nil, errorf(400, "malformed head: NUL byte, or CR or LF outside a CRLF pair")
 		}
 		if c == '\n' && i+1 < len(head) && (head[i+1] == ' ' || head[i+1] == '\t') {
-			return nil, bad(400, "malformed head: a folded line")
+			return nil, errorf(400, "malformed head: folded header line")
 		}
 	}
 	r := textproto.NewReader(bufio.NewReaderSize(bytes.NewReader(head), len(head)))
 	line, err := r.ReadLine()
 	if err != nil {
-		return nil, bad(400, "malformed head: %v", err)
+		return nil, errorf(400, "malformed head: %v", err)
 	}
 	header, err := r.ReadMIMEHeader()
 	if err != nil {
-		return nil, bad(400, "malformed head: %v", err)
+		return nil, errorf(400, "malformed head: %v", err)
 	}
-	for name := range header { // textproto lets a space before the colon pass, by which heads are smuggled
+	for name := range header { // textproto accepts a space before the colon, which permits request smuggling
 		if !isToken(name) {
-			return nil, bad(400, "malformed head: a field's name")
+			return nil, errorf(400, "malformed head: invalid header field name")
 		}
 	}
 	msg := &Message{Header: header}
@@ -287,16 +296,16 @@
 	second, third, _ := strings.Cut(rest, " ")
 	msg.StartLine = [3]string{first, second, third}
 	version := third
-	if answer {
+	if response {
 		version = first
 		if code, err := strconv.Atoi(second); err != nil || len(second) != 3 || code < 100 {
-			return nil, bad(400, "malformed status line")
+			return nil, errorf(400, "malformed status line")
 		}
 	} else if !isToken(first) || second == "" || !printable(second) {
-		return nil, bad(400, "malformed request line")
+		return nil, errorf(400, "malformed request line")
 	}
-	if !answer && bytes.ContainsFunc(head, func(c rune) bool { return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f }) {
-		return nil, bad(400, "malformed head: a control character")
+	if !response && bytes.ContainsFunc(head, func(c rune) bool { return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f }) {
+		return nil, errorf(400, "malformed head: control character")
 	}
 	switch version {
 	case "HTTP/1.1":
@@ -304,24 +313,24 @@
 	case "HTTP/1.0":
 		msg.Close = !hasToken(header["Connection"], "keep-alive")
 	default:
-		return nil, bad(400, "neither HTTP/1.1 nor HTTP/1.0")
+		return nil, errorf(400, "unsupported version: neither HTTP/1.1 nor HTTP/1.0")
 	}
-	if !answer && version == "HTTP/1.1" && len(header["Host"]) != 1 {
-		return nil, bad(400, "a request names one Host")
+	if !response && version == "HTTP/1.1" && len(header["Host"]) != 1 {
+		return nil, errorf(400, "request must have exactly one Host field")
 	}
 	return msg, nil
 }
 
-// frame finds how the body of a message ends, and tells whether it has none.
-func (m *Parser) frame(msg *Message) (bool, error) {
+// startBody determines how the body of a message is delimited. It reports whether the message is already complete.
+func (p *Parser) startBody(msg *Message) (bool, error) {
 	lengths, codings := msg.Header["Content-Length"], msg.Header["Transfer-Encoding"]
-	if m.Responses {
+	if p.Responses {
 		switch code := msg.Status(); {
-		case code < 200: // an interim answer: the final one follows, but not for ever, and nobody asked for an upgrade
-			if m.interim++; m.interim > maxInterim || code == 101 {
-				return false, bad(400, "interim answers without an end")
+		case code < 200: // interim response: a final one must follow within maxInterimResponses, and no upgrade was requested
+			if p.interimCount++; p.interimCount > maxInterimResponses || code == 101 {
+				return false, errorf(400, "too many interim responses, or an unrequested upgrade")
 			}
-			m.step, m.msg = inHead, nil
+			p.state, p.msg = inHead, nil
 			return false, nil
 		case code == 204 || code == 304:
 			return true, nil
@@ -329,46 +338,47 @@
 	}
 	switch {
 	case len(codings) > 0 && len(lengths) > 0:
-		return false, bad(400, "both Content-Length and Transfer-Encoding")
+		return false, errorf(400, "both Content-Length and Transfer-Encoding")
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(codings[0], "chunked") {
-			return false, bad(501, "unknown transfer coding")
+			return false, errorf(501, "unsupported transfer coding")
 		}
-		m.step = inChunkSize
+		p.state = inChunkSize
 		return false, nil
 	case len(lengths) > 0:
 		for _, l := range lengths {
 			if l != lengths[0] {
-				return false, bad(400, "conflicting Content-Length")
+				return false, errorf(400, "conflicting Content-Length fields")
 			}
 		}
 		for _, c := range lengths[0] {
 			if c < '0' || c > '9' {
-				return false, bad(400, "malformed Content-Length")
+				return false, errorf(400, "malformed Content-Length")
 			}
 		}
 		n, err := strconv.ParseUint(lengths[0], 10, 31)
 		if lengths[0] == "" {
-			return false, bad(400, "malformed Content-Length")
+			return false, errorf(400, "malformed Content-Length")
 		}
-		if err != nil || n > MaxBodyBytes && m.OnBody == nil {
-			return false, bad(413, "the body is over %d bytes", MaxBodyBytes)
+		if err != nil || n > MaxBodyBytes && p.OnBody == nil {
+			return false, errorf(413, "body exceeds %d bytes", MaxBodyBytes)
 		}
-		m.left, m.step = int(n), inBody
+		p.remaining, p.state = int(n), inBody
 		if n == 0 {
 			return true, nil
 		}
-		if m.OnBody == nil {
+		if p.OnBody == nil {
 			msg.Body = make([]byte, 0, min(int(n), 4<<10))
 		}
 		return false, nil
-	case m.Responses:
-		msg.Close, m.step = true, untilEnd
+	case p.Responses:
+		msg.Close, p.state = true, inBodyUntilEOF
 		return false, nil
 	}
 	return true, nil
 }
 
+// isToken reports whether s is a token as defined by RFC 9110.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
@@ -378,6 +388,7 @@
 	return s != ""
 }
 
+// printable reports whether s contains only visible ASCII characters.
 func printable(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c >= 0x7f {
@@ -387,6 +398,7 @@
 	return true
 }
 
+// hasToken reports whether one of the comma-separated lists contains the token, ignoring case.
 func hasToken(values []string, token string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 )
 
 // frame builds a batch from records in hexadecimal digits; spaces are for the reader.
-func frame(t testing.TB, clock float64, records ...string) []byte {
+func buildBatch(t testing.TB, clock float64, records ...string) []byte {
 	t.Helper()
 	var body []byte
 	for _, r := range records {
@@ -24,13 +24,13 @@
 		}
 		body = append(body, b...)
 	}
-	out := binary.LittleEndian.AppendUint32(nil, uint32(len(body)+batchHeader))
+	out := binary.LittleEndian.AppendUint32(nil, uint32(len(body)+batchHeaderSize))
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(records)))
 	out = binary.LittleEndian.AppendUint64(out, math.Float64bits(clock))
 	return append(out, body...)
 }
 
-func read(t testing.TB, in []byte) (Event, error) {
+func readEvents(t testing.TB, in []byte) (Event, error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(in))
 	var e Event
@@ -55,7 +55,7 @@
 		"demand": {[]string{"08 0300 c4913a5d 0100 02000000 640ad2557c3bf091 0000000000000840 000000000000e03f 0300"},
 			func(e *Event) bool {
 				q := e.Request
-				return e.Kind == Demand && e.Instance == 3 && q.ID == 0x5d3a91c4 && q.Class == 1 && q.Tenant == 2 &&
+				return e.Kind == RequestArrived && e.Instance == 3 && q.ID == 0x5d3a91c4 && q.Class == 1 && q.Tenant == 2 &&
 					q.Deadline == 3*time.Second && q.Hint == 0.5 && q.Repeat
 			}},
 		"demand without a valid hint": {[]string{"08 0300 c4913a5d 0100 00000000 0000000000000000 0000000000000840 000000000000e03f 0000"},
@@ -73,17 +73,17 @@
 		"mail":        {[]string{"07 0300 0900 0200 6869"}, func(e *Event) bool { return e.From == 9 && string(e.Data) == "hi" }},
 		"ack_first":   {[]string{"05 0300 01000000 02000000 0100 000000000000e03f"}, func(e *Event) bool { return e.Outcome.Attempt == 1 }},
 		"start":       {[]string{"01 0300 0700000000000000 02000000 7b7d"}, func(e *Event) bool { return e.Seed == 7 && string(e.Settings) == "{}" }},
-		"exit":        {[]string{"0b 0300"}, func(e *Event) bool { return e.Kind == Exit }},
-		"failed list": {[]string{"02 0300 03 29000000 0900"}, func(e *Event) bool { return e.List == balance.Failed && e.Servers == nil }},
+		"exit":        {[]string{"0b 0300"}, func(e *Event) bool { return e.Kind == InstanceExited }},
+		"failed list": {[]string{"02 0300 03 29000000 0900"}, func(e *Event) bool { return e.ListKind == balance.Failed && e.Endpoints == nil }},
 		"list": {[]string{catalog, "02 0300 02 29000000 0000"}, func(e *Event) bool {
-			s := e.Servers[0]
-			return len(e.Servers) == 2 && s == balance.Server{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: balance.Ready,
-				Units: 1, ReadyAt: time.Second} && e.Servers[1].Units == 0
+			s := e.Endpoints[0]
+			return len(e.Endpoints) == 2 && s == balance.Server{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: balance.Ready,
+				Units: 1, ReadyAt: time.Second} && e.Endpoints[1].Units == 0
 		}},
 		"list number used again": {[]string{catalog, "0a 0000 00000000", "02 0300 01 29000000 0000"},
-			func(e *Event) bool { return len(e.Servers) == 0 && e.List == balance.Full }},
+			func(e *Event) bool { return len(e.Endpoints) == 0 && e.ListKind == balance.Full }},
 	} {
-		e, err := read(t, frame(t, 1, c.records...))
+		e, err := readEvents(t, buildBatch(t, 1, c.records...))
 		if c.ok == nil {
 			if err == nil {
 				t.Errorf("%s: no error", name)
@@ -94,8 +94,8 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
-	good := frame(t, 1, "04 0300 4d00000000000000")
+func TestMalformedBatches(t *testing.T) {
+	good := buildBatch(t, 1, "04 0300 4d00000000000000")
 	short := append([]byte(nil), good...)
 	binary.LittleEndian.PutUint32(short, 8)
 	huge := append([]byte(nil), good...)
@@ -111,19 +111,19 @@
 		"length too small":   {short, "impossible length"},
 		"length too large":   {huge, "truncated"},
 		"count":              {many, "do not fit"},
-		"unknown code":       {frame(t, 1, "63 0000"), "record 0 at byte 16: unknown event code 99"},
-		"unknown list":       {frame(t, 1, "02 0300 02 29000000 0000"), "unknown list number 0"},
-		"list number":        {frame(t, 1, "0a 1000 00000000"), "over 15"},
-		"list count":         {frame(t, 1, "0a 0000 ffffffff"), "cut off"},
-		"readiness":          {frame(t, 1, "0a 0000 01000000 01000000 0000 00 0000 09 0000803f 0000000000000000"), "readiness 9"},
-		"list kind":          {frame(t, 1, "02 0300 07 29000000 0000"), "unknown list kind"},
-		"outcome":            {frame(t, 1, "09 0300 c4913a5d 01 0000 074a1203 000000000000e03f 0c 00"), "unknown outcome 12"},
-		"record cut off":     {frame(t, 1, "04 0300 4d00"), "cut off"},
-		"settings too long":  {frame(t, 1, "01 0300 0700000000000000 ffffff7f 7b7d"), "cut off"},
-		"report too long":    {frame(t, 1, "06 0300 074a1203 01 000000000000e03f 09 00000000"), "cut off"},
-		"records after them": {frame(t, 1, "0b 0300 0b"), "after the last record"},
+		"unknown code":       {buildBatch(t, 1, "63 0000"), "record 0 at byte 16: unknown event code 99"},
+		"unknown list":       {buildBatch(t, 1, "02 0300 02 29000000 0000"), "unknown list number 0"},
+		"list number":        {buildBatch(t, 1, "0a 1000 00000000"), "over 15"},
+		"list count":         {buildBatch(t, 1, "0a 0000 ffffffff"), "cut off"},
+		"readiness":          {buildBatch(t, 1, "0a 0000 01000000 01000000 0000 00 0000 09 0000803f 0000000000000000"), "readiness 9"},
+		"list kind":          {buildBatch(t, 1, "02 0300 07 29000000 0000"), "unknown list kind"},
+		"outcome":            {buildBatch(t, 1, "09 0300 c4913a5d 01 0000 074a1203 000000000000e03f 0c 00"), "unknown outcome 12"},
+		"record cut off":     {buildBatch(t, 1, "04 0300 4d00"), "cut off"},
+		"settings too long":  {buildBatch(t, 1, "01 0300 0700000000000000 ffffff7f 7b7d"), "cut off"},
+		"report too long":    {buildBatch(t, 1, "06 0300 074a1203 01 000000000000e03f 09 00000000"), "cut off"},
+		"records after them": {buildBatch(t, 1, "0b 0300 0b"), "after the last record"},
 	} {
-		_, err := read(t, c.in)
+		_, err := readEvents(t, c.in)
 		if c.want == "" {
 			if err != nil {
 				t.Errorf("%s: %v", name, err)
@@ -138,9 +138,9 @@
 }
 
 // A header that promises much must not make the reader allocate it.
-func TestNoHugeAllocation(t *testing.T) {
-	huge := frame(t, 1)
-	binary.LittleEndian.PutUint32(huge, maxFrame)
+func TestDeclaredSizeDoesNotAllocate(t *testing.T) {
+	huge := buildBatch(t, 1)
+	binary.LittleEndian.PutUint32(huge, maxBatchSize)
 	r := NewReader(bytes.NewReader(huge))
 	if _, err := r.Batch(); err == nil {
 		t.Fatal("no error")
@@ -150,10 +150,10 @@
 	}
 }
 
-func TestReply(t *testing.T) {
+func TestActions(t *testing.T) {
 	var w Writer
 	w.Reset()
-	i := &Instance{Writer: &w, Who: 3}
+	i := &Instance{Writer: &w, ID: 3}
 	i.Send(0x5d3a91c4, 0x03124a07, 80*time.Millisecond)
 	i.Timer(500*time.Millisecond, 77)
 	i.Tell(balance.AllPeers, []byte("hi 7"))
@@ -181,14 +181,14 @@
 	}
 }
 
-const someFacts = `{"registryMode": "ask", "permissions": {"sendCap": 5, "cancel": true, "maxRetryAfterS": 2},
+const sampleSettings = `{"registryMode": "ask", "permissions": {"sendCap": 5, "cancel": true, "maxRetryAfterS": 2},
  "invariants": {"coldS": 8.2, "coldShare": 0.32, "overloadFactor": 3, "tipAfterS": 2, "stopSendingWithinS": 0.25},
  "profiles": [{"aimS": 1.2, "giveUpS": 3, "points": 2, "repeat": "keyed", "group": "cell", "windowS": 5, "new": {}}],
  "projects": [{"portion": 0.4, "quotaPerS": 101}], "telemetry": {"fields": ["lat_ms", "busy", "x0"], "via": "inline"},
  "peersTotal": 10, "me": 4, "tier": 1, "weights": "nominal", "unknown": [1, 2]}`
 
 func TestSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(someFacts), 9)
+	s, err := ParseSettings([]byte(sampleSettings), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,11 +202,11 @@
 	for want, text := range map[string]string{
 		"settings: ":                   "not JSON",
 		"profiles are missing":         "{}",
-		"permissions are missing":      strings.Replace(someFacts, "permissions", "p", 1),
-		"invariants are missing":       strings.Replace(someFacts, "invariants", "i", 1),
-		"registryMode \"\" is neither": strings.Replace(someFacts, "registryMode", "r", 1),
-		"unknown repeat":               strings.Replace(someFacts, "keyed", "maybe", 1),
-		"unknown telemetry.via":        strings.Replace(someFacts, "inline", "mail", 1),
+		"permissions are missing":      strings.Replace(sampleSettings, "permissions", "p", 1),
+		"invariants are missing":       strings.Replace(sampleSettings, "invariants", "i", 1),
+		"registryMode \"\" is neither": strings.Replace(sampleSettings, "registryMode", "r", 1),
+		"unknown repeat":               strings.Replace(sampleSettings, "keyed", "maybe", 1),
+		"unknown telemetry.via":        strings.Replace(sampleSettings, "inline", "mail", 1),
 	} {
 		if _, err := ParseSettings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one with %q", err, want)
@@ -215,9 +215,9 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(frame(f, 1, "04 0300 4d00000000000000"))
-	f.Add(frame(f, 1, "0a 0000 01000000 01000000 0000 00 0000 01 0000803f 0000000000000000", "02 0300 01 29000000 0000"))
-	f.Add(frame(f, math.NaN(), "09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 02 0000803f 0000c07f"))
+	f.Add(buildBatch(f, 1, "04 0300 4d00000000000000"))
+	f.Add(buildBatch(f, 1, "0a 0000 01000000 01000000 0000 00 0000 01 0000803f 0000000000000000", "02 0300 01 29000000 0000"))
+	f.Add(buildBatch(f, math.NaN(), "09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 02 0000803f 0000c07f"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
 		var e Event
@@ -239,7 +239,7 @@
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(someFacts))
+	f.Add([]byte(sampleSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := ParseSettings(text, 1); err == nil && len(s.Classes) == 0 {
 			t.Error("settings without classes and without an error")
@@ -249,7 +249,7 @@
 
 // Decoding must not allocate for each record.
 func TestDecodingAllocatesLittle(t *testing.T) {
-	in := frame(t, 1, strings.Split(strings.Repeat("09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 01 0000803f;", 999)+
+	in := buildBatch(t, 1, strings.Split(strings.Repeat("09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 01 0000803f;", 999)+
 		"0b 0300", ";")...)
 	r := NewReader(nil)
 	var e Event
