--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -9,145 +9,149 @@
 	"time"
 )
 
-// Limits are what a service's sidecars hold operations to.
+// Limits are the limits that the sidecars of one service enforce.
 type Limits struct {
-	Service    string // the name that operations carry from here on
-	MaxHops    int    // services that an operation may pass at the most
-	MaxRetries int    // that one operation may cause in all tiers, where it comes without a word
+	Service    string // name of the service, added to the route of each request
+	MaxHops    int    // maximum number of services that a request may pass, including this one
+	MaxRetries int    // retries granted, over all tiers, to a request that arrives without a Header
 }
 
-// Refusal is why an operation goes no further: it has been here, or has passed as many services as it may. The route is
-// wrong, and trying again helps nobody.
+// Rejection explains why a request is not forwarded: it forms a loop, or has passed the maximum number of services. The
+// cause is a misconfigured route, so a retry would fail as well.
 type Rejection struct {
 	Reason string
 }
 
-// Book is one sidecar's account of the chains that pass it. It is not safe for concurrent use.
+// Tracker keeps the retry budgets of the requests that pass one sidecar. It is not safe for concurrent use.
 //
-// Repeats are never made, only passed on: what an operation came with is either kept here for its own repeats, given to the
-// attempt that is sent, or back in the pot of its token when the operation ends and has not used it. So all attempts that
-// one client operation causes in all tiers are at most 1 + Repeats times those that it causes where nothing is repeated.
+// Retries are only distributed, never created: those that a request arrives with are kept here for its own retries, handed
+// to the attempt that is sent, or returned to the budget of its token when the request ends without using them. So the
+// attempts that one client request causes over all tiers are at most 1 + MaxRetries times those that it would cause without
+// retries.
 type Tracker struct {
 	limits         Limits
 	rng            *rand.Rand
-	budgets        map[string]*retryBudget
-	creationOrder  []string // of pots, those that end first at the front where deadlines are alike
-	reportedRoutes map[string]bool
+	budgets        map[string]*retryBudget // by token
+	creationOrder  []string                // tokens of budgets, oldest first; with similar deadlines the oldest expires first
+	reportedRoutes map[string]bool         // routes that have been rejected before
 }
 
-// pot is what is left for the calls of one token.
+// retryBudget holds the retries left for all calls with the same token.
 type retryBudget struct {
 	retries   int
 	expiresAt time.Duration
-	active    int // operations that came with it
+	active    int // requests in progress with this token
 }
 
-// mostPots bounds the memory for tokens. One beyond it has no repeats: that is safe.
+// maxRecords bounds the number of budgets and of rejected routes kept in memory. A request whose token exceeds it gets no
+// retries, which is safe.
 const maxRecords = 4096
 
-// New returns a Book. The seed draws its tokens, which no two sidecars may share.
+// New returns a Tracker. The seed determines its tokens; two sidecars must not use the same tokens, so seeds must differ.
 func New(limits Limits, seed uint64) *Tracker {
 	return &Tracker{limits: limits, rng: rand.New(rand.NewPCG(seed, 0x636861696e)), budgets: map[string]*retryBudget{}, reportedRoutes: map[string]bool{}}
 }
 
-// Visit is an operation while it is here.
+// Entry is a request in progress at this sidecar.
 type Entry struct {
-	Deadline time.Duration // when nobody waits any more
-	Utility  float64       // that it came with; the one given here where it came without a word
-	Retries  int           // that it may make itself
+	Deadline time.Duration // when the last caller stops waiting
+	Utility  float64       // from the Header, or the one passed to Enter if there is none
+	Retries  int           // that this sidecar may still make
 
 	tracker     *Tracker
 	header      Header
 	budget      *retryBudget
-	nextRetries int // for the attempt that goes out next
-	sent        bool
+	nextRetries int  // handed to the next attempt
+	sent        bool // the first attempt has been sent
 }
 
-// Enter takes an operation with the text of its word, empty if it has none, whose client waits until a deadline. A text that
-// cannot be read is an error; the Refusal says that a word forbids to go on. first tells whether this route is refused for the
-// first time.
-func (b *Tracker) Enter(now time.Duration, text string, deadline time.Duration, worth float64) (v *Entry, no *Rejection, first bool, err error) {
-	v = &Entry{tracker: b, Deadline: deadline, Utility: worth, header: Header{Retries: b.limits.MaxRetries}}
+// Enter registers a request with the text of its Header, which may be empty, and the deadline of its client. A malformed
+// header gives an error. If the route in the header does not permit the request, Enter returns a Rejection, and first
+// reports whether this route is rejected for the first time.
+func (t *Tracker) Enter(now time.Duration, text string, deadline time.Duration, utility float64) (e *Entry, rejection *Rejection, first bool, err error) {
+	e = &Entry{tracker: t, Deadline: deadline, Utility: utility, header: Header{Retries: t.limits.MaxRetries}}
 	if text != "" {
-		if v.header, err = Parse(text); err != nil {
+		if e.header, err = Parse(text); err != nil {
 			return nil, nil, false, err
 		}
-		if no := b.checkRoute(v.header.Via); no != nil {
-			route := strings.Join(v.header.Via, ">")
-			first := !b.reportedRoutes[route] && len(b.reportedRoutes) < maxRecords
+		if rejection := t.checkRoute(e.header.Via); rejection != nil {
+			route := strings.Join(e.header.Via, ">")
+			first := !t.reportedRoutes[route] && len(t.reportedRoutes) < maxRecords
 			if first {
-				b.reportedRoutes[route] = true
+				t.reportedRoutes[route] = true
 			}
-			return nil, no, first, nil
+			return nil, rejection, first, nil
 		}
-		v.Deadline = min(deadline, now+v.header.TimeLeft)
-		v.Utility = v.header.Utility
-		v.budget = b.acquireBudget(now, v)
+		e.Deadline = min(deadline, now+e.header.TimeLeft)
+		e.Utility = e.header.Utility
+		e.budget = t.acquireBudget(now, e)
 	}
-	repeats := v.header.Retries
-	if v.budget != nil {
-		repeats, v.budget.retries = v.budget.retries, 0
+	retries := e.header.Retries
+	if e.budget != nil {
+		retries, e.budget.retries = e.budget.retries, 0
 	}
-	// Half stays here, the larger one: a repeat here makes up for all that is below.
-	v.Retries = (repeats + 1) / 2
-	v.nextRetries = repeats - v.Retries
-	return v, nil, false, nil
+	// The larger half stays here: a retry at this tier compensates for a failure in any tier below.
+	e.Retries = (retries + 1) / 2
+	e.nextRetries = retries - e.Retries
+	return e, nil, false, nil
 }
 
-func (b *Tracker) checkRoute(via []string) *Rejection {
+// checkRoute returns a Rejection if a request that has passed the given services must not enter this one.
+func (t *Tracker) checkRoute(via []string) *Rejection {
 	switch {
-	case slices.Contains(via, b.limits.Service):
-		return &Rejection{Reason: fmt.Sprintf("%s calls itself, by way of %s", b.limits.Service, strings.Join(via, ", "))}
-	case len(via) >= b.limits.MaxHops:
-		return &Rejection{Reason: fmt.Sprintf("it has passed %d services, which is the most", len(via))}
+	case slices.Contains(via, t.limits.Service):
+		return &Rejection{Reason: fmt.Sprintf("%s calls itself via %s", t.limits.Service, strings.Join(via, ", "))}
+	case len(via) >= t.limits.MaxHops:
+		return &Rejection{Reason: fmt.Sprintf("request has passed %d services, the maximum", len(via))}
 	}
 	return nil
 }
 
-// take finds or opens the pot of a word's token.
-func (b *Tracker) acquireBudget(now time.Duration, v *Entry) *retryBudget {
-	for len(b.creationOrder) > 0 {
-		p := b.budgets[b.creationOrder[0]]
-		if p != nil && (p.active > 0 || p.expiresAt > now) {
+// acquireBudget returns the budget for the token of an entry, creating it if needed, and removes expired budgets.
+func (t *Tracker) acquireBudget(now time.Duration, e *Entry) *retryBudget {
+	for len(t.creationOrder) > 0 {
+		budget := t.budgets[t.creationOrder[0]]
+		if budget != nil && (budget.active > 0 || budget.expiresAt > now) {
 			break
 		}
-		delete(b.budgets, b.creationOrder[0])
-		b.creationOrder = b.creationOrder[1:]
+		delete(t.budgets, t.creationOrder[0])
+		t.creationOrder = t.creationOrder[1:]
 	}
-	p := b.budgets[v.header.Token]
-	if p == nil {
-		p = &retryBudget{retries: v.header.Retries, expiresAt: v.Deadline}
-		if len(b.budgets) >= maxRecords {
-			p.retries = 0
-			return p
+	budget := t.budgets[e.header.Token]
+	if budget == nil {
+		budget = &retryBudget{retries: e.header.Retries, expiresAt: e.Deadline}
+		if len(t.budgets) >= maxRecords {
+			budget.retries = 0
+			return budget
 		}
-		b.budgets[v.header.Token] = p
-		b.creationOrder = append(b.creationOrder, v.header.Token)
+		t.budgets[e.header.Token] = budget
+		t.creationOrder = append(t.creationOrder, e.header.Token)
 	}
-	p.active++
-	return p
+	budget.active++
+	return budget
 }
 
-// Send is the word of the attempt that goes out now. The first takes what is given on; a repeat takes half of what is left
-// here once it is paid for, and where it cannot be paid for it must not go out: ok is false.
-func (v *Entry) NextAttempt(now time.Duration) (text string, ok bool) {
-	if v.sent {
-		if v.Retries == 0 {
+// NextAttempt returns the text of the Header for the next attempt. The first attempt gets the retries set aside for it. A
+// retry uses up one of the remaining retries and gets half of the others; if none remains, ok is false and the attempt must
+// not be sent.
+func (e *Entry) NextAttempt(now time.Duration) (text string, ok bool) {
+	if e.sent {
+		if e.Retries == 0 {
 			return "", false
 		}
-		v.Retries--
-		v.nextRetries, v.Retries = v.Retries/2, v.Retries-v.Retries/2
+		e.Retries--
+		e.nextRetries, e.Retries = e.Retries/2, e.Retries-e.Retries/2
 	}
-	w := Header{TimeLeft: v.Deadline - now, Retries: v.nextRetries, Utility: v.Utility, Token: strconv.FormatUint(v.tracker.rng.Uint64(), 36),
-		Via: append(slices.Clone(v.header.Via), v.tracker.limits.Service)}
-	v.sent, v.nextRetries = true, 0
-	return w.String(), true
+	next := Header{TimeLeft: e.Deadline - now, Retries: e.nextRetries, Utility: e.Utility, Token: strconv.FormatUint(e.tracker.rng.Uint64(), 36),
+		Via: append(slices.Clone(e.header.Via), e.tracker.limits.Service)}
+	e.sent, e.nextRetries = true, 0
+	return next.String(), true
 }
 
-// End gives back what the operation has not used. It is called once.
-func (v *Entry) Release() {
-	if v.budget != nil {
-		v.budget.retries += v.Retries + v.nextRetries
-		v.budget.active--
+// Release returns the unused retries to the budget of the token. It must be called exactly once.
+func (e *Entry) Release() {
+	if e.budget != nil {
+		e.budget.retries += e.Retries + e.nextRetries
+		e.budget.active--
 	}
 }
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -9,129 +9,130 @@
 	"pgregory.net/rapid"
 )
 
+// A header parses back to the one that was written, unknown keys are ignored, and malformed headers are rejected.
 func TestHeader(t *testing.T) {
-	w := Header{TimeLeft: 1200 * time.Millisecond, Retries: 2, Utility: 1.5, Token: "x1", Via: []string{"a", "b"}}
-	if got, err := Parse(w.String() + ";later=1"); err != nil || got.String() != w.String() {
-		t.Errorf("%v %v", got, err)
+	h := Header{TimeLeft: 1200 * time.Millisecond, Retries: 2, Utility: 1.5, Token: "x1", Via: []string{"a", "b"}}
+	if got, err := Parse(h.String() + ";later=1"); err != nil || got.String() != h.String() {
+		t.Errorf("got %v, error %v", got, err)
 	}
-	good := w.String()
+	good := h.String()
 	for _, text := range []string{"", "left=1", strings.Replace(good, "left=1200", "left=-1", 1), strings.Replace(good, "repeats=2", "repeats=x", 1),
 		strings.Replace(good, "repeats=2", "repeats=-1", 1), strings.Replace(good, "worth=1.5", "worth=NaN", 1), strings.Replace(good, "token=x1", "token=", 1),
 		good + ";left=3", strings.Replace(good, "via=a,b", "via=a,,b", 1), good + strings.Repeat("x", maxHeaderBytes)} {
 		if _, err := Parse(text); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want errMalformed", text, err)
 		}
 	}
 	if got, err := Parse(strings.Replace(good, "1200", "99999999999999", 1)); err != nil || got.TimeLeft != maxTimeLeft {
-		t.Errorf("an absurd time: %v %v", got.TimeLeft, err)
+		t.Errorf("time above the maximum: got %v, error %v", got.TimeLeft, err)
 	}
 }
 
-// A service that is called by itself, and a chain that is too long, are refused, and told once for each route.
+// Loops and chains that are too long are rejected, and each such route is reported as new only once.
 func TestRejections(t *testing.T) {
-	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
-	word := func(via ...string) string {
+	tracker := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
+	header := func(via ...string) string {
 		return Header{TimeLeft: time.Second, Token: "t", Via: via}.String()
 	}
 	for _, c := range []struct {
-		text  string
-		loop  bool
-		first bool
-	}{{"", false, false}, {word("a", "b"), false, false}, {word("a", "c", "b"), true, true}, {word("a", "c", "b"), true, false},
-		{word("a", "b", "d"), true, true}} {
-		v, no, first, err := b.Enter(0, c.text, time.Second, 1)
-		if err != nil || (no != nil) != c.loop || first != c.first || (v != nil) == c.loop {
-			t.Errorf("%q: %v %v %t %v", c.text, v, no, first, err)
+		text     string
+		rejected bool
+		first    bool
+	}{{"", false, false}, {header("a", "b"), false, false}, {header("a", "c", "b"), true, true}, {header("a", "c", "b"), true, false},
+		{header("a", "b", "d"), true, true}} {
+		e, rejection, first, err := tracker.Enter(0, c.text, time.Second, 1)
+		if err != nil || (rejection != nil) != c.rejected || first != c.first || (e != nil) == c.rejected {
+			t.Errorf("%q: entry %v, rejection %v, first %t, error %v", c.text, e, rejection, first, err)
 		}
 	}
-	if _, _, _, err := b.Enter(0, "nonsense", time.Second, 1); !errors.Is(err, errMalformed) {
+	if _, _, _, err := tracker.Enter(0, "nonsense", time.Second, 1); !errors.Is(err, errMalformed) {
 		t.Error(err)
 	}
 }
 
-// The time is the shorter of the two, and counts down with what is sent.
+// The deadline is the earlier of the client's and the header's, and the time left is reduced before the header is sent on.
 func TestTimeLeft(t *testing.T) {
-	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
-	v, _, _, _ := b.Enter(time.Second, Header{TimeLeft: 300 * time.Millisecond, Utility: 3, Token: "t", Via: []string{"a"}}.String(), 9*time.Second, 1)
-	if v.Deadline != 1300*time.Millisecond || v.Utility != 3 {
-		t.Errorf("%+v", v)
+	tracker := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
+	e, _, _, _ := tracker.Enter(time.Second, Header{TimeLeft: 300 * time.Millisecond, Utility: 3, Token: "t", Via: []string{"a"}}.String(), 9*time.Second, 1)
+	if e.Deadline != 1300*time.Millisecond || e.Utility != 3 {
+		t.Errorf("got %+v", e)
 	}
-	text, _ := v.NextAttempt(1100 * time.Millisecond)
-	w, err := Parse(text)
-	if err != nil || w.TimeLeft != 200*time.Millisecond || w.Utility != 3 || strings.Join(w.Via, " ") != "a c" {
-		t.Errorf("%+v %v", w, err)
+	text, _ := e.NextAttempt(1100 * time.Millisecond)
+	h, err := Parse(text)
+	if err != nil || h.TimeLeft != 200*time.Millisecond || h.Utility != 3 || strings.Join(h.Via, " ") != "a c" {
+		t.Errorf("next header %+v, error %v", h, err)
 	}
 }
 
-// Whatever fails in whatever tier, with services that make several calls for a request: the repeats that one operation
-// causes in all tiers together stay within what it came with, and a first attempt is never kept back.
+// Whichever attempts fail at whichever tier, with services that make several calls per request: the retries that one request
+// causes over all tiers stay within its budget, and a first attempt is always allowed.
 func TestRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		repeats := rapid.IntRange(0, 9).Draw(t, "repeats")
-		calls := rapid.SliceOfN(rapid.IntRange(1, 3), 1, 4).Draw(t, "calls") // of a request at each tier
+		retries := rapid.IntRange(0, 9).Draw(t, "repeats")
+		calls := rapid.SliceOfN(rapid.IntRange(1, 3), 1, 4).Draw(t, "calls") // made by each tier for one request
 		tiers := []string{"a", "b", "c", "d"}[:len(calls)]
-		made, first := 0, 0
-		var visit func(tier int, books []*Tracker, text string)
-		// Each attempt has the sidecars of one instance in each tier below to itself, as beside an instance.
-		visit = func(tier int, books []*Tracker, text string) {
-			v, no, _, err := books[tier].Enter(0, text, time.Minute, 1)
-			if err != nil || no != nil {
-				t.Fatalf("%v %v", err, no)
+		madeRetries, firstAttempts := 0, 0
+		var handle func(tier int, trackers []*Tracker, text string)
+		// Each attempt gets trackers of its own for the tiers below, as if it reached endpoints that serve nothing else.
+		handle = func(tier int, trackers []*Tracker, text string) {
+			e, rejection, _, err := trackers[tier].Enter(0, text, time.Minute, 1)
+			if err != nil || rejection != nil {
+				t.Fatalf("error %v, rejection %v", err, rejection)
 			}
 			for n := 0; ; n++ {
-				word, ok := v.NextAttempt(0)
+				header, ok := e.NextAttempt(0)
 				if !ok {
 					if n == 0 {
-						t.Fatal("a first attempt is kept back")
+						t.Fatal("first attempt is not allowed")
 					}
 					break
 				}
 				if n == 0 {
-					first++
+					firstAttempts++
 				} else {
-					made++
+					madeRetries++
 				}
 				if tier+1 < len(tiers) {
 					below := []*Tracker{}
 					for i, name := range tiers {
-						below = append(below, New(Limits{Service: name, MaxHops: 9, MaxRetries: repeats}, uint64(made*100+first*10+i)))
+						below = append(below, New(Limits{Service: name, MaxHops: 9, MaxRetries: retries}, uint64(madeRetries*100+firstAttempts*10+i)))
 					}
 					for range calls[tier] {
-						visit(tier+1, below, word)
+						handle(tier+1, below, header)
 					}
 				}
 				if !rapid.Bool().Draw(t, "fails") {
 					break
 				}
 			}
-			v.Release()
+			e.Release()
 		}
-		visit(0, []*Tracker{New(Limits{Service: "a", MaxHops: 9, MaxRetries: repeats}, 7)}, "")
-		if made > repeats {
-			t.Fatalf("%d repeats, %d are allowed", made, repeats)
+		handle(0, []*Tracker{New(Limits{Service: "a", MaxHops: 9, MaxRetries: retries}, 7)}, "")
+		if madeRetries > retries {
+			t.Fatalf("%d retries, at most %d are allowed", madeRetries, retries)
 		}
 	})
 }
 
-// Tokens are forgotten when their time is over, and those beyond the bound have no repeats.
+// Budgets are removed after they expire, and tokens beyond maxRecords get no retries.
 func TestRecordsAreBounded(t *testing.T) {
-	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
+	tracker := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
 	enter := func(now time.Duration, n int) *Entry {
-		w := Header{TimeLeft: time.Second, Retries: 4, Token: string(rune('0'+n%10)) + strings.Repeat("x", n/10), Via: []string{"a"}}
-		v, _, _, err := b.Enter(now, w.String(), now+time.Second, 1)
+		h := Header{TimeLeft: time.Second, Retries: 4, Token: string(rune('0'+n%10)) + strings.Repeat("x", n/10), Via: []string{"a"}}
+		e, _, _, err := tracker.Enter(now, h.String(), now+time.Second, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return v
+		return e
 	}
 	for n := range maxRecords + 10 {
-		v := enter(0, n)
-		if beyond := n >= maxRecords; beyond != (v.Retries == 0) {
-			t.Fatalf("%d: %d repeats", n, v.Retries)
+		e := enter(0, n)
+		if excess := n >= maxRecords; excess != (e.Retries == 0) {
+			t.Fatalf("request %d has %d retries", n, e.Retries)
 		}
-		v.Release()
+		e.Release()
 	}
-	if enter(2*time.Second, 5); len(b.budgets) != 1 {
-		t.Errorf("%d are kept", len(b.budgets))
+	if enter(2*time.Second, 5); len(tracker.budgets) != 1 {
+		t.Errorf("%d budgets are kept, want 1", len(tracker.budgets))
 	}
 }
--- a/internal/chain/header.go
+++ b/internal/chain/header.go
@@ -1,7 +1,7 @@
-// Package chain carries what one client's operation may still cost down a chain of services: the time, the repeats and the
-// worth that are left, and the services that it has passed. Services pass a header on with each call that they make for a
-// request; the sidecar before each of them reads the word, keeps its part and writes what is left for the next. The package
-// knows no socket and no clock.
+// Package chain limits what one client request may cost along a chain of services. A header field carries the remaining
+// time and retries, the utility of the response, and the services that the request has passed. Services copy the field to
+// each call that they make for a request; the sidecar in front of each service parses it, keeps its own part of the budget
+// and writes the rest for the next tier. The package does no I/O and does not read the clock.
 package chain
 
 import (
@@ -13,16 +13,17 @@
 	"time"
 )
 
-// Word is what travels with an operation, as key=value pairs between semicolons: left=1200;repeats=2;worth=3;token=1f;via=a,b.
+// Header is the chain state that travels with a request. Its text consists of key=value pairs separated by semicolons:
+// left=1200;repeats=2;worth=3;token=1f;via=a,b, where left is in milliseconds.
 type Header struct {
-	TimeLeft time.Duration // until nobody waits for the answer, from when the word was written
-	Retries  int           // that all tiers below may make together
-	Utility  float64       // of the answer against others; 0 for not known
-	Token    string        // names the attempt that it was written for: all calls that are made for it share its repeats
-	Via      []string      // the services that the operation has passed, the first one first
+	TimeLeft time.Duration // until no caller waits for the response, counted from when the header was written
+	Retries  int           // that all tiers below may make in total
+	Utility  float64       // of the response, relative to others; 0 if unknown
+	Token    string        // identifies the attempt the header was written for; all calls made on its behalf share its retries
+	Via      []string      // the services that the request has passed, in order
 }
 
-// Bounds of what is taken for a word at all.
+// Limits on the values that Parse accepts.
 const (
 	maxHeaderBytes = 1024
 	maxViaServices = 64
@@ -30,54 +31,54 @@
 	maxTimeLeft    = 24 * time.Hour
 )
 
-// String is the word's text.
-func (w Header) String() string {
-	return fmt.Sprintf("left=%d;repeats=%d;worth=%s;token=%s;via=%s", max(w.TimeLeft.Milliseconds(), 0), w.Retries,
-		strconv.FormatFloat(w.Utility, 'g', -1, 64), w.Token, strings.Join(w.Via, ","))
+// String returns the text of the header.
+func (h Header) String() string {
+	return fmt.Sprintf("left=%d;repeats=%d;worth=%s;token=%s;via=%s", max(h.TimeLeft.Milliseconds(), 0), h.Retries,
+		strconv.FormatFloat(h.Utility, 'g', -1, 64), h.Token, strings.Join(h.Via, ","))
 }
 
-// errWord says that a text is no word.
-var errMalformed = errors.New("malformed chain word")
+// errMalformed is wrapped by all errors of Parse.
+var errMalformed = errors.New("malformed chain header")
 
-// Parse reads a word. Keys that it does not know are passed over, as a newer version may write them; those that it knows
-// are all needed, once each.
-func Parse(text string) (w Header, err error) {
+// Parse parses the text of a Header. All known keys are required, and no key may occur twice. Unknown keys are ignored,
+// because a newer version may write them.
+func Parse(text string) (h Header, err error) {
 	if len(text) > maxHeaderBytes {
-		return Header{}, fmt.Errorf("%w: over %d bytes", errMalformed, maxHeaderBytes)
+		return Header{}, fmt.Errorf("%w: longer than %d bytes", errMalformed, maxHeaderBytes)
 	}
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ";") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[key] {
-			return Header{}, fmt.Errorf("%w: %q stands twice", errMalformed, key)
+			return Header{}, fmt.Errorf("%w: duplicate key %q", errMalformed, key)
 		}
 		ok := true
 		switch key {
 		case "left":
 			var ms uint64
 			ms, err = strconv.ParseUint(value, 10, 53)
-			w.TimeLeft = min(time.Duration(min(ms, uint64(maxTimeLeft/time.Millisecond)))*time.Millisecond, maxTimeLeft)
+			h.TimeLeft = min(time.Duration(min(ms, uint64(maxTimeLeft/time.Millisecond)))*time.Millisecond, maxTimeLeft)
 		case "repeats":
-			w.Retries, err = strconv.Atoi(value)
-			ok = w.Retries >= 0 && w.Retries <= maxRetries
+			h.Retries, err = strconv.Atoi(value)
+			ok = h.Retries >= 0 && h.Retries <= maxRetries
 		case "worth":
-			w.Utility, err = strconv.ParseFloat(value, 64)
-			ok = w.Utility >= 0 && w.Utility <= 1e9
+			h.Utility, err = strconv.ParseFloat(value, 64)
+			ok = h.Utility >= 0 && h.Utility <= 1e9
 		case "token":
-			w.Token, ok = value, value != ""
+			h.Token, ok = value, value != ""
 		case "via":
-			w.Via = strings.Split(value, ",")
-			ok = len(w.Via) <= maxViaServices && !slices.Contains(w.Via, "")
+			h.Via = strings.Split(value, ",")
+			ok = len(h.Via) <= maxViaServices && !slices.Contains(h.Via, "")
 		}
 		if err != nil || !ok {
-			return Header{}, fmt.Errorf("%w: %s=%q", errMalformed, key, value)
+			return Header{}, fmt.Errorf("%w: invalid value %s=%q", errMalformed, key, value)
 		}
 		seen[key] = true
 	}
 	for _, key := range []string{"left", "repeats", "worth", "token", "via"} {
 		if !seen[key] {
-			return Header{}, fmt.Errorf("%w: no %s", errMalformed, key)
+			return Header{}, fmt.Errorf("%w: missing key %s", errMalformed, key)
 		}
 	}
-	return w, nil
+	return h, nil
 }
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -41,7 +41,7 @@
 func ReadEndpointList(text []byte) (EndpointList, error) {
 	var raw struct {
 		Index     *int64
-		Snapshot  bool // all endpoints, not only changes
+		Snapshot  bool
 		Endpoints []struct {
 			Name, Address, Zone, Type, Status string
 			Group                             int
