--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module and speaks the simulator's wire on standard input and
-// output.
+// Command adapter runs instances of the decision module under the control of the simulator, whose binary protocol it speaks
+// on standard input and output.
 package main
 
 import (
@@ -14,14 +14,15 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // many instances share this process; collecting less often is cheaper
+	debug.SetGCPercent(400) // many instances share this process; less frequent garbage collection saves CPU time
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// serve answers batches until the input ends. On malformed input it returns an error and writes no reply.
+// serve reads batches from in and writes a reply to each until the input ends. For a malformed batch it returns an error and
+// writes no reply.
 func serve(in io.Reader, out io.Writer) error {
 	var (
 		reader    = wire.NewReader(in)
@@ -58,17 +59,17 @@
 	}
 }
 
-// deliver hands one event to its instance. Events for an instance that does not run are passed over.
+// dispatch passes an event to its instance. Events for an instance that is not running are ignored.
 func dispatch(instances map[int]*balance.Balancer, w *wire.Writer, e *wire.Event, now time.Duration) error {
 	switch e.Kind {
 	case wire.ListDefined:
 		return nil
 	case wire.InstanceStarted:
-		set, err := wire.ParseSettings(e.Settings, e.Seed)
+		settings, err := wire.ParseSettings(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
-		b, err := balance.New(set, &wire.Instance{Writer: w, ID: e.Instance}, now)
+		b, err := balance.New(settings, &wire.Instance{Writer: w, ID: e.Instance}, now)
 		if err != nil {
 			return err
 		}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,10 +11,12 @@
 const settingsText = `{"registryMode": "push", "permissions": {"sendCap": 3}, "invariants": {},
  "profiles": [{"aimS": 1, "giveUpS": 2, "points": 1, "repeat": "safe"}], "peersTotal": 1}`
 
+// record is the encoding of one event, built up value by value.
 type record []byte
 
-func newRecord(code uint8, who uint16) record {
-	return binary.LittleEndian.AppendUint16([]byte{code}, who)
+// newRecord returns the start of a record for an instance.
+func newRecord(code uint8, instance uint16) record {
+	return binary.LittleEndian.AppendUint16([]byte{code}, instance)
 }
 func (r record) u8(v uint8) record   { return append(r, v) }
 func (r record) u16(v uint16) record { return binary.LittleEndian.AppendUint16(r, v) }
@@ -24,14 +26,17 @@
 	return r.u64(math.Float64bits(v))
 }
 
-func startRecord(who uint16, text string) record {
-	return append(newRecord(1, who).u64(5).u32(uint32(len(text))), text...)
+// startRecord is an event that starts an instance with the given settings.
+func startRecord(instance uint16, text string) record {
+	return append(newRecord(1, instance).u64(5).u32(uint32(len(text))), text...)
 }
 
-func requestRecord(who uint16, id uint32) record {
-	return newRecord(8, who).u32(id).u16(0).u32(0).u64(0).f64(3).f64(0).u16(0)
+// requestRecord is the arrival of a request.
+func requestRecord(instance uint16, id uint32) record {
+	return newRecord(8, instance).u32(id).u16(0).u32(0).u64(0).f64(3).f64(0).u16(0)
 }
 
+// listRecord defines list number 0 with ready endpoints.
 func listRecord(ids ...uint32) record {
 	r := newRecord(10, 0).u32(uint32(len(ids)))
 	for _, id := range ids {
@@ -40,8 +45,10 @@
 	return r
 }
 
-func updateRecord(who uint16, how uint8) record { return newRecord(2, who).u8(how).u32(1).u16(0) }
+// passList is an event that passes list number 0 to the instance with the given ID.
+func passList(id uint16, listKind uint8) record { return newRecord(2, id).u8(listKind).u32(1).u16(0) }
 
+// buildBatch returns a batch with the given records.
 func buildBatch(clock float64, records ...record) []byte {
 	body := bytes.Join(func() (b [][]byte) {
 		for _, r := range records {
@@ -49,18 +56,18 @@
 		}
 		return
 	}(), nil)
-	out := record(nil).u32(uint32(len(body) + 16)).u32(uint32(len(records))).f64(clock)
-	return append(out, body...)
+	batch := record(nil).u32(uint32(len(body) + 16)).u32(uint32(len(records))).f64(clock)
+	return append(batch, body...)
 }
 
-// codes lists the codes of the first few actions of interest in a reply: sends as instance and server.
+// sends returns the send actions of a reply, each as instance and endpoint.
 func sends(t *testing.T, reply []byte) (out [][2]uint32) {
 	t.Helper()
 	sizes := map[byte]int{1: 7, 2: 7, 3: 3, 4: 9, 5: 19, 7: 4, 8: 19, 9: 15, 12: 7}
 	for at := 8; at < len(reply); {
 		size, known := sizes[reply[at]]
 		if !known {
-			t.Fatalf("action %d", reply[at])
+			t.Fatalf("unknown action code %d", reply[at])
 		}
 		if reply[at] == 5 {
 			out = append(out, [2]uint32{uint32(binary.LittleEndian.Uint16(reply[at+1:])), binary.LittleEndian.Uint32(reply[at+7:])})
@@ -70,14 +77,16 @@
 	return out
 }
 
+// Each instance sends requests only to the endpoints of the list that was passed to it.
 func TestServe(t *testing.T) {
 	var out bytes.Buffer
 	in := buildBatch(1)
-	// The list number is used twice in one batch; each instance must see the one that was valid for it.
-	in = append(in, buildBatch(1, startRecord(0, settingsText), listRecord(11), updateRecord(0, 2), requestRecord(0, 1),
-		startRecord(1, settingsText), listRecord(22), updateRecord(1, 2), requestRecord(1, 2))...)
-	// Killed and started again in one batch: the new one knows only its new list; outcomes of the old are void.
-	in = append(in, buildBatch(2, newRecord(11, 0), startRecord(0, settingsText), listRecord(33), updateRecord(0, 2),
+	// List number 0 is defined twice in one batch; each instance must use the definition that preceded its update.
+	in = append(in, buildBatch(1, startRecord(0, settingsText), listRecord(11), passList(0, 2), requestRecord(0, 1),
+		startRecord(1, settingsText), listRecord(22), passList(1, 2), requestRecord(1, 2))...)
+	// An instance exits and starts again in one batch: the new instance knows only its new list, and outcomes of attempts
+	// made by the old one are ignored.
+	in = append(in, buildBatch(2, newRecord(11, 0), startRecord(0, settingsText), listRecord(33), passList(0, 2),
 		newRecord(9, 0).u32(1).u8(1).u16(0).u32(11).f64(1).u8(1).u8(0), requestRecord(0, 3), requestRecord(7, 9))...)
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -90,15 +99,16 @@
 	}
 	want := [][2]uint32{{0, 11}, {1, 22}, {0, 33}}
 	if len(got) != len(want) {
-		t.Fatalf("sends %v, want %v", got, want)
+		t.Fatalf("got sends %v, want %v", got, want)
 	}
 	for i := range want {
 		if got[i] != want[i] {
-			t.Errorf("sends %v, want %v", got, want)
+			t.Errorf("got sends %v, want %v", got, want)
 		}
 	}
 }
 
+// Malformed input gives an error of one line and no reply.
 func TestMalformedInputGivesOneLineAndNoReply(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
@@ -109,12 +119,12 @@
 		"no JSON":        {buildBatch(1, startRecord(0, "{")), "batch 1, instance 0: settings: "},
 		"no profiles":    {buildBatch(1, startRecord(0, "{}")), "profiles are missing"},
 		"invalid value":  {buildBatch(1, startRecord(4, strings.Replace(settingsText, `"sendCap": 3`, `"sendCap": 0`, 1))), "instance 4: balance: "},
-		"list not known": {buildBatch(1, startRecord(0, settingsText), updateRecord(0, 2)), "unknown list number 0"},
+		"list not known": {buildBatch(1, startRecord(0, settingsText), passList(0, 2)), "unknown list number 0"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
-			t.Errorf("%s: error %v and %d bytes of reply, want one line with %q and none", name, err, out.Len(), c.want)
+			t.Errorf("%s: got error %v and %d bytes of reply, want one line containing %q and no reply", name, err, out.Len(), c.want)
 		}
 	}
 }
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,5 +1,6 @@
-// Package wire reads and writes the simulator's binary frames and its settings. The names of that dialect occur
-// here and nowhere else; the rest of the project speaks the words of package balance.
+// Package wire decodes and encodes the simulator's binary protocol: batches of events, replies with actions, and the
+// settings of an instance. The names of that protocol are confined to this package; other packages use those of package
+// balance.
 package wire
 
 import (
@@ -13,66 +14,68 @@
 	"kitewood/balance"
 )
 
+// Sizes in bytes and limits of the simulator's protocol.
 const (
 	batchHeaderSize = 16
 	replyHeaderSize = 8
 	entrySize       = 22
 	maxBatchSize    = 1 << 30
 	maxLists        = 16
-	allPeersCode    = 0xffff
+	allPeersCode    = 0xffff // recipient code for all peers
 )
 
-// Kind tells what an Event holds.
+// Kind is the type of an Event.
 type Kind uint8
 
-// The kinds of events, as coded.
+// The kinds of events, with their codes on the wire. The comments give the simulator's names.
 const (
-	InstanceStarted Kind = iota + 1
-	EndpointsUpdated
-	ClientGone
-	TimerFired
-	StreamStarted
-	ProbeDone
-	PeerMessage
-	RequestArrived
-	AttemptDone
-	ListDefined
-	InstanceExited
+	InstanceStarted  Kind = iota + 1 // start: an instance begins to run
+	EndpointsUpdated                 // peers_known: an endpoint list, or the failure to get one
+	ClientGone                       // gone: the client no longer waits for a request
+	TimerFired                       // due: the delay of a schedule action has passed
+	StreamStarted                    // ack_first: the first part of a streamed response has arrived
+	ProbeDone                        // probe_done: the outcome of a probe
+	PeerMessage                      // mail: a message from another instance
+	RequestArrived                   // demand: a client has sent a request
+	AttemptDone                      // answer: the outcome of an attempt
+	ListDefined                      // catalog: the contents of a numbered endpoint list, for later EndpointsUpdated events
+	InstanceExited                   // exit: an instance has stopped
 )
 
-// Event is one record of a batch. Only the fields of its Kind are set; slices are valid until the next Event call.
+// Event is one record of a batch. Only the fields that belong to its Kind are set. Slices are valid until the next call of
+// Reader.Event.
 type Event struct {
 	Kind     Kind
 	Instance int
 
-	Seed      uint64                 // Start
-	Settings  []byte                 // Start
-	ListKind  balance.ListKind       // PeersKnown
-	Endpoints []balance.Server       // PeersKnown
-	Request   balance.Request        // Demand
-	Outcome   balance.Outcome        // Answer, AckFirst, ProbeDone: those fields that they have
-	Token     uint64                 // Due
-	From      int                    // Mail
-	Data      []byte                 // Mail
-	loads     [math.MaxUint8]float32 // backs Outcome.Load
+	Seed      uint64                 // InstanceStarted
+	Settings  []byte                 // InstanceStarted
+	ListKind  balance.ListKind       // EndpointsUpdated
+	Endpoints []balance.Server       // EndpointsUpdated
+	Request   balance.Request        // RequestArrived
+	Outcome   balance.Outcome        // AttemptDone, StreamStarted, ProbeDone: only the fields that the record contains
+	Token     uint64                 // TimerFired
+	From      int                    // PeerMessage
+	Data      []byte                 // PeerMessage
+	loads     [math.MaxUint8]float32 // backing array of Outcome.Load
 }
 
-// Reader reads batches.
+// Reader decodes batches of events.
 type Reader struct {
 	in        io.Reader
 	buf       []byte
-	pos       int // next byte of buf
-	remaining int // records not yet read
-	count     int
-	batch     int
+	pos       int // offset of the next record in buf
+	remaining int // records of the batch not yet read
+	count     int // records of the batch
+	batch     int // number of the batch, from 1
 	lists     [maxLists][]balance.Server
-	known     [maxLists]bool
+	known     [maxLists]bool // which lists have been defined
 }
 
-// NewReader returns a Reader of the batches in r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: r} }
 
-// Batch reads the next batch and returns its clock. At the end of the input it returns io.EOF.
+// Batch reads the next batch and returns its clock time. At the end of the input it returns io.EOF.
 func (r *Reader) Batch() (time.Duration, error) {
 	r.batch++
 	if cap(r.buf) < batchHeaderSize {
@@ -90,29 +93,29 @@
 	switch {
 	case size < batchHeaderSize || size > maxBatchSize:
 		return 0, fmt.Errorf("batch %d: impossible length of %d bytes", r.batch, size)
-	case uint64(count)*3 > uint64(size-batchHeaderSize): // no record is shorter
+	case uint64(count)*3 > uint64(size-batchHeaderSize): // the shortest record has 3 bytes
 		return 0, fmt.Errorf("batch %d: %d records do not fit into %d bytes", r.batch, count, size)
 	}
-	// The buffer grows with what arrives, not with what a header promises.
-	for want := int(size) - batchHeaderSize; want > 0; {
-		part := min(want, 1<<20)
-		from := len(r.buf)
-		if cap(r.buf) < from+part {
-			grown := make([]byte, from, max(2*cap(r.buf), from+part))
+	// The buffer grows as data arrives, not by the length declared in the header.
+	for missing := int(size) - batchHeaderSize; missing > 0; {
+		piece := min(missing, 1<<20)
+		filled := len(r.buf)
+		if cap(r.buf) < filled+piece {
+			grown := make([]byte, filled, max(2*cap(r.buf), filled+piece))
 			copy(grown, r.buf)
 			r.buf = grown
 		}
-		r.buf = r.buf[:from+part]
-		if n, err := io.ReadFull(r.in, r.buf[from:]); err != nil {
-			return 0, fmt.Errorf("batch %d: truncated: %d of %d bytes", r.batch, from+n, size)
+		r.buf = r.buf[:filled+piece]
+		if n, err := io.ReadFull(r.in, r.buf[filled:]); err != nil {
+			return 0, fmt.Errorf("batch %d: truncated: %d of %d bytes", r.batch, filled+n, size)
 		}
-		want -= part
+		missing -= piece
 	}
 	r.pos, r.remaining, r.count = batchHeaderSize, int(count), int(count)
 	return clock, nil
 }
 
-// Event reads the next record of the batch into e. It returns false after the last one.
+// Event decodes the next record of the batch into e. It returns false after the last record.
 func (r *Reader) Event(e *Event) (bool, error) {
 	if r.remaining == 0 {
 		if r.pos != len(r.buf) {
@@ -120,74 +123,77 @@
 		}
 		return false, nil
 	}
-	f := decoder{buf: r.buf, pos: r.pos}
-	e.Kind = Kind(f.u8())
+	d := decoder{buf: r.buf, pos: r.pos}
+	e.Kind = Kind(d.u8())
 	if e.Kind == ListDefined {
-		if err := r.defineList(&f); err != nil {
+		if err := r.defineList(&d); err != nil {
 			return false, r.wrap(err)
 		}
 	} else {
-		e.Instance = int(f.u16())
-		if err := r.decodeEvent(e, &f); err != nil {
+		e.Instance = int(d.u16())
+		if err := r.decodeEvent(e, &d); err != nil {
 			return false, r.wrap(err)
 		}
 	}
-	if f.truncated {
+	if d.truncated {
 		return false, r.wrap(fmt.Errorf("code %d: record cut off by the end of the batch", e.Kind))
 	}
-	r.pos = f.pos
+	r.pos = d.pos
 	r.remaining--
 	return true, nil
 }
 
+// wrap adds the position of the current record to an error.
 func (r *Reader) wrap(err error) error {
 	return fmt.Errorf("batch %d, record %d at byte %d: %w", r.batch, r.count-r.remaining, r.pos, err)
 }
 
-func (r *Reader) defineList(f *decoder) error {
-	n := int(f.u16())
-	if n >= maxLists && !f.truncated {
-		return fmt.Errorf("list number %d is over %d", n, maxLists-1)
+// defineList decodes a numbered endpoint list.
+func (r *Reader) defineList(d *decoder) error {
+	n := int(d.u16())
+	if n >= maxLists && !d.truncated {
+		return fmt.Errorf("list number %d exceeds %d", n, maxLists-1)
 	}
-	data := f.items(f.u32(), entrySize)
-	if f.truncated {
-		return nil // Event reports it
+	data := d.items(d.u32(), entrySize)
+	if d.truncated {
+		return nil // Event returns the error
 	}
-	// A batch may still refer to the list that had this number before: it gets a list of its own.
+	// Earlier events may still refer to the list that had this number before, so a new slice is allocated.
 	list := make([]balance.Server, len(data)/entrySize)
 	for i := range list {
-		g := decoder{buf: data, pos: i * entrySize}
-		s := &list[i]
-		s.ID = balance.ServerID(g.u32())
-		s.Zone, s.Kind, s.Cell = int(g.u16()), int(g.u8()), int(g.u16())
-		s.State = balance.State(g.u8())
-		s.Units, s.ReadyAt = float64(g.f32()), decodeSeconds(g.u64())
-		if s.State > balance.Draining {
-			return fmt.Errorf("list %d, entry %d: unknown readiness %d", n, i, s.State)
+		item := decoder{buf: data, pos: i * entrySize}
+		endpoint := &list[i]
+		endpoint.ID = balance.ServerID(item.u32())
+		endpoint.Zone, endpoint.Kind, endpoint.Cell = int(item.u16()), int(item.u8()), int(item.u16())
+		endpoint.State = balance.State(item.u8())
+		endpoint.Units, endpoint.ReadyAt = float64(item.f32()), decodeSeconds(item.u64())
+		if endpoint.State > balance.Draining {
+			return fmt.Errorf("list %d, entry %d: unknown readiness %d", n, i, endpoint.State)
 		}
-		if !(s.Units >= 0) || math.IsInf(s.Units, 0) {
-			s.Units = 0
+		if !(endpoint.Units >= 0) || math.IsInf(endpoint.Units, 0) {
+			endpoint.Units = 0
 		}
 	}
 	r.lists[n], r.known[n] = list, true
 	return nil
 }
 
-func (r *Reader) decodeEvent(e *Event, f *decoder) error {
+// decodeEvent decodes the fields of a record after its kind and instance.
+func (r *Reader) decodeEvent(e *Event, d *decoder) error {
 	o := &e.Outcome
 	switch e.Kind {
 	case InstanceStarted:
-		e.Seed = f.u64()
-		e.Settings = f.items(f.u32(), 1)
+		e.Seed = d.u64()
+		e.Settings = d.items(d.u32(), 1)
 	case EndpointsUpdated:
-		how := f.u8()
-		f.u32() // version: changes come in order
-		n := f.u16()
-		if how > uint8(balance.Failed) {
-			return fmt.Errorf("unknown list kind %d", how)
+		listKind := d.u8()
+		d.u32() // version; ignored, as changes arrive in order
+		n := d.u16()
+		if listKind > uint8(balance.Failed) {
+			return fmt.Errorf("unknown list kind %d", listKind)
 		}
-		e.ListKind, e.Endpoints = balance.ListKind(how), nil
-		if e.ListKind == balance.Failed || f.truncated {
+		e.ListKind, e.Endpoints = balance.ListKind(listKind), nil
+		if e.ListKind == balance.Failed || d.truncated {
 			return nil
 		}
 		if n >= maxLists || !r.known[n] {
@@ -195,34 +201,34 @@
 		}
 		e.Endpoints = r.lists[n]
 	case ClientGone:
-		e.Request.ID = balance.RequestID(f.u32())
+		e.Request.ID = balance.RequestID(d.u32())
 	case TimerFired:
-		e.Token = f.u64()
+		e.Token = d.u64()
 	case StreamStarted:
-		o.ID, o.Server = balance.RequestID(f.u32()), balance.ServerID(f.u32())
-		o.Attempt, o.Latency = int(f.u16()), decodeSeconds(f.u64())
+		o.ID, o.Server = balance.RequestID(d.u32()), balance.ServerID(d.u32())
+		o.Attempt, o.Latency = int(d.u16()), decodeSeconds(d.u64())
 	case ProbeDone:
-		o.Server = balance.ServerID(f.u32())
-		o.Status, o.Latency = balance.Status(f.u8()), decodeSeconds(f.u64())
-		return decodeLoadReport(e, f)
+		o.Server = balance.ServerID(d.u32())
+		o.Status, o.Latency = balance.Status(d.u8()), decodeSeconds(d.u64())
+		return decodeLoadReport(e, d)
 	case PeerMessage:
-		e.From = int(f.u16())
-		e.Data = f.items(uint32(f.u16()), 1)
+		e.From = int(d.u16())
+		e.Data = d.items(uint32(d.u16()), 1)
 	case RequestArrived:
-		q := &e.Request
-		q.ID, q.Class, q.Tenant = balance.RequestID(f.u32()), int(f.u16()), int(f.u32())
-		q.Key, q.Deadline = f.u64(), decodeSeconds(f.u64())
-		q.Hint = math.Float64frombits(f.u64())
-		flags := f.u16()
-		if flags&1 == 0 || !(q.Hint > 0) || math.IsInf(q.Hint, 0) {
-			q.Hint = 0
+		request := &e.Request
+		request.ID, request.Class, request.Tenant = balance.RequestID(d.u32()), int(d.u16()), int(d.u32())
+		request.Key, request.Deadline = d.u64(), decodeSeconds(d.u64())
+		request.Hint = math.Float64frombits(d.u64())
+		flags := d.u16()
+		if flags&1 == 0 || !(request.Hint > 0) || math.IsInf(request.Hint, 0) {
+			request.Hint = 0
 		}
-		q.Repeat = flags&2 != 0
+		request.Repeat = flags&2 != 0
 	case AttemptDone:
-		o.ID, o.Closed = balance.RequestID(f.u32()), f.u8() != 0
-		o.Attempt, o.Server = int(f.u16()), balance.ServerID(f.u32())
-		o.Latency, o.Status = decodeSeconds(f.u64()), balance.Status(f.u8())
-		return decodeLoadReport(e, f)
+		o.ID, o.Closed = balance.RequestID(d.u32()), d.u8() != 0
+		o.Attempt, o.Server = int(d.u16()), balance.ServerID(d.u32())
+		o.Latency, o.Status = decodeSeconds(d.u64()), balance.Status(d.u8())
+		return decodeLoadReport(e, d)
 	case InstanceExited:
 	default:
 		return fmt.Errorf("unknown event code %d", e.Kind)
@@ -230,61 +236,62 @@
 	return nil
 }
 
-// load reads a load report and checks the outcome code before it.
-func decodeLoadReport(e *Event, f *decoder) error {
-	n := int(f.u8())
+// decodeLoadReport decodes the load report at the end of a record and checks the outcome code that precedes it.
+func decodeLoadReport(e *Event, d *decoder) error {
+	n := int(d.u8())
 	for i := range n {
-		e.loads[i] = f.f32()
+		e.loads[i] = d.f32()
 	}
 	e.Outcome.Load = e.loads[:n]
-	if s := e.Outcome.Status; !f.truncated && (s < balance.OK || s > balance.Moot) {
-		return fmt.Errorf("unknown outcome %d", s)
+	if status := e.Outcome.Status; !d.truncated && (status < balance.OK || status > balance.Moot) {
+		return fmt.Errorf("unknown outcome %d", status)
 	}
 	return nil
 }
 
-// fields reads little-endian values; past the end it sets short and gives zeros.
+// decoder decodes little-endian values. Past the end of buf it sets truncated and returns zeros.
 type decoder struct {
 	buf       []byte
 	pos       int
 	truncated bool
 }
 
-func (f *decoder) next(n int) []byte {
-	if f.truncated || len(f.buf)-f.pos < n {
-		f.truncated = true
+// next returns the next n bytes.
+func (d *decoder) next(n int) []byte {
+	if d.truncated || len(d.buf)-d.pos < n {
+		d.truncated = true
 		return make([]byte, n)[:n:n]
 	}
-	f.pos += n
-	return f.buf[f.pos-n : f.pos]
+	d.pos += n
+	return d.buf[d.pos-n : d.pos]
 }
 
-// take returns count items of size bytes each.
-func (f *decoder) items(count uint32, size int) []byte {
-	if f.truncated || uint64(count)*uint64(size) > uint64(len(f.buf)-f.pos) {
-		f.truncated = true
+// items returns the bytes of count items of the given size.
+func (d *decoder) items(count uint32, size int) []byte {
+	if d.truncated || uint64(count)*uint64(size) > uint64(len(d.buf)-d.pos) {
+		d.truncated = true
 		return nil
 	}
-	return f.next(int(count) * size)
+	return d.next(int(count) * size)
 }
 
-func (f *decoder) u8() uint8    { return f.next(1)[0] }
-func (f *decoder) u16() uint16  { return binary.LittleEndian.Uint16(f.next(2)) }
-func (f *decoder) u32() uint32  { return binary.LittleEndian.Uint32(f.next(4)) }
-func (f *decoder) u64() uint64  { return binary.LittleEndian.Uint64(f.next(8)) }
-func (f *decoder) f32() float32 { return math.Float32frombits(f.u32()) }
+func (d *decoder) u8() uint8    { return d.next(1)[0] }
+func (d *decoder) u16() uint16  { return binary.LittleEndian.Uint16(d.next(2)) }
+func (d *decoder) u32() uint32  { return binary.LittleEndian.Uint32(d.next(4)) }
+func (d *decoder) u64() uint64  { return binary.LittleEndian.Uint64(d.next(8)) }
+func (d *decoder) f32() float32 { return math.Float32frombits(d.u32()) }
 
-// seconds turns an f64 in seconds into a Duration. The simulator counts in microseconds.
+// decodeSeconds converts the bits of a float64 in seconds to a Duration, rounded to microseconds, the simulator's resolution.
 func decodeSeconds(bits uint64) time.Duration {
 	const limit = float64(math.MaxInt64/4) / 1e9
-	s := math.Float64frombits(bits)
-	if math.IsNaN(s) {
+	value := math.Float64frombits(bits)
+	if math.IsNaN(value) {
 		return 0
 	}
-	return time.Duration(math.Round(min(max(s, -limit), limit)*1e6)) * time.Microsecond
+	return time.Duration(math.Round(min(max(value, -limit), limit)*1e6)) * time.Microsecond
 }
 
-// Writer collects the actions of one reply.
+// Writer encodes the actions of one reply.
 type Writer struct {
 	buf   []byte
 	count uint32
@@ -296,19 +303,20 @@
 	w.count = 0
 }
 
-// Bytes closes the reply and returns its frame, valid until Reset.
+// Bytes completes the reply and returns its encoding, which is valid until Reset.
 func (w *Writer) Bytes() []byte {
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)))
 	binary.LittleEndian.PutUint32(w.buf[4:], w.count)
 	return w.buf
 }
 
-// Instance is a balance.Host that writes the actions of one instance.
+// Instance is a balance.Host that writes the actions of one instance of the decision module to a reply.
 type Instance struct {
 	*Writer
 	ID int
 }
 
+// beginAction starts the record of an action.
 func (i *Instance) beginAction(code uint8) {
 	i.count++
 	i.buf = binary.LittleEndian.AppendUint16(append(i.buf, code), uint16(i.ID))
@@ -321,57 +329,58 @@
 	i.u64(math.Float64bits(d.Seconds()))
 }
 
-func (i *Instance) payload(data []byte, most int) {
-	data = data[:min(len(data), most)]
+// payload writes data with its length, cut to maxSize bytes.
+func (i *Instance) payload(data []byte, maxSize int) {
+	data = data[:min(len(data), maxSize)]
 	i.u16(len(data))
 	i.buf = append(i.buf, data...)
 }
 
-// Close writes hang_up.
-func (i *Instance) Close(server balance.ServerID) { i.beginAction(1); i.u32(uint32(server)) }
+// Close writes a hang_up action, which closes the idle connections to an endpoint.
+func (i *Instance) Close(endpoint balance.ServerID) { i.beginAction(1); i.u32(uint32(endpoint)) }
 
-// Fail writes fail.
+// Fail writes a fail action, which ends a request that may have run.
 func (i *Instance) Fail(id balance.RequestID, _ balance.Reason) { i.beginAction(2); i.u32(uint32(id)) }
 
-// Fetch writes lookup.
+// Fetch writes a lookup action, which asks for the endpoint list.
 func (i *Instance) Fetch() { i.beginAction(3) }
 
-// Cancel writes recall.
+// Cancel writes a recall action, which cancels an attempt.
 func (i *Instance) Cancel(id balance.RequestID, attempt int) {
 	i.beginAction(4)
 	i.u32(uint32(id))
 	i.u16(attempt)
 }
 
-// Send writes send.
-func (i *Instance) Send(id balance.RequestID, server balance.ServerID, timeout time.Duration) {
+// Send writes a send action, which sends an attempt of a request to an endpoint.
+func (i *Instance) Send(id balance.RequestID, endpoint balance.ServerID, timeout time.Duration) {
 	i.beginAction(5)
 	i.u32(uint32(id))
-	i.u32(uint32(server))
+	i.u32(uint32(endpoint))
 	i.duration(timeout)
 }
 
-// Log writes log.
+// Log writes a log action.
 func (i *Instance) Log(text string) { i.beginAction(6); i.payload([]byte(text), 1<<16-1) }
 
-// Watch writes track.
+// Watch writes a track action, which subscribes to the endpoint list.
 func (i *Instance) Watch() { i.beginAction(7); i.buf = append(i.buf, 1) }
 
-// Timer writes schedule.
+// Timer writes a schedule action, which fires a timer event with the token after the delay.
 func (i *Instance) Timer(delay time.Duration, token uint64) {
 	i.beginAction(8)
 	i.duration(delay)
 	i.u64(token)
 }
 
-// Refuse writes say_no.
+// Refuse writes a say_no action, which ends a request that has not run, so that a retry is safe.
 func (i *Instance) Refuse(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
 	i.beginAction(9)
 	i.u32(uint32(id))
 	i.duration(retryAfter)
 }
 
-// Tell writes publish.
+// Tell writes a publish action, which sends a message to one peer or to all.
 func (i *Instance) Tell(peer int, data []byte) {
 	i.beginAction(11)
 	if peer == balance.AllPeers {
@@ -381,5 +390,5 @@
 	i.payload(data, 256)
 }
 
-// Probe writes probe.
-func (i *Instance) Probe(server balance.ServerID) { i.beginAction(12); i.u32(uint32(server)) }
+// Probe writes a probe action, which probes an endpoint.
+func (i *Instance) Probe(endpoint balance.ServerID) { i.beginAction(12); i.u32(uint32(endpoint)) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,7 +10,8 @@
 	"kitewood/balance"
 )
 
-// facts is the settings object of the dialect, as far as the module uses it. Unknown keys are ignored.
+// simulatorSettings is the simulator's settings object, as far as the decision module uses it. Unknown keys are ignored.
+// The field names match the keys of the JSON object.
 type simulatorSettings struct {
 	Deductions struct {
 		CrossZone, Waste, LateFail, Probe, Peer float64
@@ -48,6 +49,7 @@
 	Weights string
 }
 
+// The simulator's names for values of package balance.
 var (
 	effects       = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 	groups        = map[string]balance.Group{"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
@@ -56,59 +58,63 @@
 		"lat_ms": balance.LatencyMS, "rate": balance.QPS, "fail_rate": balance.EPS}
 )
 
-// Settings turns the text of a start event into the module's settings.
+// ParseSettings converts the JSON text of a start event to the settings of the decision module.
 func ParseSettings(text []byte, seed uint64) (balance.Settings, error) {
-	var f simulatorSettings
-	none := balance.Settings{}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return none, fmt.Errorf("settings: %w", err)
+	var in simulatorSettings
+	zero := balance.Settings{}
+	if err := json.Unmarshal(text, &in); err != nil {
+		return zero, fmt.Errorf("settings: %w", err)
 	}
 	switch {
-	case len(f.Profiles) == 0:
-		return none, errors.New("settings: profiles are missing")
-	case f.Permissions == nil:
-		return none, errors.New("settings: permissions are missing")
-	case f.Invariants == nil:
-		return none, errors.New("settings: invariants are missing")
-	case f.RegistryMode != "push" && f.RegistryMode != "ask":
-		return none, fmt.Errorf("settings: registryMode %q is neither push nor ask", f.RegistryMode)
+	case len(in.Profiles) == 0:
+		return zero, errors.New("settings: profiles are missing")
+	case in.Permissions == nil:
+		return zero, errors.New("settings: permissions are missing")
+	case in.Invariants == nil:
+		return zero, errors.New("settings: invariants are missing")
+	case in.RegistryMode != "push" && in.RegistryMode != "ask":
+		return zero, fmt.Errorf("settings: registryMode %q is neither push nor ask", in.RegistryMode)
 	}
-	p, v, d, m := f.Permissions, f.Invariants, &f.Deductions, &f.ObjectiveMix
+	permissions, invariants, deductions, mix := in.Permissions, in.Invariants, &in.Deductions, &in.ObjectiveMix
 	s := balance.Settings{
-		Seed: seed, Me: f.Me, Balancers: max(f.PeersTotal, 1), Tier: f.Tier, Zone: f.Locality,
-		Tick:           toDuration(f.ResolutionS),
-		OverShareWorth: f.OverShareWorth,
-		Goal: balance.Goal{Whole: m.Whole, WorstWindow: m.WorstWindow, WorstClass: m.WorstClass,
-			WorstTenant: m.WorstTenant},
-		Prices: balance.Prices{CrossZone: d.CrossZone, Waste: d.Waste, LateFail: d.LateFail, Probe: d.Probe, Peer: d.Peer},
-		Limits: balance.Limits{Probes: p.Probes, Peers: p.Peers, Cancel: p.Cancel, SecondCopies: p.ParallelTries,
-			RetryAfter: p.RetryAfter, MaxAttempts: p.SendCap, MaxRetryAfter: toDuration(p.MaxRetryAfterS)},
-		Rules: balance.Rules{DrainGrace: toDuration(v.StopSendingWithinS), AskWithin: toDuration(v.AskWithinS), ColdShare: v.ColdShare,
-			ColdTime: toDuration(v.ColdS), FallMultiple: v.OverloadFactor, FallTime: toDuration(v.TipAfterS)},
-		Ask:           f.RegistryMode == "ask",
-		UnitsMeanSize: f.Weights == "nominal" || f.Weights == "rough",
+		Seed: seed, Me: in.Me, Balancers: max(in.PeersTotal, 1), Tier: in.Tier, Zone: in.Locality,
+		Tick:           toDuration(in.ResolutionS),
+		OverShareWorth: in.OverShareWorth,
+		Goal: balance.Goal{Whole: mix.Whole, WorstWindow: mix.WorstWindow, WorstClass: mix.WorstClass,
+			WorstTenant: mix.WorstTenant},
+		Prices: balance.Prices{CrossZone: deductions.CrossZone, Waste: deductions.Waste, LateFail: deductions.LateFail,
+			Probe: deductions.Probe, Peer: deductions.Peer},
+		Limits: balance.Limits{Probes: permissions.Probes, Peers: permissions.Peers, Cancel: permissions.Cancel,
+			SecondCopies: permissions.ParallelTries, RetryAfter: permissions.RetryAfter, MaxAttempts: permissions.SendCap,
+			MaxRetryAfter: toDuration(permissions.MaxRetryAfterS)},
+		Rules: balance.Rules{DrainGrace: toDuration(invariants.StopSendingWithinS), AskWithin: toDuration(invariants.AskWithinS),
+			ColdShare: invariants.ColdShare, ColdTime: toDuration(invariants.ColdS), FallMultiple: invariants.OverloadFactor,
+			FallTime: toDuration(invariants.TipAfterS)},
+		Ask:           in.RegistryMode == "ask",
+		UnitsMeanSize: in.Weights == "nominal" || in.Weights == "rough",
 	}
-	for i, c := range f.Profiles {
-		effect, known := effects[c.Repeat]
-		group, grouped := groups[c.Group]
-		if !known || !grouped {
-			return none, fmt.Errorf("settings: profile %d: unknown repeat %q or group %q", i, c.Repeat, c.Group)
+	for i, c := range in.Profiles {
+		effect, effectKnown := effects[c.Repeat]
+		group, groupKnown := groups[c.Group]
+		if !effectKnown || !groupKnown {
+			return zero, fmt.Errorf("settings: profile %d: unknown repeat %q or group %q", i, c.Repeat, c.Group)
 		}
 		s.Classes = append(s.Classes, balance.Class{Aim: toDuration(c.AimS), Deadline: toDuration(c.GiveUpS), Worth: c.Points,
 			LateWorth: c.LateShare, Effect: effect, Group: group, Window: toDuration(c.WindowS), Stream: c.Stream})
 	}
-	for _, t := range f.Projects {
+	for _, t := range in.Projects {
 		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Portion, Quota: t.QuotaPerS})
 	}
-	via, known := reportSources[f.Telemetry.Via]
+	source, known := reportSources[in.Telemetry.Via]
 	if !known {
-		return none, fmt.Errorf("settings: unknown telemetry.via %q", f.Telemetry.Via)
+		return zero, fmt.Errorf("settings: unknown telemetry.via %q", in.Telemetry.Via)
 	}
-	s.Report.Via = via
-	for _, name := range f.Telemetry.Fields {
+	s.Report.Via = source
+	for _, name := range in.Telemetry.Fields {
 		s.Report.Fields = append(s.Report.Fields, reportFields[name])
 	}
 	return s, nil
 }
 
-func toDuration(s float64) time.Duration { return decodeSeconds(math.Float64bits(s)) }
+// toDuration converts seconds to a Duration.
+func toDuration(seconds float64) time.Duration { return decodeSeconds(math.Float64bits(seconds)) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 	"kitewood/balance"
 )
 
-// frame builds a batch from records in hexadecimal digits; spaces are for the reader.
+// buildBatch builds a batch from records in hexadecimal digits; spaces are ignored.
 func buildBatch(t testing.TB, clock float64, records ...string) []byte {
 	t.Helper()
 	var body []byte
@@ -24,12 +24,13 @@
 		}
 		body = append(body, b...)
 	}
-	out := binary.LittleEndian.AppendUint32(nil, uint32(len(body)+batchHeaderSize))
-	out = binary.LittleEndian.AppendUint32(out, uint32(len(records)))
-	out = binary.LittleEndian.AppendUint64(out, math.Float64bits(clock))
-	return append(out, body...)
+	batch := binary.LittleEndian.AppendUint32(nil, uint32(len(body)+batchHeaderSize))
+	batch = binary.LittleEndian.AppendUint32(batch, uint32(len(records)))
+	batch = binary.LittleEndian.AppendUint64(batch, math.Float64bits(clock))
+	return append(batch, body...)
 }
 
+// readEvents reads one batch and returns its last event.
 func readEvents(t testing.TB, in []byte) (Event, error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(in))
@@ -45,6 +46,7 @@
 	}
 }
 
+// Each kind of event is decoded from its binary form.
 func TestEvents(t *testing.T) {
 	const catalog = "0a 0000 02000000  01000000 0200 03 0400 01 0000803f 000000000000f03f " +
 		"02000000 0000 00 0000 02 0000c07f 0000000000000000"
@@ -89,11 +91,12 @@
 				t.Errorf("%s: no error", name)
 			}
 		} else if err != nil || !c.ok(&e) {
-			t.Errorf("%s: %+v, %v", name, e, err)
+			t.Errorf("%s: got %+v, error %v", name, e, err)
 		}
 	}
 }
 
+// A malformed batch gives a one-line error that says what is wrong.
 func TestMalformedBatches(t *testing.T) {
 	good := buildBatch(t, 1, "04 0300 4d00000000000000")
 	short := append([]byte(nil), good...)
@@ -113,7 +116,7 @@
 		"count":              {many, "do not fit"},
 		"unknown code":       {buildBatch(t, 1, "63 0000"), "record 0 at byte 16: unknown event code 99"},
 		"unknown list":       {buildBatch(t, 1, "02 0300 02 29000000 0000"), "unknown list number 0"},
-		"list number":        {buildBatch(t, 1, "0a 1000 00000000"), "over 15"},
+		"list number":        {buildBatch(t, 1, "0a 1000 00000000"), "exceeds 15"},
 		"list count":         {buildBatch(t, 1, "0a 0000 ffffffff"), "cut off"},
 		"readiness":          {buildBatch(t, 1, "0a 0000 01000000 01000000 0000 00 0000 09 0000803f 0000000000000000"), "readiness 9"},
 		"list kind":          {buildBatch(t, 1, "02 0300 07 29000000 0000"), "unknown list kind"},
@@ -126,30 +129,31 @@
 		_, err := readEvents(t, c.in)
 		if c.want == "" {
 			if err != nil {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: got error %v", name, err)
 			}
 		} else if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want one line containing %q", name, err, c.want)
 		}
 	}
 	if _, err := NewReader(bytes.NewReader(nil)).Batch(); err != io.EOF {
-		t.Errorf("empty input: %v, want EOF", err)
+		t.Errorf("empty input: got %v, want EOF", err)
 	}
 }
 
-// A header that promises much must not make the reader allocate it.
+// The reader must not allocate memory for the length that a header declares before the data has arrived.
 func TestDeclaredSizeDoesNotAllocate(t *testing.T) {
 	huge := buildBatch(t, 1)
 	binary.LittleEndian.PutUint32(huge, maxBatchSize)
 	r := NewReader(bytes.NewReader(huge))
 	if _, err := r.Batch(); err == nil {
-		t.Fatal("no error")
+		t.Fatal("batch without data: no error")
 	}
 	if cap(r.buf) > 4<<20 {
-		t.Errorf("%d bytes allocated for a frame of 16", cap(r.buf))
+		t.Errorf("%d bytes allocated for 16 bytes of input", cap(r.buf))
 	}
 }
 
+// Each action is encoded in its binary form.
 func TestActions(t *testing.T) {
 	var w Writer
 	w.Reset()
@@ -170,14 +174,14 @@
 		"03 0300 04 0300 02000000 0100 07 0300 01 09 0300 02000000 0000000000000000 0c 0300 09000000"
 	got := w.Bytes()
 	if s := strings.ReplaceAll(want, " ", ""); hex.EncodeToString(got[8:]) != s {
-		t.Errorf("records\n%x, want\n%s", got[8:], s)
+		t.Errorf("got records\n%x, want\n%s", got[8:], s)
 	}
 	if binary.LittleEndian.Uint32(got) != uint32(len(got)) || binary.LittleEndian.Uint32(got[4:]) != 11 {
-		t.Errorf("header %x", got[:8])
+		t.Errorf("wrong length or count in header %x", got[:8])
 	}
 	w.Reset()
 	if got := hex.EncodeToString(w.Bytes()); got != "0800000000000000" {
-		t.Errorf("empty reply %s", got)
+		t.Errorf("empty reply encoded as %s", got)
 	}
 }
 
@@ -187,6 +191,7 @@
  "projects": [{"portion": 0.4, "quotaPerS": 101}], "telemetry": {"fields": ["lat_ms", "busy", "x0"], "via": "inline"},
  "peersTotal": 10, "me": 4, "tier": 1, "weights": "nominal", "unknown": [1, 2]}`
 
+// Settings are converted to those of package balance, and incomplete or invalid settings give an error.
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(sampleSettings), 9)
 	if err != nil {
@@ -197,7 +202,7 @@
 		c.Aim != 1200*time.Millisecond || c.Effect != balance.Keyed || c.Group != balance.GroupCell ||
 		s.Rules.DrainGrace != 250*time.Millisecond || s.Tenants[0].Quota != 101 || s.Report.Via != balance.OnAnswers ||
 		s.Report.Fields[1] != balance.Util || s.Report.Fields[2] != balance.OtherField {
-		t.Errorf("%+v", s)
+		t.Errorf("got settings %+v", s)
 	}
 	for want, text := range map[string]string{
 		"settings: ":                   "not JSON",
@@ -209,11 +214,12 @@
 		"unknown telemetry.via":        strings.Replace(sampleSettings, "inline", "mail", 1),
 	} {
 		if _, err := ParseSettings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want one with %q", err, want)
+			t.Errorf("got error %v, want one containing %q", err, want)
 		}
 	}
 }
 
+// No input may make the reader panic.
 func FuzzBatch(f *testing.F) {
 	f.Add(buildBatch(f, 1, "04 0300 4d00000000000000"))
 	f.Add(buildBatch(f, 1, "0a 0000 01000000 01000000 0000 00 0000 01 0000803f 0000000000000000", "02 0300 01 29000000 0000"))
@@ -238,17 +244,18 @@
 	})
 }
 
+// Settings that are accepted have at least one class.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(sampleSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := ParseSettings(text, 1); err == nil && len(s.Classes) == 0 {
-			t.Error("settings without classes and without an error")
+			t.Error("settings without classes were accepted")
 		}
 	})
 }
 
-// Decoding must not allocate for each record.
-func TestDecodingAllocatesLittle(t *testing.T) {
+// Decoding must not allocate memory for each record.
+func TestDecodingDoesNotAllocatePerRecord(t *testing.T) {
 	in := buildBatch(t, 1, strings.Split(strings.Repeat("09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 01 0000803f;", 999)+
 		"0b 0300", ";")...)
 	r := NewReader(nil)
@@ -265,6 +272,6 @@
 			}
 		}
 	}); n > 20 {
-		t.Errorf("%.0f allocations for 1000 records", n)
+		t.Errorf("%.0f allocations for 1000 records, at most 20 are allowed", n)
 	}
 }
