--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -100,9 +100,9 @@
 func (t *Tracker) checkRoute(via []string) *Rejection {
 	switch {
 	case slices.Contains(via, t.limits.Service):
-		return &Rejection{Reason: fmt.Sprintf("%s calls itself via %s", t.limits.Service, strings.Join(via, ", "))}
+		return &Rejection{Reason: fmt.Sprintf("%s calls itself, by way of %s", t.limits.Service, strings.Join(via, ", "))}
 	case len(via) >= t.limits.MaxHops:
-		return &Rejection{Reason: fmt.Sprintf("request has passed %d services, the maximum", len(via))}
+		return &Rejection{Reason: fmt.Sprintf("it has passed %d services, which is the most", len(via))}
 	}
 	return nil
 }
--- a/internal/chain/header.go
+++ b/internal/chain/header.go
@@ -38,19 +38,19 @@
 }
 
 // errMalformed is wrapped by all errors of Parse.
-var errMalformed = errors.New("malformed chain header")
+var errMalformed = errors.New("malformed chain word")
 
 // Parse parses the text of a Header. All known keys are required, and no key may occur twice. Unknown keys are ignored,
 // because a newer version may write them.
 func Parse(text string) (h Header, err error) {
 	if len(text) > maxHeaderBytes {
-		return Header{}, fmt.Errorf("%w: longer than %d bytes", errMalformed, maxHeaderBytes)
+		return Header{}, fmt.Errorf("%w: over %d bytes", errMalformed, maxHeaderBytes)
 	}
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ";") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[key] {
-			return Header{}, fmt.Errorf("%w: duplicate key %q", errMalformed, key)
+			return Header{}, fmt.Errorf("%w: %q stands twice", errMalformed, key)
 		}
 		ok := true
 		switch key {
@@ -71,13 +71,13 @@
 			ok = len(h.Via) <= maxViaServices && !slices.Contains(h.Via, "")
 		}
 		if err != nil || !ok {
-			return Header{}, fmt.Errorf("%w: invalid value %s=%q", errMalformed, key, value)
+			return Header{}, fmt.Errorf("%w: %s=%q", errMalformed, key, value)
 		}
 		seen[key] = true
 	}
 	for _, key := range []string{"left", "repeats", "worth", "token", "via"} {
 		if !seen[key] {
-			return Header{}, fmt.Errorf("%w: missing key %s", errMalformed, key)
+			return Header{}, fmt.Errorf("%w: no %s", errMalformed, key)
 		}
 	}
 	return h, nil
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -116,7 +116,7 @@
 	if p.state == inBodyUntilEOF {
 		return p.finish(), nil
 	}
-	return nil, errorf(400, "connection closed inside a message")
+	return nil, errorf(400, "cut off inside a message")
 }
 
 // finish returns the completed message and resets the parser for the next one.
@@ -155,7 +155,7 @@
 		return n, false, p.startChunk(string(line))
 	case inChunkEnd:
 		if len(line) > 0 {
-			return n, false, errorf(400, "chunk data exceeds the chunk size")
+			return n, false, errorf(400, "a chunk is longer than its size")
 		}
 		p.state = inChunkSize
 	case inTrailer: // trailers are dropped; the platform's protocol does not use them
@@ -171,7 +171,7 @@
 		return nil
 	}
 	if len(p.msg.Body)+len(b) > MaxBodyBytes {
-		return errorf(413, "body exceeds %d bytes", MaxBodyBytes)
+		return errorf(413, "the body is over %d bytes", MaxBodyBytes)
 	}
 	// Memory is allocated as data arrives, not by the declared length: the whole body is reserved only once a quarter of
 	// MaxBodyBytes has been received.
@@ -206,13 +206,13 @@
 	at := bytes.Index(p.buf[searchFrom:], []byte("\r\n\r\n"))
 	if at < 0 {
 		if len(p.buf) >= MaxHeadBytes+4 {
-			return accepted, false, errorf(431, "head exceeds %d bytes", MaxHeadBytes)
+			return accepted, false, errorf(431, "the head is over %d bytes", MaxHeadBytes)
 		}
 		return accepted, false, nil
 	}
 	end := searchFrom + at + 4
 	if end > MaxHeadBytes {
-		return accepted, false, errorf(431, "head exceeds %d bytes", MaxHeadBytes)
+		return accepted, false, errorf(431, "the head is over %d bytes", MaxHeadBytes)
 	}
 	msg, err := parseHead(p.buf[:end], p.Responses)
 	if err != nil {
@@ -234,7 +234,7 @@
 		n = len(b)
 	}
 	if len(p.buf)+n > maxLineBytes {
-		return n, nil, errorf(400, "line in chunked body exceeds %d bytes", maxLineBytes)
+		return n, nil, errorf(400, "a line of the chunked body is over %d bytes", maxLineBytes)
 	}
 	p.buf = append(p.buf, b[:n]...)
 	if at < 0 {
@@ -243,7 +243,7 @@
 	line := p.buf
 	p.buf = p.buf[:0]
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return n, nil, errorf(400, "line in chunked body does not end in CRLF")
+		return n, nil, errorf(400, "a line of the chunked body does not end in CRLF")
 	}
 	return n, line[:len(line)-2], nil
 }
@@ -261,7 +261,7 @@
 		return nil
 	}
 	if p.OnBody == nil && len(p.msg.Body)+int(size) > MaxBodyBytes {
-		return errorf(413, "body exceeds %d bytes", MaxBodyBytes)
+		return errorf(413, "the body is over %d bytes", MaxBodyBytes)
 	}
 	p.remaining, p.state = int(size), inChunk
 	return nil
@@ -271,10 +271,10 @@
 func parseHead(head []byte, response bool) (*Message, error) {
 	for i, c := range head {
 		if c == 0 || c == '\r' && (i+1 == len(head) || head[i+1] != '\n') || c == '\n' && (i == 0 || head[i-1] != '\r') {
-			return nil, errorf(400, "malformed head: NUL byte, or CR or LF outside a CRLF pair")
+			return nil, errorf(400, "malformed head: a stray control character")
 		}
 		if c == '\n' && i+1 < len(head) && (head[i+1] == ' ' || head[i+1] == '\t') {
-			return nil, errorf(400, "malformed head: folded header line")
+			return nil, errorf(400, "malformed head: a folded line")
 		}
 	}
 	r := textproto.NewReader(bufio.NewReaderSize(bytes.NewReader(head), len(head)))
@@ -288,7 +288,7 @@
 	}
 	for name := range header { // textproto accepts a space before the colon, which permits request smuggling
 		if !isToken(name) {
-			return nil, errorf(400, "malformed head: invalid header field name")
+			return nil, errorf(400, "malformed head: a field's name")
 		}
 	}
 	msg := &Message{Header: header}
@@ -305,7 +305,7 @@
 		return nil, errorf(400, "malformed request line")
 	}
 	if !response && bytes.ContainsFunc(head, func(c rune) bool { return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f }) {
-		return nil, errorf(400, "malformed head: control character")
+		return nil, errorf(400, "malformed head: a control character")
 	}
 	switch version {
 	case "HTTP/1.1":
@@ -313,10 +313,10 @@
 	case "HTTP/1.0":
 		msg.Close = !hasToken(header["Connection"], "keep-alive")
 	default:
-		return nil, errorf(400, "unsupported version: neither HTTP/1.1 nor HTTP/1.0")
+		return nil, errorf(400, "neither HTTP/1.1 nor HTTP/1.0")
 	}
 	if !response && version == "HTTP/1.1" && len(header["Host"]) != 1 {
-		return nil, errorf(400, "request must have exactly one Host field")
+		return nil, errorf(400, "a request names one Host")
 	}
 	return msg, nil
 }
@@ -341,14 +341,14 @@
 		return false, errorf(400, "both Content-Length and Transfer-Encoding")
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(codings[0], "chunked") {
-			return false, errorf(501, "unsupported transfer coding")
+			return false, errorf(501, "unknown transfer coding")
 		}
 		p.state = inChunkSize
 		return false, nil
 	case len(lengths) > 0:
 		for _, l := range lengths {
 			if l != lengths[0] {
-				return false, errorf(400, "conflicting Content-Length fields")
+				return false, errorf(400, "conflicting Content-Length")
 			}
 		}
 		for _, c := range lengths[0] {
@@ -361,7 +361,7 @@
 			return false, errorf(400, "malformed Content-Length")
 		}
 		if err != nil || n > MaxBodyBytes && p.OnBody == nil {
-			return false, errorf(413, "body exceeds %d bytes", MaxBodyBytes)
+			return false, errorf(413, "the body is over %d bytes", MaxBodyBytes)
 		}
 		p.remaining, p.state = int(n), inBody
 		if n == 0 {
--- a/internal/protocol/requestmeta.go
+++ b/internal/protocol/requestmeta.go
@@ -60,13 +60,13 @@
 	case len(stated) > 1 || len(stated) == 1 && classIndex(classes, stated[0]) < 0:
 		return RequestMeta{}, errorf(400, "unknown class in %s", headerClass)
 	case class < 0 || !strings.HasPrefix(path, "/"):
-		return RequestMeta{}, errorf(404, "unknown path")
+		return RequestMeta{}, errorf(404, "no such path")
 	case len(stated) == 1 && stated[0] != first:
-		return RequestMeta{}, errorf(400, "path and %s specify different classes", headerClass)
+		return RequestMeta{}, errorf(400, "path and %s name different classes", headerClass)
 	case !slices.Contains(classes[class].Methods, m.StartLine[0]):
-		return RequestMeta{}, methodNotAllowed("methods allowed for this class:", classes[class].Methods)
+		return RequestMeta{}, methodNotAllowed("this class wants", classes[class].Methods)
 	case len(m.Header[headerCorrelationID]) != 1 || m.Header[headerCorrelationID][0] == "":
-		return RequestMeta{}, errorf(400, "request must have exactly one non-empty %s", headerCorrelationID)
+		return RequestMeta{}, errorf(400, "a request names one %s", headerCorrelationID)
 	}
 	if err := checkIdempotencyKey(m.Header[headerIdempotencyKey], classes[class].Keyed); err != nil {
 		return RequestMeta{}, err
@@ -79,9 +79,9 @@
 func checkIdempotencyKey(keys []string, keyed bool) error {
 	switch {
 	case keyed && len(keys) != 1:
-		return errorf(400, "request of this class must have exactly one %s", headerIdempotencyKey)
+		return errorf(400, "a request of this class names one %s", headerIdempotencyKey)
 	case !keyed && len(keys) > 0:
-		return errorf(400, "%s is not allowed for this class", headerIdempotencyKey)
+		return errorf(400, "this class takes no %s", headerIdempotencyKey)
 	case keyed && (keys[0] == "" || len(keys[0]) > maxKeyBytes || !printable(keys[0])):
 		return errorf(400, "malformed %s", headerIdempotencyKey)
 	}
@@ -112,11 +112,11 @@
 			all = append(all, c.Methods...)
 		}
 		slices.Sort(all)
-		return RequestMeta{}, methodNotAllowed("methods allowed for this pool:", slices.Compact(all))
+		return RequestMeta{}, methodNotAllowed("this pool wants", slices.Compact(all))
 	case !slices.Contains(classes[class].Methods, m.StartLine[0]):
-		return RequestMeta{}, methodNotAllowed("methods allowed for this class:", classes[class].Methods)
+		return RequestMeta{}, methodNotAllowed("this class wants", classes[class].Methods)
 	case len(ids) > 1 || len(ids) == 1 && ids[0] == "":
-		return RequestMeta{}, errorf(400, "request must have at most one %s, and it must not be empty", headerCorrelationID)
+		return RequestMeta{}, errorf(400, "a request names one %s", headerCorrelationID)
 	}
 	return readCommonFields(m, class, classes[class].Deadline)
 }
@@ -131,7 +131,7 @@
 func readCommonFields(m *Message, class int, deadline time.Duration) (RequestMeta, error) {
 	meta := RequestMeta{Class: class, ID: m.Header.Get(headerCorrelationID), TimeLeft: deadline}
 	if m.StartLine[0] == "GET" && len(m.Body) > 0 { // an endpoint may parse the body as another request
-		return meta, errorf(400, "GET request must not have a body")
+		return meta, errorf(400, "a GET has no body")
 	}
 	if v, given := m.Header[headerTimeLeft]; given {
 		ms, err := strconv.ParseUint(v[0], 10, 53)
