--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -52,7 +52,7 @@
 				there := map[string]bool{}
 				for _, e := range entries {
 					there[e.Name] = true
-					if state := e.State + e.Address + e.Held; shown[e.Name] != state {
+					if state := e.State + e.Address + e.OverrideReason; shown[e.Name] != state {
 						shown[e.Name] = state
 						select {
 						case changes <- MemberChange{name, e}:
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -77,7 +77,7 @@
 	}
 	c := membership.Defaults(names...)
 	if x := conf.Members.Merge; x != nil {
-		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
+		c.StaleAfter, c.QuarantineBelow, c.QuarantineFor, c.FlapThreshold, c.FlapSuppression = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
 	}
 	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(c),
 		changed: make(chan struct{})}
@@ -162,7 +162,7 @@
 
 // tell tells what has changed, and comes again when something is due. The lock is held.
 func (m *members) tell(now time.Duration) {
-	if m.ctx.Err() != nil || !m.merger.Known() {
+	if m.ctx.Err() != nil || !m.merger.Initialized() {
 		return
 	}
 	if wait := m.told + burst - now; wait > 0 { // more may come: telling the Loop costs a look at the whole list
@@ -184,7 +184,7 @@
 		m.changed = make(chan struct{})
 		m.loop.UpdateEndpoints(kind, m.version, changed)
 	}
-	if at, any := m.merger.Next(now); any {
+	if at, any := m.merger.NextDue(now); any {
 		m.wake(max(at-now, time.Millisecond))
 	}
 }
@@ -236,14 +236,14 @@
 		if kind != balance.Delta && f.spoken && index < f.last {
 			f.fallen++
 		}
-		at := membership.At{History: fmt.Sprintf("%s#%d", f.history, f.fallen), Revision: index}
+		at := membership.Position{History: fmt.Sprintf("%s#%d", f.history, f.fallen), Revision: index}
 		if kind == balance.Delta {
-			if !f.m.merger.Changed(now, f.name, at, list) {
-				f.m.merger.Alive(now, f.name) // nothing has changed since its version
+			if !f.m.merger.ApplyChanges(now, f.name, at, list) {
+				f.m.merger.SourceAlive(now, f.name) // nothing has changed since its version
 				return
 			}
 		} else {
-			f.m.merger.Whole(now, f.name, at, list)
+			f.m.merger.ApplyList(now, f.name, at, list)
 		}
 		f.spoken, f.last = true, index
 	})
@@ -252,7 +252,7 @@
 // Lost has the source asked again.
 func (f *feed) SourceLost() {
 	f.m.do(func(now time.Duration) {
-		f.m.merger.Lost(now, f.name)
+		f.m.merger.SourceLost(now, f.name)
 		if f.again != nil && f.m.ctx.Err() == nil {
 			last := f.last
 			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Watch(last) })
@@ -264,19 +264,19 @@
 type etcdFeed struct{ m *members }
 
 // Whole takes a whole list.
-func (f *etcdFeed) Whole(at membership.At, list []routing.Member, written map[string]int64) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.WholeWritten(now, fromEtcd, at, list, written) })
+func (f *etcdFeed) Whole(at membership.Position, list []routing.Member, written map[string]int64) (taken bool) {
+	f.m.do(func(now time.Duration) { taken = f.m.merger.ApplyListWithRevisions(now, fromEtcd, at, list, written) })
 	return taken
 }
 
 // Changed takes changes.
-func (f *etcdFeed) Changed(at membership.At, changes []routing.Member) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.Changed(now, fromEtcd, at, changes) })
+func (f *etcdFeed) Changed(at membership.Position, changes []routing.Member) (taken bool) {
+	f.m.do(func(now time.Duration) { taken = f.m.merger.ApplyChanges(now, fromEtcd, at, changes) })
 	return taken
 }
 
 // Alive notes that the watch answers.
-func (f *etcdFeed) Alive() { f.m.do(func(now time.Duration) { f.m.merger.Alive(now, fromEtcd) }) }
+func (f *etcdFeed) Alive() { f.m.do(func(now time.Duration) { f.m.merger.SourceAlive(now, fromEtcd) }) }
 
 // Lost notes that it does not.
-func (f *etcdFeed) Lost() { f.m.do(func(now time.Duration) { f.m.merger.Lost(now, fromEtcd) }) }
+func (f *etcdFeed) Lost() { f.m.do(func(now time.Duration) { f.m.merger.SourceLost(now, fromEtcd) }) }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -126,7 +126,7 @@
 		t.Fatalf("%+v, %v", all, err)
 	}
 	for _, e := range all[0].Entries {
-		if e.Name == "x" && (e.State != "draining" || len(e.Words) != 3) {
+		if e.Name == "x" && (e.State != "draining" || len(e.Reports) != 3) {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/control/own.go
+++ b/internal/control/own.go
@@ -41,7 +41,7 @@
 func (r *reports) own(p *pool, address string, x orca.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.loads.TakeOwn(r.service.clock.Now(), p.conf.Name, address, p.conf.Reports.Interval.D(), loads.Own{QPS: x.QPS, EPS: x.EPS, Metrics: x.Metrics})
+	r.loads.RecordEndpointReport(r.service.clock.Now(), p.conf.Name, address, p.conf.Reports.Interval.D(), loads.EndpointReport{QPS: x.QPS, EPS: x.EPS, Metrics: x.Metrics})
 	if r.waiting[p] == nil {
 		r.waiting[p] = map[string]bool{}
 		time.AfterFunc(gather, func() { r.flush(p) })
@@ -59,7 +59,7 @@
 }
 
 // merged is what is known of a pool's destinations now.
-func (r *reports) merged(p *pool) map[string]loads.Reading {
+func (r *reports) merged(p *pool) map[string]loads.EndpointLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loads.Merge(r.service.clock.Now(), p.conf.Name)
--- a/internal/etcdsource/source.go
+++ b/internal/etcdsource/source.go
@@ -36,8 +36,8 @@
 // Taker takes what a source says; Whole and Changed tell whether it was taken, as membership.Merger does.
 type Taker interface {
 	// Whole takes a list, with the revision at which each name was last written.
-	Whole(at membership.At, list []routing.Member, written map[string]int64) bool
-	Changed(at membership.At, changes []routing.Member) bool
+	Whole(at membership.Position, list []routing.Member, written map[string]int64) bool
+	Changed(at membership.Position, changes []routing.Member) bool
 	Alive()
 	Lost()
 }
@@ -198,7 +198,7 @@
 	for _, m := range now {
 		all = append(all, m)
 	}
-	if !s.take.Whole(membership.At{History: history, Revision: r.Header.Revision}, all, written) {
+	if !s.take.Whole(membership.Position{History: history, Revision: r.Header.Revision}, all, written) {
 		return fmt.Errorf("the list of revision %d was not taken", r.Header.Revision)
 	}
 	s.history, s.last, s.known = history, r.Header.Revision, now
@@ -257,7 +257,7 @@
 		for _, m := range changed {
 			all = append(all, m)
 		}
-		if !s.take.Changed(membership.At{History: s.history, Revision: revision}, all) {
+		if !s.take.Changed(membership.Position{History: s.history, Revision: revision}, all) {
 			return fmt.Errorf("the changes of revision %d were not taken", revision)
 		}
 		s.last = revision
--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -37,39 +37,39 @@
 }
 
 func newMerged() *merged {
-	return &merged{m: membership.New(membership.Config{Sources: []string{"etcd"}, Keep: time.Hour})}
+	return &merged{m: membership.New(membership.Config{Sources: []string{"etcd"}, Retention: time.Hour})}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-func (x *merged) Whole(at membership.At, list []routing.Member, written map[string]int64) bool {
+func (x *merged) Whole(at membership.Position, list []routing.Member, written map[string]int64) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.wholes++
 	if x.listed != nil {
 		x.listed()
 	}
-	return x.m.WholeWritten(now(), "etcd", at, list, written)
+	return x.m.ApplyListWithRevisions(now(), "etcd", at, list, written)
 }
 
-func (x *merged) Changed(at membership.At, list []routing.Member) bool {
+func (x *merged) Changed(at membership.Position, list []routing.Member) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.change++
-	return x.m.Changed(now(), "etcd", at, list)
+	return x.m.ApplyChanges(now(), "etcd", at, list)
 }
 
 func (x *merged) Alive() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.m.Alive(now(), "etcd")
+	x.m.SourceAlive(now(), "etcd")
 }
 
 func (x *merged) Lost() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lost++
-	x.m.Lost(now(), "etcd")
+	x.m.SourceLost(now(), "etcd")
 }
 
 // shows is the list: names, with a dash behind those that drain.
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -21,11 +21,11 @@
 
 // list is the form of the file.
 type list struct {
-	Destinations []Destination `yaml:"destinations"`
+	Destinations []Endpoint `yaml:"destinations"`
 }
 
 // Destination is an entry. What is left out of the list is gone.
-type Destination struct {
+type Endpoint struct {
 	Name    string  `yaml:"name"`
 	Address string  `yaml:"address"`
 	State   string  `yaml:"state,omitempty"`   // ready or draining, ready if left out
@@ -37,7 +37,7 @@
 }
 
 // Write replaces the file of a path by a list, whole.
-func Write(path string, all []Destination) error {
+func Write(path string, all []Endpoint) error {
 	text, err := yaml.Marshal(list{all})
 	if err != nil {
 		return err
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -153,7 +153,7 @@
 	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
 		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
 		if bad != nil {
-			return nil, protocol.RequestMeta{}, &protocol.Error{Status: bad.Status, Reason: bad.Why}
+			return nil, protocol.RequestMeta{}, &protocol.Error{Status: bad.Status, Reason: bad.Reason}
 		}
 		m.ToOriginForm()
 		op, err := protocol.ReadRoutedRequestMeta(m, ways[i].classes, ways[i].as)
