--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,24 +1,28 @@
-// Package membership merges what several sources say of a pool's destinations into one list that has a version. It is a core:
-// it knows no socket, no clock and no goroutine; times are handed in, as Unix times.
+// Package membership merges the endpoint lists that several sources report for one pool into a single versioned list. It does
+// no I/O, reads no clock and starts no goroutines; callers pass in times as Unix times.
+//
+// A ready report allows new requests to an endpoint. A negative report says that the endpoint is draining or gone.
 //
 // The rules:
 //
-//   - The word about the newest start of a destination counts. Of words about one start the worst does: gone before draining
-//     before ready. So a bad word wins at once, whichever source has it, and a good one needs a start that proves it newer;
-//     the order in which sources are heard changes nothing.
-//   - A bad word that names no start is about every start up to the moment it came.
-//   - Within one source and one history its own later word replaces the earlier, by revision. What is of an older revision is
-//     not taken, whoever brings it.
-//   - A source whose history is another (a cluster restored from a backup, another discovery) keeps the bad words of the one
-//     before, until a word that was written since takes their place; what stands in its first list never does.
-//   - What a source's whole list leaves out is gone. A list that names nobody, or under a share of what the source named
-//     before, is held: what it leaves out stays for a time, unless a later list or a word of its own says otherwise. What is
-//     told one by one is always believed.
-//   - A source that is lost keeps its last words. After a time its good ones count no longer if another source is heard; its
-//     bad ones count on.
-//   - A destination that returns again and again is held back longer each time. Its bad words never are.
+//   - The report about the most recent start of an endpoint is effective. Among reports about the same start the most severe
+//     one is: gone before draining before ready. A negative report therefore takes effect at once, whichever source sends it,
+//     and a ready report overrides it only by naming a newer start. The result does not depend on the order in which sources
+//     report.
+//   - A negative report without a start time covers every start up to the moment it was received.
+//   - Within one source and one history a later report replaces the earlier one, by revision. Input of an older revision is
+//     rejected, whichever member of the source delivers it.
+//   - When the history of a source changes (a cluster restored from a backup, another discovery service), its negative reports
+//     from the previous history remain until a report written since then replaces them. The entries of the first list of the
+//     new history never replace them.
+//   - An endpoint missing from a full list is gone. A list that is empty, or smaller than a set share of what the source listed
+//     before, is quarantined: the endpoints missing from it stay for a time, unless a later list or an individual report
+//     about them says otherwise. Changes reported individually are never quarantined.
+//   - The last reports of a lost source stay in force. After a time its ready reports expire if another source is reachable;
+//     its negative reports do not.
+//   - An endpoint that returns to ready repeatedly is suppressed for longer each time. Its negative reports are not delayed.
 //
-// A bad word is kept for as long as any source still names the destination otherwise, and for Config.Keep beyond.
+// A negative report is kept for as long as any source still lists the endpoint, and for Config.Retention after that.
 package membership
 
 import (
@@ -30,348 +34,354 @@
 	"kitewood/internal/routing"
 )
 
-// Config is how a Merger judges. A span that is 0 switches its rule off.
+// Config holds the settings of a Merger. A zero duration disables its rule.
 type Config struct {
-	Sources         []string      // by precedence: where words are equal in rank the first one's details count
-	StaleAfter      time.Duration // after which a lost source's good words count no longer
-	QuarantineBelow float64       // a whole list under this share of what its source named before is held
-	QuarantineFor   time.Duration // for so long
-	FlapThreshold   int           // returns within FlapWindow from which on a destination is held back
+	Sources         []string      // in order of precedence: among equally ranked reports the first source's details are used
+	StaleAfter      time.Duration // how long the ready reports of a lost source remain in force
+	QuarantineBelow float64       // a full list is quarantined below this share of the endpoints its source listed before
+	QuarantineFor   time.Duration // how long a list is quarantined
+	FlapThreshold   int           // number of returns within FlapWindow from which an endpoint is suppressed
 	FlapWindow      time.Duration
-	FlapSuppression time.Duration // doubles with each further return, up to FlapWindow
-	Retention       time.Duration // bad words that nobody contradicts
+	FlapSuppression time.Duration // first suppression; doubles with each further return, up to FlapWindow
+	Retention       time.Duration // how long negative reports are kept that no source contradicts
 }
 
-// Defaults are the figures that docs/membership.md explains.
+// Defaults returns the default settings, which docs/membership.md explains.
 func Defaults(sources ...string) Config {
 	return Config{Sources: sources, StaleAfter: 30 * time.Second, QuarantineBelow: 0.3, QuarantineFor: 10 * time.Second, FlapThreshold: 4,
 		FlapWindow: time.Minute, FlapSuppression: 5 * time.Second, Retention: 10 * time.Minute}
 }
 
-// At is a place in a source's own history.
+// Position is a point in the history of a source.
 type Position struct {
-	History  string // what other histories cannot be compared with
-	Revision int64  // grows within it
+	History  string // revisions of different histories are not comparable
+	Revision int64  // increases within a history
 }
 
-// word is what a source says of a destination.
-type word struct {
+// report is the state of an endpoint as one source reports it.
+type report struct {
 	routing.Member
-	came time.Duration
+	receivedAt time.Duration
 }
 
-// bad tells whether it forbids new requests.
-func (w *word) bad() bool { return w.State != balance.Ready }
+// negative reports whether r forbids new requests.
+func (r *report) negative() bool { return r.State != balance.Ready }
 
-// hold is a whole list that is not believed yet.
-type hold struct {
-	since, until time.Duration
-	before       int             // destinations that the source named
-	named        int             // that the list names
-	missing      map[string]bool // what it leaves out
+// quarantine describes a full list whose omissions are not applied yet.
+type quarantine struct {
+	since, until  time.Duration
+	previousCount int             // endpoints that the source listed before
+	listedCount   int             // endpoints in the quarantined list
+	missing       map[string]bool // endpoints that the list omits
 }
 
-// source is what one source has said.
+// source holds the reports of one source.
 type source struct {
-	name   string
-	rank   int
-	spoken bool
-	at     Position
-	first  int64 // revision of its history's first list
-	words  map[string]*word
-	before map[string]*word // bad words of earlier histories
-	lost   bool
-	lostAt time.Duration
-	heard  time.Duration
-	hold   *hold
-	old    int // lists and changes of an older revision that were not taken
+	name            string
+	rank            int
+	reported        bool
+	position        Position
+	firstRevision   int64 // revision of the first list of the current history
+	reports         map[string]*report
+	earlierNegative map[string]*report // negative reports from earlier histories
+	lost            bool
+	lostAt          time.Duration
+	lastContact     time.Duration
+	quarantine      *quarantine
+	outdated        int // lists and changes rejected for their older revision
 }
 
-// flap are a destination's returns.
+// flap tracks how often an endpoint returns to ready.
 type flap struct {
-	returns []time.Duration // the last ones
-	until   time.Duration   // held back so long; 0 if it is not
-	served  bool            // it has been held back: the next return is not counted
+	returns         []time.Duration // the most recent ones
+	suppressedUntil time.Duration   // 0 if the endpoint is not suppressed
+	released        bool            // a suppression has ended: the next return is not counted
 }
 
 // Merger merges the sources of one pool. It is not safe for concurrent use.
 type Merger struct {
-	c       Config
-	sources map[string]*source
-	dirty   map[string]bool
-	shown   map[string]*word // what Merge last told, gone ones left out
-	was     map[string]bool  // names that were ready once
-	flaps   map[string]*flap
-	gone    map[string]time.Duration // since when a name is not shown, for Config.Keep
-	known   bool
+	config      Config
+	sources     map[string]*source
+	dirty       map[string]bool    // names that the next Merge evaluates
+	published   map[string]*report // the list as Merge last returned it, without endpoints that are gone
+	wasReady    map[string]bool    // names that have been ready before
+	flaps       map[string]*flap
+	removedAt   map[string]time.Duration // when a name left the published list, for Config.Retention
+	initialized bool
 }
 
-// New returns a Merger that has heard nothing.
+// New returns a Merger without reports.
 func New(c Config) *Merger {
-	m := &Merger{c: c, sources: map[string]*source{}, dirty: map[string]bool{}, shown: map[string]*word{}, was: map[string]bool{},
-		flaps: map[string]*flap{}, gone: map[string]time.Duration{}}
+	m := &Merger{config: c, sources: map[string]*source{}, dirty: map[string]bool{}, published: map[string]*report{}, wasReady: map[string]bool{},
+		flaps: map[string]*flap{}, removedAt: map[string]time.Duration{}}
 	for rank, name := range c.Sources {
-		m.sources[name] = &source{name: name, rank: rank, words: map[string]*word{}, before: map[string]*word{}}
+		m.sources[name] = &source{name: name, rank: rank, reports: map[string]*report{}, earlierNegative: map[string]*report{}}
 	}
 	return m
 }
 
-// take makes a word of what a source says.
-func take(now time.Duration, old *word, d routing.Member) *word {
-	if d.State != balance.Ready && d.StartedAt == 0 {
-		d.StartedAt = now
-		if old != nil && old.State == d.State { // said again
-			d.StartedAt = old.StartedAt
+// newReport builds a report from a member and the previous report of the same source. It fills in the start time of a negative
+// report that has none.
+func newReport(now time.Duration, old *report, member routing.Member) *report {
+	if member.State != balance.Ready && member.StartedAt == 0 {
+		member.StartedAt = now
+		if old != nil && old.State == member.State { // the same report repeated
+			member.StartedAt = old.StartedAt
 		}
 	}
-	if d.State == balance.Gone && old != nil {
-		d.StartedAt = max(d.StartedAt, old.StartedAt)
+	if member.State == balance.Gone && old != nil {
+		member.StartedAt = max(member.StartedAt, old.StartedAt)
 	}
-	return &word{d, now}
+	return &report{member, now}
 }
 
-// Whole takes a source's whole list. It tells whether the list was taken: one of an older revision of the same history is not.
-func (m *Merger) ApplyList(now time.Duration, from string, at Position, list []routing.Member) bool {
-	return m.ApplyListWithRevisions(now, from, at, list, nil)
+// ApplyList applies the full list of a source. It reports whether the list was accepted: an older revision of the same history
+// is rejected.
+func (m *Merger) ApplyList(now time.Duration, from string, pos Position, list []routing.Member) bool {
+	return m.ApplyListWithRevisions(now, from, pos, list, nil)
 }
 
-// WholeWritten is Whole for a source that knows at which revision it was last written what stands in its list, by name.
-func (m *Merger) ApplyListWithRevisions(now time.Duration, from string, at Position, list []routing.Member, written map[string]int64) bool {
+// ApplyListWithRevisions is ApplyList for a source that knows at which revision each entry of its list was last written, by
+// name.
+func (m *Merger) ApplyListWithRevisions(now time.Duration, from string, pos Position, list []routing.Member, revisions map[string]int64) bool {
 	s := m.sources[from]
 	if s == nil {
 		return false
 	}
-	if s.spoken && s.at.History == at.History && at.Revision < s.at.Revision {
-		s.old++
+	if s.reported && s.position.History == pos.History && pos.Revision < s.position.Revision {
+		s.outdated++
 		return false
 	}
-	if s.spoken && s.at.History != at.History {
-		for name, w := range s.words {
-			if w.bad() {
-				s.keepBefore(name, w)
+	if s.reported && s.position.History != pos.History {
+		for name, r := range s.reports {
+			if r.negative() {
+				s.keepNegative(name, r)
 			}
 		}
 	}
-	if !s.spoken || s.at.History != at.History {
-		s.first = at.Revision
+	if !s.reported || s.position.History != pos.History {
+		s.firstRevision = pos.Revision
 	}
-	before := s.named()
-	if s.hold != nil {
-		before = s.hold.before
+	previous := s.countNamed()
+	if s.quarantine != nil {
+		previous = s.quarantine.previousCount
 	}
-	s.at, s.spoken, s.lost, s.heard = at, true, false, now
+	s.position, s.reported, s.lost, s.lastContact = pos, true, false, now
 	listed := make(map[string]bool, len(list))
-	for _, d := range list {
-		if d.State == balance.Gone {
+	for _, member := range list {
+		if member.State == balance.Gone {
 			continue
 		}
-		listed[d.Name] = true
-		if written[d.Name] > s.first { // in this history, since its first list: newer than all that was said before
-			delete(s.before, d.Name)
+		listed[member.Name] = true
+		if revisions[member.Name] > s.firstRevision { // written after the first list of this history: newer than any earlier report
+			delete(s.earlierNegative, member.Name)
 		}
-		s.words[d.Name] = take(now, s.words[d.Name], d)
-		m.dirty[d.Name] = true
+		s.reports[member.Name] = newReport(now, s.reports[member.Name], member)
+		m.dirty[member.Name] = true
 	}
 	missing := map[string]bool{}
-	for name, w := range s.words {
-		if w.State != balance.Gone && !listed[name] {
+	for name, r := range s.reports {
+		if r.State != balance.Gone && !listed[name] {
 			missing[name] = true
 		}
 	}
-	suspicious := m.c.QuarantineFor > 0 && before > 0 && len(missing) > 0 && (len(listed) == 0 || float64(len(listed)) < m.c.QuarantineBelow*float64(before))
+	suspicious := m.config.QuarantineFor > 0 && previous > 0 && len(missing) > 0 && (len(listed) == 0 || float64(len(listed)) < m.config.QuarantineBelow*float64(previous))
 	if !suspicious {
-		s.hold = nil
-		m.leave(now, s, missing)
+		s.quarantine = nil
+		m.markGone(now, s, missing)
 		return true
 	}
-	if s.hold == nil {
-		s.hold = &hold{since: now, until: now + m.c.QuarantineFor, before: before}
+	if s.quarantine == nil {
+		s.quarantine = &quarantine{since: now, until: now + m.config.QuarantineFor, previousCount: previous}
 	}
-	s.hold.missing, s.hold.named = missing, len(listed)
+	s.quarantine.missing, s.quarantine.listedCount = missing, len(listed)
 	return true
 }
 
-// keepBefore keeps the worst bad word of earlier histories.
-func (s *source) keepBefore(name string, w *word) {
-	if old := s.before[name]; old == nil || order(w, old) > 0 {
-		s.before[name] = w
+// keepNegative keeps the most severe negative report of earlier histories.
+func (s *source) keepNegative(name string, r *report) {
+	if old := s.earlierNegative[name]; old == nil || compareReports(r, old) > 0 {
+		s.earlierNegative[name] = r
 	}
 }
 
-// named counts what the source names and has not called gone.
-func (s *source) named() int {
+// countNamed counts the endpoints that the source reports and that are not gone.
+func (s *source) countNamed() int {
 	n := 0
-	for _, w := range s.words {
-		if w.State != balance.Gone {
+	for _, r := range s.reports {
+		if r.State != balance.Gone {
 			n++
 		}
 	}
 	return n
 }
 
-// leave marks what a list leaves out as gone.
-func (m *Merger) leave(now time.Duration, s *source, missing map[string]bool) {
+// markGone marks the endpoints that a list omits as gone.
+func (m *Merger) markGone(now time.Duration, s *source, missing map[string]bool) {
 	for name := range missing {
-		d := s.words[name].Member
-		d.State = balance.Gone
-		s.words[name] = take(now, s.words[name], d)
+		member := s.reports[name].Member
+		member.State = balance.Gone
+		s.reports[name] = newReport(now, s.reports[name], member)
 		m.dirty[name] = true
 	}
 }
 
-// Changed takes what has changed at a source since what it said last. It tells whether that was taken: of another history, or
-// before a whole list, it is not, and the source has to tell its whole list; of an older revision it is not needed.
-func (m *Merger) ApplyChanges(now time.Duration, from string, at Position, changes []routing.Member) bool {
+// ApplyChanges applies what has changed at a source since its previous report. It reports whether the changes were accepted.
+// Changes of another history, or before a full list, are rejected, and the source has to send its full list; those of an older
+// revision are superseded and need no resend.
+func (m *Merger) ApplyChanges(now time.Duration, from string, pos Position, changes []routing.Member) bool {
 	s := m.sources[from]
-	if s == nil || !s.spoken || s.at.History != at.History {
+	if s == nil || !s.reported || s.position.History != pos.History {
 		return false
 	}
-	if at.Revision <= s.at.Revision {
-		s.old++
+	if pos.Revision <= s.position.Revision {
+		s.outdated++
 		return false
 	}
-	if s.lost { // its good words may count again
-		m.all()
+	if s.lost { // its ready reports may be in force again
+		m.markAllDirty()
 	}
-	s.at, s.lost, s.heard = at, false, now
-	for _, d := range changes {
-		s.words[d.Name] = take(now, s.words[d.Name], d)
-		delete(s.before, d.Name) // it was written in this history, since its first list
-		if s.hold != nil {
-			delete(s.hold.missing, d.Name)
+	s.position, s.lost, s.lastContact = pos, false, now
+	for _, member := range changes {
+		s.reports[member.Name] = newReport(now, s.reports[member.Name], member)
+		delete(s.earlierNegative, member.Name) // written in this history, after its first list
+		if s.quarantine != nil {
+			delete(s.quarantine.missing, member.Name)
 		}
-		m.dirty[d.Name] = true
+		m.dirty[member.Name] = true
 	}
-	if s.hold != nil && len(s.hold.missing) == 0 {
-		s.hold = nil
+	if s.quarantine != nil && len(s.quarantine.missing) == 0 {
+		s.quarantine = nil
 	}
 	return true
 }
 
-// Alive notes that a source has been heard and has nothing new.
+// SourceAlive records contact with a source that has nothing new to report.
 func (m *Merger) SourceAlive(now time.Duration, from string) {
 	if s := m.sources[from]; s != nil {
-		s.heard = now
-		if s.lost && s.spoken {
+		s.lastContact = now
+		if s.lost && s.reported {
 			s.lost = false
-			m.all()
+			m.markAllDirty()
 		}
 	}
 }
 
-// Lost notes that a source is not heard any more.
+// SourceLost records that a source is unreachable.
 func (m *Merger) SourceLost(now time.Duration, from string) {
 	if s := m.sources[from]; s != nil && !s.lost {
 		s.lost, s.lostAt = true, now
 	}
 }
 
-// all marks every name as to be looked at.
-func (m *Merger) all() {
+// markAllDirty has the next Merge evaluate every name.
+func (m *Merger) markAllDirty() {
 	for _, s := range m.sources {
-		for name := range s.words {
+		for name := range s.reports {
 			m.dirty[name] = true
 		}
 	}
 }
 
-// Known tells whether every source has been heard, or been lost, since the start: what is merged before may lack a bad word.
+// Initialized reports whether at least one source has reported, and every other one has reported or been lost, since the
+// start. Until then the merged list may lack a negative report.
 func (m *Merger) Initialized() bool {
-	m.known = m.known || m.heardAll()
-	return m.known
+	m.initialized = m.initialized || m.allReported()
+	return m.initialized
 }
 
-func (m *Merger) heardAll() bool {
+func (m *Merger) allReported() bool {
 	any := false
 	for _, s := range m.sources {
-		if !s.spoken && !s.lost {
+		if !s.reported && !s.lost {
 			return false
 		}
-		any = any || s.spoken
+		any = any || s.reported
 	}
 	return any
 }
 
-// worse ranks states.
-var worse = map[balance.State]int{balance.Ready: 0, balance.Draining: 1, balance.Gone: 2}
+// severity ranks states.
+var severity = map[balance.State]int{balance.Ready: 0, balance.Draining: 1, balance.Gone: 2}
 
-// order compares words: about the newer start, then the worse.
-func order(a, b *word) int {
-	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(worse[a.State], worse[b.State]))
+// compareReports orders reports by start time, then by severity.
+func compareReports(a, b *report) int {
+	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(severity[a.State], severity[b.State]))
 }
 
-// void tells whether a source's good words count no longer.
-func (m *Merger) void(now time.Duration, s *source) bool {
-	if !s.lost || m.c.StaleAfter == 0 || now-s.lostAt < m.c.StaleAfter {
+// readyReportsExpired reports whether the ready reports of a source are no longer in force.
+func (m *Merger) readyReportsExpired(now time.Duration, s *source) bool {
+	if !s.lost || m.config.StaleAfter == 0 || now-s.lostAt < m.config.StaleAfter {
 		return false
 	}
-	for _, o := range m.sources {
-		if o != s && o.spoken && !o.lost {
+	for _, other := range m.sources {
+		if other != s && other.reported && !other.lost {
 			return true
 		}
 	}
 	return false
 }
 
-// verdict is the word that counts for a name, nil if nobody has one.
-func (m *Merger) verdict(now time.Duration, name string) *word {
-	var best *word
-	take := func(w *word) {
-		if best == nil || order(w, best) > 0 {
-			best = w
+// effectiveReport returns the report that determines the state of a name, nil if there is none.
+func (m *Merger) effectiveReport(now time.Duration, name string) *report {
+	var best *report
+	consider := func(r *report) {
+		if best == nil || compareReports(r, best) > 0 {
+			best = r
 		}
 	}
-	for _, from := range m.c.Sources { // by precedence: the first of equals stays
+	for _, from := range m.config.Sources { // in order of precedence: the first of equals is kept
 		s := m.sources[from]
-		if w := s.words[name]; w != nil && (w.bad() || !m.void(now, s)) {
-			take(w)
+		if r := s.reports[name]; r != nil && (r.negative() || !m.readyReportsExpired(now, s)) {
+			consider(r)
 		}
-		if w := s.before[name]; w != nil {
-			take(w)
+		if r := s.earlierNegative[name]; r != nil {
+			consider(r)
 		}
 	}
 	return best
 }
 
-// Merge gives what has changed since it was last asked, by name; what is gone is told with that state. Times that are due pass.
+// Merge applies the timeouts that are due and returns what has changed since the previous call, sorted by name. Endpoints that
+// have been removed are returned with the state Gone.
 func (m *Merger) Merge(now time.Duration) []routing.Member {
-	m.pass(now)
+	m.applyDue(now)
 	var out []routing.Member
 	for name := range m.dirty {
-		w, old := m.verdict(now, name), m.shown[name]
-		if w != nil && w.State == balance.Ready {
-			w = m.damped(now, name, old, w)
+		r, old := m.effectiveReport(now, name), m.published[name]
+		if r != nil && r.State == balance.Ready {
+			r = m.dampFlap(now, name, old, r)
 		}
-		if w == nil || w.State == balance.Gone {
+		if r == nil || r.State == balance.Gone {
 			if old != nil {
-				d := old.Member
-				d.State = balance.Gone
-				if w != nil {
-					d.StartedAt = w.StartedAt
+				member := old.Member
+				member.State = balance.Gone
+				if r != nil {
+					member.StartedAt = r.StartedAt
 				}
-				out = append(out, d)
-				delete(m.shown, name)
+				out = append(out, member)
+				delete(m.published, name)
 			}
-			if _, noted := m.gone[name]; !noted || old != nil {
-				m.gone[name] = now
+			if _, noted := m.removedAt[name]; !noted || old != nil {
+				m.removedAt[name] = now
 			}
 			continue
 		}
-		if old == nil || old.Member != w.Member {
-			out = append(out, w.Member)
+		if old == nil || old.Member != r.Member {
+			out = append(out, r.Member)
 		}
-		m.shown[name] = w
-		m.was[name] = m.was[name] || w.State == balance.Ready
+		m.published[name] = r
+		m.wasReady[name] = m.wasReady[name] || r.State == balance.Ready
 	}
 	clear(m.dirty)
 	slices.SortFunc(out, func(a, b routing.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// damped is a good word, or what stands in its place while the destination is held back.
-func (m *Merger) damped(now time.Duration, name string, old, w *word) *word {
-	if m.c.FlapThreshold == 0 || !m.was[name] || old != nil && old.State == balance.Ready {
-		return w
+// dampFlap returns a ready report, or while the endpoint is suppressed the published report in its place.
+func (m *Merger) dampFlap(now time.Duration, name string, old, r *report) *report {
+	if m.config.FlapThreshold == 0 || !m.wasReady[name] || old != nil && old.State == balance.Ready {
+		return r
 	}
 	f := m.flaps[name]
 	if f == nil {
@@ -379,98 +389,98 @@
 		m.flaps[name] = f
 	}
 	switch {
-	case f.until > now: // still held back
+	case f.suppressedUntil > now:
 		return old
-	case f.served:
-		f.served = false
-		return w
+	case f.released:
+		f.released = false
+		return r
 	}
-	f.returns = slices.DeleteFunc(append(f.returns, now), func(t time.Duration) bool { return now-t > m.c.FlapWindow })
-	if more := len(f.returns) - m.c.FlapThreshold; more >= 0 {
-		f.until = now + min(m.c.FlapSuppression<<min(more, 16), m.c.FlapWindow)
+	f.returns = slices.DeleteFunc(append(f.returns, now), func(t time.Duration) bool { return now-t > m.config.FlapWindow })
+	if excess := len(f.returns) - m.config.FlapThreshold; excess >= 0 {
+		f.suppressedUntil = now + min(m.config.FlapSuppression<<min(excess, 16), m.config.FlapWindow)
 		return old
 	}
-	return w
+	return r
 }
 
-// pass lets times that are due take effect.
-func (m *Merger) pass(now time.Duration) {
+// applyDue applies the timeouts that are due.
+func (m *Merger) applyDue(now time.Duration) {
 	for _, s := range m.sources {
-		if s.hold != nil && s.hold.until <= now {
-			m.leave(now, s, s.hold.missing)
-			s.hold = nil
+		if s.quarantine != nil && s.quarantine.until <= now {
+			m.markGone(now, s, s.quarantine.missing)
+			s.quarantine = nil
 		}
-		if m.c.StaleAfter > 0 && s.lost && now-s.lostAt >= m.c.StaleAfter {
-			for name, w := range s.words {
-				if !w.bad() {
+		if m.config.StaleAfter > 0 && s.lost && now-s.lostAt >= m.config.StaleAfter {
+			for name, r := range s.reports {
+				if !r.negative() {
 					m.dirty[name] = true
 				}
 			}
 		}
 	}
 	for name, f := range m.flaps {
-		if f.until > 0 && f.until <= now {
-			f.until, f.served = 0, true
+		if f.suppressedUntil > 0 && f.suppressedUntil <= now {
+			f.suppressedUntil, f.released = 0, true
 			m.dirty[name] = true
 		}
-		if f.until == 0 && now-f.returns[len(f.returns)-1] > m.c.FlapWindow {
+		if f.suppressedUntil == 0 && now-f.returns[len(f.returns)-1] > m.config.FlapWindow {
 			delete(m.flaps, name)
 		}
 	}
-	for name, at := range m.gone {
-		if m.shown[name] != nil {
-			delete(m.gone, name)
-		} else if now-at > m.c.Retention && m.forget(name) {
-			delete(m.gone, name)
+	for name, removed := range m.removedAt {
+		if m.published[name] != nil {
+			delete(m.removedAt, name)
+		} else if now-removed > m.config.Retention && m.forget(name) {
+			delete(m.removedAt, name)
 		}
 	}
 }
 
-// forget drops a name of which nobody says anything but that it is gone.
+// forget drops a name that every source either reports as gone or does not report. It reports whether it did.
 func (m *Merger) forget(name string) bool {
 	for _, s := range m.sources {
-		if w := s.words[name]; w != nil && w.State != balance.Gone {
+		if r := s.reports[name]; r != nil && r.State != balance.Gone {
 			return false
 		}
 	}
 	for _, s := range m.sources {
-		delete(s.words, name)
-		delete(s.before, name)
+		delete(s.reports, name)
+		delete(s.earlierNegative, name)
 	}
-	delete(m.was, name)
+	delete(m.wasReady, name)
 	delete(m.flaps, name)
 	return true
 }
 
-// Next is when Merge has something to let pass, and whether there is such a time.
+// NextDue returns when the next timeout is due for Merge to apply, and whether there is one.
 func (m *Merger) NextDue(now time.Duration) (time.Duration, bool) {
 	next := time.Duration(0)
-	sooner := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if next == 0 || t < next {
 			next = t
 		}
 	}
 	for _, s := range m.sources {
-		if s.hold != nil {
-			sooner(s.hold.until)
+		if s.quarantine != nil {
+			consider(s.quarantine.until)
 		}
-		if at := s.lostAt + m.c.StaleAfter; s.lost && m.c.StaleAfter > 0 && at > now {
-			sooner(at)
+		if expiry := s.lostAt + m.config.StaleAfter; s.lost && m.config.StaleAfter > 0 && expiry > now {
+			consider(expiry)
 		}
 	}
 	for _, f := range m.flaps {
-		if f.until > 0 {
-			sooner(f.until)
+		if f.suppressedUntil > 0 {
+			consider(f.suppressedUntil)
 		}
 	}
 	return next, next > 0
 }
 
-// List is what Merge has told in all, by name.
+// List returns the merged list as of the last Merge, sorted by name.
 func (m *Merger) List() []routing.Member {
-	out := make([]routing.Member, 0, len(m.shown))
-	for _, w := range m.shown {
-		out = append(out, w.Member)
+	out := make([]routing.Member, 0, len(m.published))
+	for _, r := range m.published {
+		out = append(out, r.Member)
 	}
 	slices.SortFunc(out, func(a, b routing.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return out
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,78 +10,78 @@
 	"kitewood/balance"
 )
 
-// EntryView is a destination with what each source says of it.
+// EntryView is an endpoint with the report of each source about it.
 type EntryView struct {
 	Name           string       `json:"name"`
 	Address        string       `json:"address"`
-	State          string       `json:"state"` // that counts
+	State          string       `json:"state"` // the merged state
 	Reports        []ReportView `json:"words"`
-	OverrideReason string       `json:"held,omitempty"` // why the state is not what the words say
+	OverrideReason string       `json:"held,omitempty"` // why the state differs from the reports
 }
 
-// WordView is what one source says.
+// ReportView is the report of one source about an endpoint.
 type ReportView struct {
 	Source             string `json:"source"`
 	State              string `json:"state"`
-	AgeMS              int64  `json:"age_ms"`            // since it was said
-	SinceMS            int64  `json:"since_ms"`          // the start that it is about, Unix time; 0 for long ago
-	FromEarlierHistory bool   `json:"earlier,omitempty"` // of an earlier history of the source
+	AgeMS              int64  `json:"age_ms"`            // since the report was received
+	StartedAtMS        int64  `json:"since_ms"`          // the endpoint's start that the report is about, Unix time; 0 for long ago
+	FromEarlierHistory bool   `json:"earlier,omitempty"` // from an earlier history of the source
 	Stale              bool   `json:"stale,omitempty"`   // the source is lost
 }
 
-// SourceView is how a source stands.
+// SourceView is the status of a source.
 type SourceView struct {
 	Source     string `json:"source"`
-	Named      int    `json:"named"`
+	Named      int    `json:"named"` // endpoints reported that are not gone
 	History    string `json:"history"`
 	Revision   int64  `json:"revision"`
-	SilentMS   int64  `json:"silent_ms"` // since it was heard
+	SilentMS   int64  `json:"silent_ms"` // since the last contact
 	Lost       bool   `json:"lost,omitempty"`
-	TooOld     int    `json:"too_old,omitempty"` // lists and changes of an older revision that were not taken
-	Suspicious string `json:"suspicious,omitempty"`
+	Outdated   int    `json:"too_old,omitempty"`    // lists and changes rejected for their older revision
+	Suspicious string `json:"suspicious,omitempty"` // describes a quarantined list
 }
 
-var words = map[balance.State]string{balance.Ready: "ready", balance.Draining: "draining", balance.Gone: "gone"}
+var stateNames = map[balance.State]string{balance.Ready: "ready", balance.Draining: "draining", balance.Gone: "gone"}
 
-// View tells what is known at a time: every name that is listed or of which a bad word is kept, and every source.
+// View returns the state at a time: every name that is listed or has a retained negative report, and every source.
 func (m *Merger) View(now time.Duration) (entries []EntryView, sources []SourceView) {
 	names := map[string]bool{}
-	for _, from := range m.c.Sources {
+	for _, from := range m.config.Sources {
 		s := m.sources[from]
-		v := SourceView{Source: from, Named: s.named(), History: s.at.History, Revision: s.at.Revision, Lost: s.lost, TooOld: s.old}
-		if s.spoken {
-			v.SilentMS = (now - s.heard).Milliseconds()
+		v := SourceView{Source: from, Named: s.countNamed(), History: s.position.History, Revision: s.position.Revision, Lost: s.lost, Outdated: s.outdated}
+		if s.reported {
+			v.SilentMS = (now - s.lastContact).Milliseconds()
 		}
-		if h := s.hold; h != nil {
-			v.Suspicious = fmt.Sprintf("its list names %d of the %d before; %d stay for %.1f s more", h.named, h.before, len(h.missing), (h.until - now).Seconds())
+		if q := s.quarantine; q != nil {
+			v.Suspicious = fmt.Sprintf("its list names %d of the %d before; %d stay for %.1f s more", q.listedCount, q.previousCount, len(q.missing), (q.until - now).Seconds())
 		}
 		sources = append(sources, v)
-		for name := range s.words {
+		for name := range s.reports {
 			names[name] = true
 		}
-		for name := range s.before {
+		for name := range s.earlierNegative {
 			names[name] = true
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		e := EntryView{Name: name, State: words[balance.Gone]}
-		if w := m.shown[name]; w != nil {
-			e.State, e.Address = words[w.State], w.Address
+		e := EntryView{Name: name, State: stateNames[balance.Gone]}
+		if r := m.published[name]; r != nil {
+			e.State, e.Address = stateNames[r.State], r.Address
 		}
-		if f := m.flaps[name]; f != nil && f.until > now {
-			e.OverrideReason = fmt.Sprintf("it returned %d times; held back for %.1f s more", len(f.returns), (f.until - now).Seconds())
+		if f := m.flaps[name]; f != nil && f.suppressedUntil > now {
+			e.OverrideReason = fmt.Sprintf("it returned %d times; held back for %.1f s more", len(f.returns), (f.suppressedUntil - now).Seconds())
 		}
-		for _, from := range m.c.Sources {
+		for _, from := range m.config.Sources {
 			s := m.sources[from]
-			say := func(w *word, earlier bool) {
-				if w != nil {
-					e.Address = cmp.Or(e.Address, w.Address)
-					e.Reports = append(e.Reports, ReportView{from, words[w.State], (now - w.came).Milliseconds(), w.StartedAt.Milliseconds(), earlier, s.lost})
+			add := func(r *report, earlier bool) {
+				if r != nil {
+					e.Address = cmp.Or(e.Address, r.Address)
+					e.Reports = append(e.Reports, ReportView{from, stateNames[r.State], (now - r.receivedAt).Milliseconds(), r.StartedAt.Milliseconds(), earlier, s.lost})
 				}
 			}
-			say(s.words[name], false)
-			say(s.before[name], true)
-			if s.hold != nil && s.hold.missing[name] {
+			add(s.reports[name], false)
+			add(s.earlierNegative[name], true)
+			if s.quarantine != nil && s.quarantine.missing[name] {
 				e.OverrideReason = cmp.Or(e.OverrideReason, from+" leaves it out of a list that is not believed yet")
 			}
 		}
