--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,4 +1,4 @@
-// Package filewatch tells of changes of files, also of those that are replaced whole, without polling.
+// Package filewatch reports changes of files, including files that are replaced by a rename, without polling.
 package filewatch
 
 import (
@@ -12,120 +12,124 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Replace writes a file whole, so that who watches or reads it never meets a part.
+// Replace replaces a file atomically, so that no reader sees a partly written file.
 func Replace(path string, text []byte) error {
-	next := path + ".new"
-	if err := os.WriteFile(next, text, 0o644); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, text, 0o644); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
 
-// Watcher watches files. One serves a whole process, as the system counts watchers.
+// Watcher watches files. A process needs only one; the operating system limits their number.
 type Watcher struct {
-	log   *slog.Logger
-	watch *fsnotify.Watcher
+	log      *slog.Logger
+	notifier *fsnotify.Watcher
 
-	mu     sync.Mutex
-	tell   map[string]map[*watched]bool // by file
-	folder map[string]int               // files watched in it
+	mu            sync.Mutex
+	subscriptions map[string]map[*subscription]bool // by file
+	dirRefs       map[string]int                    // number of watches on files in a directory
 }
 
-type watched struct{ changed func() }
+// subscription is one call of Watch.
+type subscription struct{ onChange func() }
 
-// New starts a Watcher that ends with the context.
+// New starts a Watcher that stops when the context ends.
 func New(ctx context.Context, log *slog.Logger) (*Watcher, error) {
-	watch, err := fsnotify.NewWatcher()
+	notifier, err := fsnotify.NewWatcher()
 	if err != nil {
 		return nil, err
 	}
-	w := &Watcher{log: log, watch: watch, tell: map[string]map[*watched]bool{}, folder: map[string]int{}}
-	context.AfterFunc(ctx, func() { watch.Close() })
+	w := &Watcher{log: log, notifier: notifier, subscriptions: map[string]map[*subscription]bool{}, dirRefs: map[string]int{}}
+	context.AfterFunc(ctx, func() { notifier.Close() })
 	go w.run()
 	return w, nil
 }
 
-// run ends when the watch is closed.
+// run dispatches events until the notifier is closed.
 func (w *Watcher) run() {
 	for {
 		select {
-		case e, open := <-w.watch.Events:
+		case event, open := <-w.notifier.Events:
 			if !open {
 				return
 			}
-			w.changed(filepath.Clean(e.Name))
-		case err, open := <-w.watch.Errors:
+			w.notify(filepath.Clean(event.Name))
+		case err, open := <-w.notifier.Errors:
 			if !open {
 				return
 			}
-			// Events may have been lost: every file counts as changed.
-			w.log.Error("the watch of files", "error", err)
+			// Events may have been lost, so every file is treated as changed.
+			w.log.Error("file watch failed, treating every file as changed", "error", err)
 			w.mu.Lock()
-			var all []string
-			for path := range w.tell {
-				all = append(all, path)
+			var paths []string
+			for path := range w.subscriptions {
+				paths = append(paths, path)
 			}
 			w.mu.Unlock()
-			for _, path := range all {
-				w.changed(path)
+			for _, path := range paths {
+				w.notify(path)
 			}
 		}
 	}
 }
 
-func (w *Watcher) changed(path string) {
+// notify calls the subscribers of a file.
+func (w *Watcher) notify(path string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for x := range w.tell[path] {
-		go x.changed() // one that is slow must not keep the others back
+	for sub := range w.subscriptions[path] {
+		go sub.onChange() // a slow callback must not delay the others
 	}
 }
 
-// Watch calls a function, on a goroutine of its own, after each change of a file until the context ends. first is called
-// before Watch returns, when the watch already stands, so that no change is missed between; its error is Watch's.
-func (w *Watcher) Watch(ctx context.Context, path string, first func() error, changed func()) error {
+// Watch calls onChange, on a goroutine of its own, after each change of a file until the context ends. It calls initial once
+// before it returns, with the watch already in place, so that no change in between is missed; an error of initial ends the watch
+// and is returned.
+func (w *Watcher) Watch(ctx context.Context, path string, initial func() error, onChange func()) error {
 	path = filepath.Clean(path)
-	folder := filepath.Dir(path)
+	dir := filepath.Dir(path)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The folder is watched, not the file: editors and deployments replace files whole.
-	if w.folder[folder] == 0 {
-		if err := w.watch.Add(folder); err != nil {
-			return fmt.Errorf("%s: %w", folder, err)
+	// The directory is watched, not the file, as editors and deployments replace files by a rename.
+	if w.dirRefs[dir] == 0 {
+		if err := w.notifier.Add(dir); err != nil {
+			return fmt.Errorf("watch directory %s: %w", dir, err)
 		}
 	}
-	if err := first(); err != nil {
-		if w.folder[folder] == 0 {
-			w.watch.Remove(folder)
+	if err := initial(); err != nil {
+		if w.dirRefs[dir] == 0 {
+			w.notifier.Remove(dir)
 		}
 		return err
 	}
-	w.folder[folder]++
-	if w.tell[path] == nil {
-		w.tell[path] = map[*watched]bool{}
+	w.dirRefs[dir]++
+	if w.subscriptions[path] == nil {
+		w.subscriptions[path] = map[*subscription]bool{}
 	}
-	x := &watched{changed}
-	w.tell[path][x] = true
-	context.AfterFunc(ctx, func() { w.end(path, folder, x) })
+	sub := &subscription{onChange}
+	w.subscriptions[path][sub] = true
+	context.AfterFunc(ctx, func() { w.unsubscribe(path, dir, sub) })
 	return nil
 }
 
-func (w *Watcher) end(path, folder string, x *watched) {
+// unsubscribe removes a subscription, and the watch of its directory with the last one there.
+func (w *Watcher) unsubscribe(path, dir string, sub *subscription) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.tell[path], x)
-	if len(w.tell[path]) == 0 {
-		delete(w.tell, path)
+	delete(w.subscriptions[path], sub)
+	if len(w.subscriptions[path]) == 0 {
+		delete(w.subscriptions, path)
 	}
-	if w.folder[folder]--; w.folder[folder] == 0 {
-		delete(w.folder, folder)
-		w.watch.Remove(folder)
+	if w.dirRefs[dir]--; w.dirRefs[dir] == 0 {
+		delete(w.dirRefs, dir)
+		w.notifier.Remove(dir)
 	}
 }
 
-// Watched tells how many files are watched.
-func (w *Watcher) Watched() int {
+// WatchedFiles returns the number of files that are watched.
+func (w *Watcher) WatchedFiles() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.tell)
+	return len(w.subscriptions)
 }
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -1,4 +1,4 @@
-// Package listfile is a pool's list of destinations in a file that is watched.
+// Package listfile reads a pool's endpoint list from a file and watches the file for changes.
 package listfile
 
 import (
@@ -19,106 +19,107 @@
 	"kitewood/internal/yamlfile"
 )
 
-// list is the form of the file.
-type list struct {
-	Destinations []Endpoint `yaml:"destinations"`
+// fileFormat is the format of the file.
+type fileFormat struct {
+	Endpoints []Endpoint `yaml:"destinations"`
 }
 
-// Destination is an entry. What is left out of the list is gone.
+// Endpoint is an entry of the list. An endpoint that is removed from the list is gone.
 type Endpoint struct {
 	Name    string  `yaml:"name"`
 	Address string  `yaml:"address"`
-	State   string  `yaml:"state,omitempty"`   // ready or draining, ready if left out
-	Zone    string  `yaml:"zone,omitempty"`    // of the pool's zones
-	Kind    string  `yaml:"kind,omitempty"`    // of the pool's kinds
-	Group   int     `yaml:"group,omitempty"`   // destinations that drop each other's repeats
-	Weight  float64 `yaml:"weight,omitempty"`  // its size against others', 1 if left out
-	Started string  `yaml:"started,omitempty"` // RFC 3339; long ago if left out
+	State   string  `yaml:"state,omitempty"`   // ready or draining; defaults to ready
+	Zone    string  `yaml:"zone,omitempty"`    // one of the pool's zones
+	Kind    string  `yaml:"kind,omitempty"`    // one of the pool's kinds
+	Group   int     `yaml:"group,omitempty"`   // endpoints of one group deduplicate retries among them
+	Weight  float64 `yaml:"weight,omitempty"`  // capacity relative to other endpoints; defaults to 1
+	Started string  `yaml:"started,omitempty"` // RFC 3339; defaults to long ago
 }
 
-// Write replaces the file of a path by a list, whole.
-func Write(path string, all []Endpoint) error {
-	text, err := yaml.Marshal(list{all})
+// Write atomically replaces the list file at path.
+func Write(path string, endpoints []Endpoint) error {
+	text, err := yaml.Marshal(fileFormat{endpoints})
 	if err != nil {
 		return err
 	}
 	return filewatch.Replace(path, text)
 }
 
-var states = map[string]balance.State{"": balance.Ready, "ready": balance.Ready, "draining": balance.Draining}
+var statesByName = map[string]balance.State{"": balance.Ready, "ready": balance.Ready, "draining": balance.Draining}
 
-// Read reads a list. Its errors are yamlfile.Problems.
+// Read parses a list. Its errors are yamlfile.Problems.
 func Read(path string, text []byte) ([]routing.Member, error) {
-	var l list
-	f, err := yamlfile.Read(path, text, &l)
+	var list fileFormat
+	f, err := yamlfile.Read(path, text, &list)
 	if err != nil {
 		return nil, err
 	}
-	wrong := f.NewProblemList()
+	problems := f.NewProblemList()
 	var out []routing.Member
 	seen := map[string]bool{}
-	for i, d := range l.Destinations {
-		at := fmt.Sprintf("destinations[%d].", i)
-		m := routing.Member{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Cell: d.Group, Weight: d.Weight}
-		if d.Name == "" || seen[d.Name] {
-			wrong.Add(at+"name", "a destination has a name of its own, not %q", d.Name)
+	for i, e := range list.Endpoints {
+		prefix := fmt.Sprintf("destinations[%d].", i)
+		m := routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Group, Weight: e.Weight}
+		if e.Name == "" || seen[e.Name] {
+			problems.Add(prefix+"name", "must be non-empty and unique, not %q", e.Name)
 		}
-		seen[d.Name] = true
-		if _, err := netip.ParseAddrPort(d.Address); err != nil {
-			wrong.Add(at+"address", "an IP and a port are wanted, not %q", d.Address)
+		seen[e.Name] = true
+		if _, err := netip.ParseAddrPort(e.Address); err != nil {
+			problems.Add(prefix+"address", "must be an IP address and a port, not %q", e.Address)
 		}
 		known := false
-		if m.State, known = states[d.State]; !known {
-			wrong.Add(at+"state", "ready or draining, not %q", d.State)
+		if m.State, known = statesByName[e.State]; !known {
+			problems.Add(prefix+"state", "must be ready or draining, not %q", e.State)
 		}
 		if m.Weight == 0 {
 			m.Weight = 1
 		}
 		if !(m.Weight > 0) {
-			wrong.Add(at+"weight", "must be above 0, not %g", d.Weight)
+			problems.Add(prefix+"weight", "must be above 0, not %g", e.Weight)
 		}
-		if d.Started != "" {
-			t, err := time.Parse(time.RFC3339, d.Started)
+		if e.Started != "" {
+			t, err := time.Parse(time.RFC3339, e.Started)
 			if err != nil {
-				wrong.Add(at+"started", "a time like 2026-12-01T10:00:00Z is wanted, not %q", d.Started)
+				problems.Add(prefix+"started", "must be a time like 2026-12-01T10:00:00Z, not %q", e.Started)
 			}
 			m.StartedAt = time.Duration(t.UnixNano())
 		}
 		out = append(out, m)
 	}
-	return out, wrong.Err()
+	return out, problems.Err()
 }
 
-// Source feeds a Loop from a file. It implements routing.Directory.
+// Source delivers the endpoint list of a file to a routing.EndpointListReceiver. It implements routing.Discovery.
 type Source struct {
-	path string
-	loop routing.EndpointListReceiver
-	log  *slog.Logger
+	path     string
+	receiver routing.EndpointListReceiver
+	log      *slog.Logger
 
-	mu      sync.Mutex
-	version int64
-	last    string
+	mu       sync.Mutex
+	version  int64
+	lastText string
 }
 
 var _ routing.Discovery = (*Source)(nil)
 
-// Open reads a list file and watches it until the context ends. The Loop has the list before Open returns; a file that
-// cannot be read is an error. Later a bad file is logged, and the last good list stays.
-func Open(ctx context.Context, w *filewatch.Watcher, path string, loop routing.EndpointListReceiver, log *slog.Logger) (*Source, error) {
-	s := &Source{path: filepath.Clean(path), loop: loop, log: log}
-	return s, w.Watch(ctx, s.path, s.load, s.read)
+// Open reads a list file and watches it until the context ends. The receiver has the list before Open returns; a file that
+// cannot be read is an error. When the file becomes invalid later, that is logged and the last valid list stays in force.
+func Open(ctx context.Context, w *filewatch.Watcher, path string, receiver routing.EndpointListReceiver, log *slog.Logger) (*Source, error) {
+	s := &Source{path: filepath.Clean(path), receiver: receiver, log: log}
+	return s, w.Watch(ctx, s.path, s.load, s.reload)
 }
 
-// Follow has nothing to do: what changes is told by itself. It implements routing.Directory.
+// Watch does nothing, as changes are delivered without a request. It implements routing.Discovery.
 func (s *Source) Watch(int64) {}
 
-// read takes the file's list if it has changed and is good.
-func (s *Source) read() {
+// reload loads the file and logs why it could not.
+func (s *Source) reload() {
 	if err := s.load(); err != nil {
-		s.log.Error("the list of destinations is not taken, the old one stays", "error", yamlfile.OneLine(err))
+		s.log.Error("endpoint list rejected, the old one stays", "error", yamlfile.OneLine(err))
 	}
 }
 
+// load delivers the list of the file if the file has changed and is valid.
 func (s *Source) load() error {
 	text, err := os.ReadFile(s.path)
 	if err != nil {
@@ -126,16 +127,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.version > 0 && string(text) == s.last {
+	if s.version > 0 && string(text) == s.lastText {
 		return nil
 	}
 	members, err := Read(s.path, text)
 	if err != nil {
 		return err
 	}
-	s.last = string(text)
+	s.lastText = string(text)
 	s.version++
-	s.loop.UpdateEndpoints(balance.Full, s.version, members)
-	s.log.Info("list of destinations read", "file", s.path, "destinations", len(members))
+	s.receiver.UpdateEndpoints(balance.Full, s.version, members)
+	s.log.Info("endpoint list read", "file", s.path, "destinations", len(members))
 	return nil
 }
