--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Request is what a Table looks at.
+// Request holds the parts of a request that rules match on.
 type Request struct {
-	Target string               // of the request line, in origin or absolute form
-	Header textproto.MIMEHeader // with Host
-	Class  string               // that it states, "" for none
+	Target string               // request target, in origin or absolute form
+	Header textproto.MIMEHeader // including Host
+	Class  string               // class that the request states, "" if none
 }
 
-// Error is why a request has no pool, with the status that its client is told.
+// Error says why no pool was found for a request, with the status code of the reply.
 type Error struct {
 	Status int
 	Reason string
@@ -20,68 +20,68 @@
 
 func (e *Error) Error() string { return e.Reason }
 
-// What may be wrong with a request. They are values of their own so that a flood of bad requests allocates nothing.
+// The errors of Match. They are preallocated so that a flood of bad requests allocates nothing.
 var (
-	ErrNoRoute = &Error{404, "no route fits"}
-	ErrHosts   = &Error{400, "a request names one Host"}
-	ErrHost    = &Error{400, "malformed Host"}
-	ErrSpoof   = &Error{400, "the target and Host name different hosts"}
-	ErrTarget  = &Error{400, "malformed target"}
-	ErrEscape  = &Error{400, "malformed escape in the path"}
-	ErrDots    = &Error{400, "dot segments in the path"}
-	ErrEmpty   = &Error{400, "empty segments in the path"}
-	ErrSlash   = &Error{400, "an escaped slash, backslash or zero in the path"}
+	ErrNoRoute          = &Error{404, "no route fits"}
+	ErrHostCount        = &Error{400, "a request names one Host"}
+	ErrMalformedHost    = &Error{400, "malformed Host"}
+	ErrHostMismatch     = &Error{400, "the target and Host name different hosts"}
+	ErrMalformedTarget  = &Error{400, "malformed target"}
+	ErrMalformedEscape  = &Error{400, "malformed escape in the path"}
+	ErrDotSegments      = &Error{400, "dot segments in the path"}
+	ErrEmptySegments    = &Error{400, "empty segments in the path"}
+	ErrEscapedSeparator = &Error{400, "an escaped slash, backslash or zero in the path"}
 )
 
-// Match finds the target of the rule that holds. What it refuses must reach no destination: another reader of the same
-// text could see another host or path in it.
+// Match returns the target of the rule that applies. A request that it rejects must not be forwarded to any endpoint: another
+// parser could read a different host or path from the same text.
 func (t *Table) Match(q Request) (int, *Error) {
-	host, path, bad := split(q)
-	if bad != nil {
-		return 0, bad
+	host, path, err := splitTarget(q)
+	if err != nil {
+		return 0, err
 	}
-	var hostBuf [maxHost]byte
-	name, port, ok := fold(host, &hostBuf)
+	var hostBuf [maxHostLength]byte
+	name, port, ok := parseHost(host, &hostBuf)
 	if !ok {
-		return 0, ErrHost
+		return 0, ErrMalformedHost
 	}
 	var pathBuf [256]byte
-	plain, bad := clean(path, pathBuf[:0])
-	if bad != nil {
-		return 0, bad
+	normalized, err := normalizePath(path, pathBuf[:0])
+	if err != nil {
+		return 0, err
 	}
-	if e := t.find(name, port, plain, &q); e != nil {
+	if e := t.find(name, port, normalized, &q); e != nil {
 		return e.Target, nil
 	}
 	return 0, ErrNoRoute
 }
 
-// split takes a request's target apart into host and path.
-func split(q Request) (host, path string, bad *Error) {
+// splitTarget returns the host and the path of a request, without the query.
+func splitTarget(q Request) (host, path string, err *Error) {
 	hosts := q.Header["Host"]
 	if len(hosts) != 1 {
-		return "", "", ErrHosts
+		return "", "", ErrHostCount
 	}
 	host, path = hosts[0], q.Target
 	if !strings.HasPrefix(path, "/") {
 		rest, ok := cutScheme(path)
 		if !ok {
-			return "", "", ErrTarget // asterisk and authority forms ask for no path
+			return "", "", ErrMalformedTarget // asterisk and authority form have no path
 		}
 		end := strings.IndexAny(rest, "/?#")
 		if end < 0 {
 			end = len(rest)
 		}
-		named := rest[:end]
-		if strings.IndexByte(named, '@') >= 0 {
-			return "", "", ErrTarget
+		authority := rest[:end]
+		if strings.IndexByte(authority, '@') >= 0 {
+			return "", "", ErrMalformedTarget
 		}
-		// RFC 9112, 3.2.2 has the target go before Host; where they differ, somebody on the way may go by the other.
-		if !strings.EqualFold(named, host) {
-			return "", "", ErrSpoof
+		// By RFC 9112, 3.2.2 the target takes precedence over Host. Where they differ, an intermediary may use the other one.
+		if !strings.EqualFold(authority, host) {
+			return "", "", ErrHostMismatch
 		}
 		if path = rest[end:]; path == "" || path[0] != '/' {
-			return "", "", ErrTarget
+			return "", "", ErrMalformedTarget
 		}
 	}
 	if cut := strings.IndexByte(path, '?'); cut >= 0 {
@@ -90,6 +90,7 @@
 	return host, path, nil
 }
 
+// cutScheme removes the scheme of an absolute-form target. It reports whether there was one.
 func cutScheme(s string) (string, bool) {
 	for _, scheme := range [...]string{"http://", "https://"} {
 		if len(s) >= len(scheme) && strings.EqualFold(s[:len(scheme)], scheme) {
@@ -99,16 +100,16 @@
 	return "", false
 }
 
-// find goes through the hosts that fit, the most specific first.
-func (t *Table) find(name []byte, port string, path []byte, q *Request) *entry {
-	var key [maxHost + 6]byte
+// find tries the hosts that match, the most specific first.
+func (t *Table) find(name []byte, port string, path []byte, q *Request) *compiledRule {
+	var key [maxHostLength + 6]byte
 	withPort := func(name []byte) []byte {
 		n := copy(key[:], name)
 		key[n] = ':'
 		return key[:n+1+copy(key[n+1:], port)]
 	}
-	ported := t.ports && port != ""
-	if ported {
+	tryPort := t.hasPorts && port != ""
+	if tryPort {
 		if e := t.hosts[string(withPort(name))].find(path, q); e != nil {
 			return e
 		}
@@ -116,9 +117,9 @@
 	if e := t.hosts[string(name)].find(path, q); e != nil {
 		return e
 	}
-	// The longest suffix that some rule has is the first to look for.
+	// Start with the longest suffix that any rule has.
 	from, dots := len(name), 0
-	for i := len(name) - 1; i > 0 && dots < t.labels; i-- {
+	for i := len(name) - 1; i > 0 && dots < t.maxSuffixDots; i-- {
 		if name[i] == '.' {
 			from, dots = i, dots+1
 		}
@@ -127,40 +128,41 @@
 		if name[i] != '.' {
 			continue
 		}
-		if ported {
-			if e := t.suffix[string(withPort(name[i:]))].find(path, q); e != nil {
+		if tryPort {
+			if e := t.suffixes[string(withPort(name[i:]))].find(path, q); e != nil {
 				return e
 			}
 		}
-		if e := t.suffix[string(name[i:])].find(path, q); e != nil {
+		if e := t.suffixes[string(name[i:])].find(path, q); e != nil {
 			return e
 		}
 	}
 	return t.any.find(path, q)
 }
 
-func (p *paths) find(path []byte, q *Request) *entry {
-	if p == nil {
+// find tries the exact path, then its prefixes, the longest first.
+func (h *hostRules) find(path []byte, q *Request) *compiledRule {
+	if h == nil {
 		return nil
 	}
-	if e := p.exact[string(path)].find(q); e != nil {
+	if e := h.exact[string(path)].find(q); e != nil {
 		return e
 	}
-	// Cut to as many segments as the longest prefix has, then one by one.
+	// Cut the path to the number of segments of the longest prefix, then remove one segment at a time.
 	end, depth := len(path), 0
 	for i := 1; i < len(path); i++ {
 		if path[i] == '/' {
-			if depth++; depth == p.depth {
+			if depth++; depth == h.maxDepth {
 				end = i
 				break
 			}
 		}
 	}
-	if p.depth == 0 {
+	if h.maxDepth == 0 {
 		end = 0
 	}
 	for {
-		if e := p.prefix[string(path[:end])].find(q); e != nil || end == 0 {
+		if e := h.prefixes[string(path[:end])].find(q); e != nil || end == 0 {
 			return e
 		}
 		for end--; end > 0 && path[end] != '/'; {
@@ -169,34 +171,37 @@
 	}
 }
 
-func (c *classes) find(q *Request) *entry {
-	if c == nil {
+// find tries the rules for the request's class, then those for any class.
+func (p *pathRules) find(q *Request) *compiledRule {
+	if p == nil {
 		return nil
 	}
 	if q.Class != "" {
-		if e := first(c.stated[q.Class], q); e != nil {
+		if e := firstMatch(p.byClass[q.Class], q); e != nil {
 			return e
 		}
 	}
-	return first(c.any, q)
+	return firstMatch(p.any, q)
 }
 
-func first(list []*entry, q *Request) *entry {
-next:
-	for _, e := range list {
-		for _, h := range e.Headers {
-			if !h.fits(q.Header[h.Name]) {
-				continue next
+// firstMatch returns the first rule whose header conditions are all met.
+func firstMatch(rules []*compiledRule, q *Request) *compiledRule {
+nextRule:
+	for _, rule := range rules {
+		for _, h := range rule.Headers {
+			if !h.matches(q.Header[h.Name]) {
+				continue nextRule
 			}
 		}
-		return e
+		return rule
 	}
 	return nil
 }
 
-func (h Header) fits(lines []string) bool {
-	for _, line := range lines {
-		if h.Value == "" || line == h.Value {
+// matches reports whether the values of a header field meet the condition.
+func (h Header) matches(values []string) bool {
+	for _, value := range values {
+		if h.Value == "" || value == h.Value {
 			return true
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -17,6 +17,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
+// header builds a header from name and value pairs.
 func header(pairs ...string) textproto.MIMEHeader {
 	h := textproto.MIMEHeader{}
 	for i := 0; i < len(pairs); i += 2 {
@@ -25,7 +26,7 @@
 	return h
 }
 
-// Each request is led by the rule that the order of precedence names, or refused by a stated status.
+// Each request is routed by the rule that takes precedence, or rejected with the expected error.
 func TestMatch(t *testing.T) {
 	rules := []Rule{
 		0:  {},
@@ -52,7 +53,7 @@
 		host, target, class string
 		header              textproto.MIMEHeader
 		want                int
-		bad                 *Error
+		wantErr             *Error
 	}{
 		{"other", "/", "", nil, 0, nil},
 		{"other", "/ab", "", nil, 0, nil},
@@ -76,61 +77,62 @@
 		{"pay.test", "/p/1", "", nil, 0, nil},
 		{"pay.test", "/%61dmin", "", nil, 11, nil},
 		{"pay.test", "http://PAY.test/admin", "", nil, 11, nil},
-		{"pay.test", "http://pay.test:80/admin", "", nil, 0, ErrSpoof},
-		{"pay.test", "http://other/admin", "", nil, 0, ErrSpoof},
-		{"pay.test", "http://me@pay.test/admin", "", nil, 0, ErrTarget},
-		{"pay.test", "http://pay.test", "", nil, 0, ErrTarget},
-		{"pay.test", "*", "", nil, 0, ErrTarget},
-		{"pay.test", "pay.test:80", "", nil, 0, ErrTarget},
-		{"pay.test", "//admin", "", nil, 0, ErrEmpty},
-		{"pay.test", "/x//y", "", nil, 0, ErrEmpty},
-		{"pay.test", "/x/../admin", "", nil, 0, ErrDots},
-		{"pay.test", "/x/%2E%2e/admin", "", nil, 0, ErrDots},
-		{"pay.test", "/x/.", "", nil, 0, ErrDots},
+		{"pay.test", "http://pay.test:80/admin", "", nil, 0, ErrHostMismatch},
+		{"pay.test", "http://other/admin", "", nil, 0, ErrHostMismatch},
+		{"pay.test", "http://me@pay.test/admin", "", nil, 0, ErrMalformedTarget},
+		{"pay.test", "http://pay.test", "", nil, 0, ErrMalformedTarget},
+		{"pay.test", "*", "", nil, 0, ErrMalformedTarget},
+		{"pay.test", "pay.test:80", "", nil, 0, ErrMalformedTarget},
+		{"pay.test", "//admin", "", nil, 0, ErrEmptySegments},
+		{"pay.test", "/x//y", "", nil, 0, ErrEmptySegments},
+		{"pay.test", "/x/../admin", "", nil, 0, ErrDotSegments},
+		{"pay.test", "/x/%2E%2e/admin", "", nil, 0, ErrDotSegments},
+		{"pay.test", "/x/.", "", nil, 0, ErrDotSegments},
 		{"pay.test", "/x/...", "", nil, 0, nil},
-		{"pay.test", "/x%2fadmin", "", nil, 0, ErrSlash},
-		{"pay.test", "/x%5cadmin", "", nil, 0, ErrSlash},
-		{"pay.test", "/x%00", "", nil, 0, ErrSlash},
-		{"pay.test", "/x%4", "", nil, 0, ErrEscape},
-		{"pay.test", "/x%4g", "", nil, 0, ErrEscape},
-		{"pay.test", "/x\\..\\admin", "", nil, 0, ErrTarget},
-		{"pay.test", "/x#y", "", nil, 0, ErrTarget},
-		{"pay test", "/", "", nil, 0, ErrHost},
-		{"pay.test:", "/", "", nil, 0, ErrHost},
-		{"pay.test:99999", "/", "", nil, 0, ErrHost},
-		{"a..b", "/", "", nil, 0, ErrHost},
-		{"[::1", "/", "", nil, 0, ErrHost},
-		{"", "/", "", nil, 0, ErrHost},
-		{"a,b", "/", "", nil, 0, ErrHost},
-		{strings.Repeat("a", 300), "/", "", nil, 0, ErrHost},
+		{"pay.test", "/x%2fadmin", "", nil, 0, ErrEscapedSeparator},
+		{"pay.test", "/x%5cadmin", "", nil, 0, ErrEscapedSeparator},
+		{"pay.test", "/x%00", "", nil, 0, ErrEscapedSeparator},
+		{"pay.test", "/x%4", "", nil, 0, ErrMalformedEscape},
+		{"pay.test", "/x%4g", "", nil, 0, ErrMalformedEscape},
+		{"pay.test", "/x\\..\\admin", "", nil, 0, ErrMalformedTarget},
+		{"pay.test", "/x#y", "", nil, 0, ErrMalformedTarget},
+		{"pay test", "/", "", nil, 0, ErrMalformedHost},
+		{"pay.test:", "/", "", nil, 0, ErrMalformedHost},
+		{"pay.test:99999", "/", "", nil, 0, ErrMalformedHost},
+		{"a..b", "/", "", nil, 0, ErrMalformedHost},
+		{"[::1", "/", "", nil, 0, ErrMalformedHost},
+		{"", "/", "", nil, 0, ErrMalformedHost},
+		{"a,b", "/", "", nil, 0, ErrMalformedHost},
+		{strings.Repeat("a", 300), "/", "", nil, 0, ErrMalformedHost},
 	} {
 		h := textproto.MIMEHeader{}
 		for k, v := range c.header {
 			h[k] = v
 		}
 		h["Host"] = []string{c.host}
-		got, bad := table.Match(Request{Target: c.target, Header: h, Class: c.class})
-		if bad != c.bad || bad == nil && got != c.want {
-			t.Errorf("%s %s: rule %d, %v; want %d, %v", c.host, c.target, got, bad, c.want, c.bad)
+		got, err := table.Match(Request{Target: c.target, Header: h, Class: c.class})
+		if err != c.wantErr || err == nil && got != c.want {
+			t.Errorf("%s %s: rule %d, error %v; want %d, %v", c.host, c.target, got, err, c.want, c.wantErr)
 		}
 	}
 	for _, hosts := range [][]string{nil, {"a", "a"}, {"a", "b"}} {
-		if _, bad := table.Match(Request{Target: "/", Header: textproto.MIMEHeader{"Host": hosts}}); bad != ErrHosts {
-			t.Errorf("Host %q: %v", hosts, bad)
+		if _, err := table.Match(Request{Target: "/", Header: textproto.MIMEHeader{"Host": hosts}}); err != ErrHostCount {
+			t.Errorf("Host %q: %v", hosts, err)
 		}
 	}
-	bare, err := New(rules[4:5])
+	single, err := New(rules[4:5])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, bad := bare.Match(Request{Target: "/", Header: header("Host", "other")}); bad != ErrNoRoute {
-		t.Errorf("without a rule: %v", bad)
+	if _, err := single.Match(Request{Target: "/", Header: header("Host", "other")}); err != ErrNoRoute {
+		t.Errorf("no rule matches: error %v", err)
 	}
 }
 
-func TestBadRules(t *testing.T) {
-	alike := make([]Rule, MaxAlike+1)
-	for name, c := range map[string][]Rule{
+// New rejects invalid rules with an error that says what is wrong.
+func TestInvalidRules(t *testing.T) {
+	sameMatch := make([]Rule, MaxHeaderVariants+1)
+	for message, rules := range map[string][]Rule{
 		"is missing":            {{Exact: true}},
 		`path "a"`:              {{}, {Path: "a"}},
 		"dot segments":          {{Path: "/a/.."}},
@@ -138,28 +140,28 @@
 		"whole labels":          {{Hosts: []string{"*example.org"}}},
 		`"*."`:                  {{Hosts: []string{"*."}}},
 		"no field name":         {{Headers: []Header{{Name: "a b"}}}},
-		"in their header":       alike,
+		"in their header":       sameMatch,
 		"route 1: host \"a:0\"": {{}, {Hosts: []string{"a:0"}}},
 	} {
-		if _, err := New(c); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := New(rules); err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: %v", message, err)
 		}
 	}
 }
 
-var escaped = regexp.MustCompile("%[0-9a-fA-F]{2}")
+var escapePattern = regexp.MustCompile("%[0-9a-fA-F]{2}")
 
-// plainly tries every rule in order and keeps the first of those that rank highest. It shares no code with the table.
-func plainly(rules []Rule, q Request) int {
+// matchNaively tries every rule in order and returns the first with the highest rank. It shares no code with the table.
+func matchNaively(rules []Rule, q Request) int {
 	host, port, _ := strings.Cut(strings.ToLower(q.Header.Get("Host")), ":")
 	path, _, _ := strings.Cut(q.Target, "?")
-	normal := escaped.ReplaceAllStringFunc(path, func(s string) string {
+	normalized := escapePattern.ReplaceAllStringFunc(path, func(s string) string {
 		if v, _ := url.PathUnescape(s); regexp.MustCompile(`^[A-Za-z0-9._~-]$`).MatchString(v) {
 			return v
 		}
 		return strings.ToUpper(s)
 	})
-	segments := strings.Split(normal, "/")[1:]
+	segments := strings.Split(normalized, "/")[1:]
 	best, bestRank := -1, []int{-1}
 	for i, r := range rules {
 		hosts := r.Hosts
@@ -167,39 +169,39 @@
 			hosts = []string{"*"}
 		}
 		for _, h := range hosts {
-			name, wanted, _ := strings.Cut(strings.ToLower(h), ":")
+			name, wantPort, _ := strings.Cut(strings.ToLower(h), ":")
 			rank := []int{-1, 0, 0, 0, 0}
-			ported := 0
-			if wanted != "" {
-				ported = 1
+			hasPort := 0
+			if wantPort != "" {
+				hasPort = 1
 			}
-			suffix, wild := strings.CutPrefix(name, "*")
+			suffix, wildcard := strings.CutPrefix(name, "*")
 			switch {
 			case name == "*":
 				rank[0] = 0
-			case wanted != "" && wanted != port:
-			case wild && strings.HasSuffix(host, suffix) && len(host) > len(suffix):
-				rank[0] = 2*len(suffix) + ported
+			case wantPort != "" && wantPort != port:
+			case wildcard && strings.HasSuffix(host, suffix) && len(host) > len(suffix):
+				rank[0] = 2*len(suffix) + hasPort
 			case name == host:
-				rank[0] = 10000 + ported
+				rank[0] = 10000 + hasPort
 			}
 			if rank[0] < 0 {
 				continue
 			}
-			want := strings.Split(strings.TrimSuffix(r.Path, "/"), "/")[1:]
+			prefix := strings.Split(strings.TrimSuffix(r.Path, "/"), "/")[1:]
 			if r.Path == "" || r.Path == "/" {
-				want = nil
+				prefix = nil
 			}
 			if r.Exact {
-				if r.Path != normal {
+				if r.Path != normalized {
 					continue
 				}
 				rank[1] = 1000
 			} else {
-				if len(want) > len(segments) || !slices.Equal(want, segments[:len(want)]) {
+				if len(prefix) > len(segments) || !slices.Equal(prefix, segments[:len(prefix)]) {
 					continue
 				}
-				rank[1] = len(want)
+				rank[1] = len(prefix)
 			}
 			if r.Class != "" {
 				if r.Class != q.Class {
@@ -207,11 +209,11 @@
 				}
 				rank[2] = 1
 			}
-			fits := !slices.ContainsFunc(r.Headers, func(h Header) bool {
+			headersMatch := !slices.ContainsFunc(r.Headers, func(h Header) bool {
 				lines := q.Header.Values(h.Name)
 				return len(lines) == 0 || h.Value != "" && !slices.Contains(lines, h.Value)
 			})
-			if rank[3] = len(r.Headers); fits && slices.Compare(rank, bestRank) > 0 {
+			if rank[3] = len(r.Headers); headersMatch && slices.Compare(rank, bestRank) > 0 {
 				best, bestRank = i, rank
 			}
 		}
@@ -219,26 +221,26 @@
 	return best
 }
 
-// The compiled table finds what trying every rule finds.
-func TestTableAgreesWithThePlainMatcher(t *testing.T) {
-	word := rapid.SampledFrom([]string{"a", "b", "%61", "%C3%a9", "x.y", "~"})
-	hostOf := rapid.SampledFrom([]string{"a.b", "c.a.b", "d.c.a.b", "B", "A.b:80", "c.a.b:81", "x-1"})
-	wild := rapid.SampledFrom([]string{"*", "*.b", "*.a.b", "*.a.b:81", "*.c.a.b"})
+// The compiled table selects the same rule as trying every rule.
+func TestTableAgreesWithNaiveMatcher(t *testing.T) {
+	segment := rapid.SampledFrom([]string{"a", "b", "%61", "%C3%a9", "x.y", "~"})
+	host := rapid.SampledFrom([]string{"a.b", "c.a.b", "d.c.a.b", "B", "A.b:80", "c.a.b:81", "x-1"})
+	wildcard := rapid.SampledFrom([]string{"*", "*.b", "*.a.b", "*.a.b:81", "*.c.a.b"})
 	rapid.Check(t, func(t *rapid.T) {
 		path := func(label string) string {
-			p := "/" + strings.Join(rapid.SliceOfN(word, 0, 4).Draw(t, label), "/")
+			p := "/" + strings.Join(rapid.SliceOfN(segment, 0, 4).Draw(t, label), "/")
 			if len(p) > 1 && rapid.Bool().Draw(t, "slash") {
 				p += "/"
 			}
 			return p
 		}
 		class := rapid.SampledFrom([]string{"", "", "x", "y"})
-		fields := rapid.SliceOfNDistinct(rapid.SampledFrom([]Header{{"F", ""}, {"F", "1"}, {"G", "2"}}), 0, 2, rapid.ID)
+		conditions := rapid.SliceOfNDistinct(rapid.SampledFrom([]Header{{"F", ""}, {"F", "1"}, {"G", "2"}}), 0, 2, rapid.ID)
 		var rules []Rule
 		for range rapid.IntRange(1, 25).Draw(t, "rules") {
-			r := Rule{Hosts: rapid.SliceOfN(rapid.OneOf(hostOf, wild), 0, 2).Draw(t, "hosts"), Exact: rapid.Bool().Draw(t, "exact"),
-				Class: class.Draw(t, "class"), Headers: fields.Draw(t, "headers"), Target: len(rules)}
-			// Rules are compared as they are cleaned, which TestMatch holds for requests.
+			r := Rule{Hosts: rapid.SliceOfN(rapid.OneOf(host, wildcard), 0, 2).Draw(t, "hosts"), Exact: rapid.Bool().Draw(t, "exact"),
+				Class: class.Draw(t, "class"), Headers: conditions.Draw(t, "headers"), Target: len(rules)}
+			// matchNaively expects normalized rule paths. TestMatch covers the normalization of request paths.
 			r.Path = strings.NewReplacer("%61", "a", "%a9", "%A9").Replace(path("path"))
 			rules = append(rules, r)
 		}
@@ -246,46 +248,48 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q := Request{Target: path("target"), Class: class.Draw(t, "stated"), Header: header("Host", hostOf.Draw(t, "host"))}
-		for _, h := range fields.Draw(t, "sent") {
+		q := Request{Target: path("target"), Class: class.Draw(t, "stated"), Header: header("Host", host.Draw(t, "host"))}
+		for _, h := range conditions.Draw(t, "sent") {
 			q.Header.Add(h.Name, cmp.Or(h.Value, "0"))
 		}
-		want := plainly(rules, q)
-		got, bad := table.Match(q)
-		if bad != nil {
+		want := matchNaively(rules, q)
+		got, matchErr := table.Match(q)
+		if matchErr != nil {
 			got = -1
 		}
-		if got != want || bad != nil && bad != ErrNoRoute {
-			t.Fatalf("%+v: rule %d (%v), tried one by one %d of %+v", q, got, bad, want, rules)
+		if got != want || matchErr != nil && matchErr != ErrNoRoute {
+			t.Fatalf("%+v: rule %d (error %v), the naive matcher finds %d of %+v", q, got, matchErr, want, rules)
 		}
 	})
 }
 
-// Whatever a request holds, the path that is matched holds no segment that a destination could resolve to another.
-func FuzzClean(f *testing.F) {
+// Whatever the input, a normalized path has no segments that an endpoint could resolve to a different path, and normalizing it
+// again changes nothing.
+func FuzzNormalizePath(f *testing.F) {
 	for _, s := range []string{"/a/b", "/%2e%2E/", "//", "/a%2Fb", "/%", "/a/./b"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		got, bad := clean(s, nil)
-		if bad != nil {
+		got, invalid := normalizePath(s, nil)
+		if invalid != nil {
 			return
 		}
 		text := string(got)
-		again, bad := clean(text, nil)
-		if bad != nil || string(again) != text {
-			t.Errorf("%q -> %q -> %q, %v", s, text, again, bad)
+		again, invalid := normalizePath(text, nil)
+		if invalid != nil || string(again) != text {
+			t.Errorf("not idempotent: %q -> %q -> %q, %v", s, text, again, invalid)
 		}
-		full, err := url.PathUnescape(text)
-		if err != nil || strings.Count(full, "/") != strings.Count(s, "/") || strings.Contains(full+"/", "/../") || strings.Contains(text, "//") {
-			t.Errorf("%q -> %q", s, text)
+		decoded, err := url.PathUnescape(text)
+		if err != nil || strings.Count(decoded, "/") != strings.Count(s, "/") || strings.Contains(decoded+"/", "/../") || strings.Contains(text, "//") {
+			t.Errorf("ambiguous path: %q -> %q", s, text)
 		}
 	})
 }
 
-func many(n int) ([]Rule, []Request) {
+// manyRules returns n rules of all kinds and requests for about 64 of them.
+func manyRules(n int) ([]Rule, []Request) {
 	var rules []Rule
-	var asked []Request
+	var requests []Request
 	for i := range n {
 		r := Rule{Target: i}
 		switch i % 4 {
@@ -304,36 +308,37 @@
 			if i%4 == 1 {
 				host = fmt.Sprintf("A.b.z%d.example.org", i/40)
 			}
-			asked = append(asked, Request{Target: r.Path + "/more/of%20it/x?y=1", Header: header("Host", host), Class: "pay"})
+			requests = append(requests, Request{Target: r.Path + "/more/of%20it/x?y=1", Header: header("Host", host), Class: "pay"})
 		}
 	}
-	return rules, asked
+	return rules, requests
 }
 
-// A match allocates nothing, and what it costs does not grow with the rules.
+// A match must not allocate, even with 50,000 rules.
 func TestMatchAllocatesNothing(t *testing.T) {
-	rules, asked := many(50_000)
+	rules, requests := manyRules(50_000)
 	table, err := New(rules)
 	if err != nil {
 		t.Fatal(err)
 	}
-	i, found := 0, 0
+	i, matched := 0, 0
 	if n := testing.AllocsPerRun(1000, func() {
-		if _, bad := table.Match(asked[i%len(asked)]); bad == nil {
-			found++
+		if _, err := table.Match(requests[i%len(requests)]); err == nil {
+			matched++
 		}
 		i++
 	}); n != 0 {
-		t.Errorf("%v allocations for a match", n)
+		t.Errorf("%v allocations per match, want 0", n)
 	}
-	if found == 0 || found == i {
-		t.Errorf("%d of %d found a rule: the requests are of one kind only", found, i)
+	if matched == 0 || matched == i {
+		t.Errorf("%d of %d requests matched a rule: want some that match and some that do not", matched, i)
 	}
 }
 
+// The cost of a match must not grow with the number of rules.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 50_000} {
-		rules, asked := many(n)
+		rules, requests := manyRules(n)
 		table, err := New(rules)
 		if err != nil {
 			b.Fatal(err)
@@ -341,7 +346,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				table.Match(asked[i%len(asked)])
+				table.Match(requests[i%len(requests)])
 			}
 		})
 	}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -1,13 +1,13 @@
-// Package route finds the pool of a request by its host, path, class and header fields. A Table is compiled once and
-// never changes; whoever serves swaps it whole. The package knows no socket.
+// Package route selects the pool of a request by its host, path, class and header fields. A Table is compiled once and
+// immutable; a server replaces it as a whole. The package does no I/O.
 //
-// Of all rules that match, the first in this order holds:
+// Of all rules that match, the one that applies is determined by, in this order:
 //
-//  1. host: named with its port, named, by the longest suffix of a wildcard (with a port first), any;
-//  2. path: whole, by the prefix of most segments, any;
-//  3. a class stated before none;
-//  4. more header fields before fewer;
-//  5. the earlier in the list.
+//  1. host: a name with a port, a name, the longest wildcard suffix (with a port before without), any host;
+//  2. path: an exact path, the prefix with the most segments, any path;
+//  3. a rule with a class before one without;
+//  4. more header conditions before fewer;
+//  5. the position in the list, earlier first.
 package route
 
 import (
@@ -19,83 +19,84 @@
 	"strings"
 )
 
-// Rule leads the requests that fit it to a pool.
+// Rule routes the requests that match it to a pool.
 type Rule struct {
 	// Hosts are names ("example.org"), names with a port ("example.org:8080") or wildcards ("*.example.org", for one or
-	// more labels before the dot), in any case. None fits every host.
+	// more labels before the dot), case-insensitive. An empty list matches every host.
 	Hosts []string
-	// Path is the whole path where Exact, otherwise a prefix of whole segments: "/a" fits "/a", "/a/" and "/a/b", not
-	// "/ab". "" and "/" as a prefix fit every path.
+	// Path is the complete path if Exact is set, otherwise a prefix of whole segments: "/a" matches "/a", "/a/" and "/a/b",
+	// not "/ab". As prefixes, "" and "/" match every path.
 	Path  string
 	Exact bool
-	// Class is the class that the request states, "" for any or none.
+	// Class is the class that the request must state; "" matches any class and none.
 	Class string
-	// Headers all have to fit.
+	// Headers are conditions that must all be met.
 	Headers []Header
-	// Target is handed back by Match.
+	// Target is the value that Match returns, such as the index of a pool.
 	Target int
 }
 
-// Header is a condition on a header field: it has the value, in one of its lines, or with Value "" it is there.
+// Header is a condition on a header field: one of its lines has the value, or, if Value is "", the field is present.
 type Header struct{ Name, Value string }
 
-// MaxAlike is how many rules may differ in their header fields alone: they are tried one by one.
-const MaxAlike = 32
+// MaxHeaderVariants limits the number of rules that differ only in their header conditions, as they are tried one by one.
+const MaxHeaderVariants = 32
 
-// entry is a rule for one host.
-type entry struct {
+// compiledRule is a rule with canonical header names.
+type compiledRule struct {
 	Rule
 	order int
 }
 
 // Table is a compiled list of rules.
 type Table struct {
-	hosts  map[string]*paths // by name, or name:port
-	suffix map[string]*paths // by ".example.org", or with :port
-	any    *paths
-	labels int  // the most dots that a suffix has
-	ports  bool // some host is named with a port
+	hosts         map[string]*hostRules // by name or name:port
+	suffixes      map[string]*hostRules // by ".example.org", or ".example.org:port"
+	any           *hostRules
+	maxSuffixDots int  // most dots in any suffix
+	hasPorts      bool // whether any host has a port
 }
 
-// paths are the rules of one host.
-type paths struct {
-	exact  map[string]*classes
-	prefix map[string]*classes // without a slash at the end; "" fits all
-	depth  int                 // segments of the longest prefix
+// hostRules holds the rules of one host by path.
+type hostRules struct {
+	exact    map[string]*pathRules
+	prefixes map[string]*pathRules // without a trailing slash; "" matches every path
+	maxDepth int                   // number of segments of the longest prefix
 }
 
-// classes are the rules of one path.
-type classes struct {
-	stated map[string][]*entry
-	any    []*entry
+// pathRules holds the rules of one path by class.
+type pathRules struct {
+	byClass map[string][]*compiledRule
+	any     []*compiledRule
 }
 
-// New compiles rules. An error names the rule by its place, from 0.
+// New compiles rules. An error names the rule by its index.
 func New(rules []Rule) (*Table, error) {
-	t := &Table{hosts: map[string]*paths{}, suffix: map[string]*paths{}, any: newPaths()}
-	for i, r := range rules {
-		if err := t.add(&entry{Rule: r, order: i}); err != nil {
+	t := &Table{hosts: map[string]*hostRules{}, suffixes: map[string]*hostRules{}, any: newHostRules()}
+	for i, rule := range rules {
+		if err := t.add(&compiledRule{Rule: rule, order: i}); err != nil {
 			return nil, fmt.Errorf("route %d: %w", i, err)
 		}
 	}
 	return t, nil
 }
 
-func newPaths() *paths {
-	return &paths{exact: map[string]*classes{}, prefix: map[string]*classes{}}
+func newHostRules() *hostRules {
+	return &hostRules{exact: map[string]*pathRules{}, prefixes: map[string]*pathRules{}}
 }
 
-func (t *Table) add(e *entry) error {
+// add compiles a rule for each of its hosts.
+func (t *Table) add(e *compiledRule) error {
 	path := e.Path
 	if path == "" && e.Exact {
 		return fmt.Errorf("an exact path is missing")
 	}
 	if path != "" {
-		plain, err := clean(path, nil)
+		normalized, err := normalizePath(path, nil)
 		if err != nil {
 			return fmt.Errorf("path %q: %w", path, err)
 		}
-		path = string(plain)
+		path = string(normalized)
 	}
 	e.Headers = slices.Clone(e.Headers)
 	for i, h := range e.Headers {
@@ -108,28 +109,28 @@
 		return t.any.add(e, path)
 	}
 	for _, host := range e.Hosts {
-		at, err := t.host(host)
+		rules, err := t.rulesForHost(host)
 		if err != nil {
 			return err
 		}
-		if err := at.add(e, path); err != nil {
+		if err := rules.add(e, path); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// host finds or makes the rules of a host.
-func (t *Table) host(host string) (*paths, error) {
+// rulesForHost returns the rules of a host, which it creates if there are none.
+func (t *Table) rulesForHost(host string) (*hostRules, error) {
 	if host == "*" {
 		return t.any, nil
 	}
-	in, key := t.hosts, host
-	if rest, wild := strings.CutPrefix(host, "*"); wild {
-		in, key = t.suffix, "x"+rest
+	byKey, key := t.hosts, host
+	if rest, wildcard := strings.CutPrefix(host, "*"); wildcard {
+		byKey, key = t.suffixes, "x"+rest
 	}
-	var buf [maxHost]byte
-	name, port, ok := fold(key, &buf)
+	var buf [maxHostLength]byte
+	name, port, ok := parseHost(key, &buf)
 	if !ok {
 		return nil, fmt.Errorf("host %q is no host name", host)
 	}
@@ -138,47 +139,48 @@
 		if key = key[1:]; !strings.HasPrefix(key, ".") || len(key) < 2 {
 			return nil, fmt.Errorf("host %q: a wildcard stands for whole labels, as in *.example.org", host)
 		}
-		t.labels = max(t.labels, strings.Count(key, "."))
+		t.maxSuffixDots = max(t.maxSuffixDots, strings.Count(key, "."))
 	}
 	if port != "" {
-		t.ports = true
+		t.hasPorts = true
 		key += ":" + port
 	}
-	if in[key] == nil {
-		in[key] = newPaths()
+	if byKey[key] == nil {
+		byKey[key] = newHostRules()
 	}
-	return in[key], nil
+	return byKey[key], nil
 }
 
-func (p *paths) add(e *entry, path string) error {
-	in := p.exact
+// add adds a rule for a normalized path, sorted by the number of header conditions.
+func (h *hostRules) add(e *compiledRule, path string) error {
+	byPath := h.exact
 	if !e.Exact {
-		in, path = p.prefix, strings.TrimSuffix(path, "/")
-		p.depth = max(p.depth, strings.Count(path, "/"))
+		byPath, path = h.prefixes, strings.TrimSuffix(path, "/")
+		h.maxDepth = max(h.maxDepth, strings.Count(path, "/"))
 	}
-	c := in[path]
-	if c == nil {
-		c = &classes{stated: map[string][]*entry{}}
-		in[path] = c
+	p := byPath[path]
+	if p == nil {
+		p = &pathRules{byClass: map[string][]*compiledRule{}}
+		byPath[path] = p
 	}
-	list := c.any
+	rules := p.any
 	if e.Class != "" {
-		list = c.stated[e.Class]
+		rules = p.byClass[e.Class]
 	}
-	list = append(list, e)
-	slices.SortStableFunc(list, func(a, b *entry) int { return cmp.Compare(len(b.Headers), len(a.Headers)) })
-	if len(list) > MaxAlike {
-		return fmt.Errorf("over %d rules differ in their header fields alone", MaxAlike)
+	rules = append(rules, e)
+	slices.SortStableFunc(rules, func(a, b *compiledRule) int { return cmp.Compare(len(b.Headers), len(a.Headers)) })
+	if len(rules) > MaxHeaderVariants {
+		return fmt.Errorf("over %d rules differ in their header fields alone", MaxHeaderVariants)
 	}
 	if e.Class != "" {
-		c.stated[e.Class] = list
+		p.byClass[e.Class] = rules
 	} else {
-		c.any = list
+		p.any = rules
 	}
 	return nil
 }
 
-// validPort tells whether a text is a port number.
+// validPort reports whether s is a port number.
 func validPort(s string) bool {
 	n, err := strconv.ParseUint(s, 10, 16)
 	return err == nil && n > 0 && s[0] != '0'
--- a/internal/route/text.go
+++ b/internal/route/text.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// maxHost is the longest host name that RFC 1035 allows, with a dot at its end.
-const maxHost = 254
+// maxHostLength is the length of the longest host name that RFC 1035 allows, with a trailing dot.
+const maxHostLength = 254
 
-// fold takes a host apart into its name in lower case, without a dot at its end, and its port.
-func fold(host string, buf *[maxHost]byte) (name []byte, port string, ok bool) {
+// parseHost splits a host into its lower-case name, without a trailing dot, and its port.
+func parseHost(host string, buf *[maxHostLength]byte) (name []byte, port string, ok bool) {
 	text := host
-	if strings.HasPrefix(host, "[") { // an IPv6 literal has colons of its own
+	if strings.HasPrefix(host, "[") { // an IPv6 literal contains colons
 		end := strings.IndexByte(host, ']')
 		if end < 0 {
 			return nil, "", false
@@ -30,7 +30,7 @@
 		}
 	}
 	text = strings.TrimSuffix(text, ".")
-	if text == "" || len(text) > maxHost {
+	if text == "" || len(text) > maxHostLength {
 		return nil, "", false
 	}
 	literal := text[0] == '['
@@ -50,76 +50,78 @@
 	return buf[:len(text)], port, true
 }
 
-// clean checks a path and gives it with its escapes of unreserved characters undone, as RFC 3986, 6.2.2.2 has it:
-// "/%61dmin" is "/admin" to a destination, and must not pass by its rule. Other escapes stay, their digits in upper case.
-func clean(path string, buf []byte) ([]byte, *Error) {
-	start := 0 // of the segment
+// normalizePath validates a path and decodes its escapes of unreserved characters, as in RFC 3986, 6.2.2.2: to an endpoint
+// "/%61dmin" is "/admin", and must not bypass the rule for it. Other escapes stay, with upper-case digits.
+func normalizePath(path string, buf []byte) ([]byte, *Error) {
+	start := 0 // of the current segment
 	for i := 0; i < len(path); i++ {
 		c := path[i]
 		switch {
 		case c == '%':
 			if i+2 >= len(path) {
-				return nil, ErrEscape
+				return nil, ErrMalformedEscape
 			}
-			high, low := unhex(path[i+1]), unhex(path[i+2])
+			high, low := hexValue(path[i+1]), hexValue(path[i+2])
 			if high < 0 || low < 0 {
-				return nil, ErrEscape
+				return nil, ErrMalformedEscape
 			}
 			i += 2
-			switch v := byte(high<<4 | low); {
-			case v == '/' || v == '\\' || v == 0:
-				return nil, ErrSlash
-			case unreserved(v):
-				buf = append(buf, v)
+			switch decoded := byte(high<<4 | low); {
+			case decoded == '/' || decoded == '\\' || decoded == 0:
+				return nil, ErrEscapedSeparator
+			case unreserved(decoded):
+				buf = append(buf, decoded)
 			default:
-				buf = append(buf, '%', upper(path[i-1]), upper(path[i]))
+				buf = append(buf, '%', upperHex(path[i-1]), upperHex(path[i]))
 			}
 			continue
 		case c == '/':
 			if i > 0 {
-				if bad := segment(buf[start:]); bad != nil {
-					return nil, bad
+				if err := checkSegment(buf[start:]); err != nil {
+					return nil, err
 				}
 			}
 			buf = append(buf, c)
 			start = len(buf)
 			continue
 		case c == '\\' || c == '#' || c <= ' ' || c == 0x7f:
-			return nil, ErrTarget
+			return nil, ErrMalformedTarget
 		}
 		if i == 0 {
-			return nil, ErrTarget
+			return nil, ErrMalformedTarget
 		}
 		buf = append(buf, c)
 	}
 	if len(buf) == 0 || buf[0] != '/' {
-		return nil, ErrTarget
+		return nil, ErrMalformedTarget
 	}
-	// The last segment may be empty: "/a/" is a path of its own.
+	// The last segment may be empty: "/a/" is a different path from "/a".
 	if last := buf[start:]; len(last) > 0 {
-		if bad := segment(last); bad != nil {
-			return nil, bad
+		if err := checkSegment(last); err != nil {
+			return nil, err
 		}
 	}
 	return buf, nil
 }
 
-// segment refuses what destinations resolve each in their own way.
-func segment(s []byte) *Error {
+// checkSegment rejects segments that endpoints resolve differently from one another.
+func checkSegment(s []byte) *Error {
 	switch {
 	case len(s) == 0:
-		return ErrEmpty
+		return ErrEmptySegments
 	case string(s) == "." || string(s) == "..":
-		return ErrDots
+		return ErrDotSegments
 	}
 	return nil
 }
 
+// unreserved reports whether RFC 3986 never requires c to be escaped.
 func unreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
-func unhex(c byte) int {
+// hexValue returns the value of a hexadecimal digit, -1 if c is none.
+func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -131,7 +133,8 @@
 	return -1
 }
 
-func upper(c byte) byte {
+// upperHex converts a hexadecimal digit to upper case.
+func upperHex(c byte) byte {
 	if c >= 'a' {
 		c -= 'a' - 'A'
 	}
