--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -1,20 +1,20 @@
-// Package loads merges what several proxies report of the same endpoints, over intervals of their own, into one reading of
-// each. It is a core: it knows no socket and no clock.
+// Package loads merges what several proxies, each with its own reporting interval, report about the same endpoints into one
+// load per endpoint. It does no I/O and reads no clock.
 //
 // The rules:
 //
-//   - The last report of each proxy counts, until it is stale or the proxy has left. What a proxy reported before is
-//     replaced, never added to.
-//   - Requests in progress and rates are added over proxies: each sees its own requests alone.
-//   - A metric that instances tell of themselves is the mean of the samples, weighted by their number: a proxy that sent
-//     more requests has seen more. Samples that are no finite number from 0 up are dropped.
-//   - What an endpoint tells of itself on a stream of its own counts before the metrics that proxies pass on, and its rates where
-//     no proxy reports on it. It is stale as a proxy's report is.
-//   - Failures are counted over all outcomes of all proxies, so one proxy whose own network is broken does not condemn an
-//     endpoint that serves the others.
-//   - An endpoint that fails many and still serves a part of what the others serve is full, not broken: proxies report
-//     what was turned away among the failures. Its failures count as half of its outcomes at the most, which is not enough to
-//     eject it: the others would take over what it serves and fill up in turn.
+//   - The last report of each proxy counts until it is stale or the proxy has left. A new report replaces the previous one of
+//     the same proxy; the two are never added up.
+//   - Requests in progress and rates are summed over proxies, as each sees only its own requests.
+//   - A metric that endpoints report in their responses is averaged over all samples, so a proxy that sent more requests has
+//     more influence. Samples that are negative, infinite or NaN are dropped.
+//   - A report that an endpoint sends on a stream of its own takes precedence over the metrics that proxies pass on. Its rates
+//     are used only if no proxy reports on the endpoint. It becomes stale in the same way as a proxy's report.
+//   - The failure share is computed over the outcomes of all proxies, so that one proxy with a broken network does not condemn
+//     an endpoint that serves the others.
+//   - An endpoint that fails many requests and still serves a fraction of what the others serve is overloaded, not broken, as
+//     proxies count rejected requests among the failures. Its failure share is capped at half, which is not enough to eject it:
+//     the other endpoints would take over its requests and become overloaded in turn.
 package loads
 
 import (
@@ -23,17 +23,18 @@
 	"time"
 )
 
-// stale is how many of its intervals a proxy's report counts for. One may be late; two missing are silence.
-const stale = 3
+// staleIntervals is the age, in reporting intervals, at which a report becomes stale. One report may be late; two missing ones
+// mean that the reporter is silent.
+const staleIntervals = 3
 
-// An endpoint that serves at least serves of what the mean endpoint does is full rather than broken: one that crawls
-// under its queue passes, one whose few good answers are chance does not.
-const serves = 0.1
+// minServedRatio is the request rate, relative to the mean over endpoints, from which a failing endpoint counts as overloaded
+// rather than broken. An endpoint that is slow under a long queue reaches it; one that answers a few requests by chance does not.
+const minServedRatio = 0.1
 
-// fullFailed is the share of failures that an endpoint which is full has at the most.
-const fullFailed = 0.5
+// maxOverloadedFailureShare caps the failure share of an overloaded endpoint.
+const maxOverloadedFailureShare = 0.5
 
-// Stats is what a proxy saw of an endpoint over an interval.
+// Stats is what a proxy measured of an endpoint over an interval.
 type Stats struct {
 	InProgress uint64 // at the end of the interval
 	OK         uint64
@@ -41,156 +42,156 @@
 	Metrics    map[string]Metric
 }
 
-// Metric is the samples of a metric that an endpoint told of itself.
+// Metric sums up the samples of a metric that an endpoint reported.
 type Metric struct {
 	Samples uint64
 	Sum     float64
 }
 
-// Reading is what all proxies together saw of an endpoint.
+// EndpointLoad is the merged load of an endpoint.
 type EndpointLoad struct {
-	Proxies      int // whose reports count
+	Proxies      int // number of proxies whose reports count
 	Inflight     float64
-	QPS          float64 // requests served a second
-	EPS          float64 // failures a second
-	Outcomes     uint64  // over the last intervals
-	FailureShare float64 // share of failures among them, fullFailed at the most where it is full
+	QPS          float64 // requests served per second
+	EPS          float64 // failures per second
+	Outcomes     uint64  // over the last interval of each proxy
+	FailureShare float64 // of Outcomes; at most maxOverloadedFailureShare if the endpoint is overloaded
 	Metrics      map[string]float64
 }
 
-// sample is a metric of an endpoint.
-type sample struct{ endpoint, name string }
+// metricKey identifies a metric of an endpoint.
+type metricKey struct{ endpoint, name string }
 
-// report is the last one of a proxy for a cluster.
-type report struct {
-	at       time.Duration
-	interval time.Duration
-	stats    map[string]Stats
+// proxyReport is the last report of a proxy on a cluster.
+type proxyReport struct {
+	receivedAt time.Duration
+	interval   time.Duration
+	stats      map[string]Stats
 }
 
-// Own is what an endpoint told of itself.
+// EndpointReport is what an endpoint reports of itself on a stream of its own.
 type EndpointReport struct {
 	QPS, EPS float64
 	Metrics  map[string]float64
 }
 
-// own is the last one of an endpoint.
-type own struct {
-	at       time.Duration
-	interval time.Duration
+// receivedEndpointReport is the last EndpointReport of an endpoint.
+type receivedEndpointReport struct {
+	receivedAt time.Duration
+	interval   time.Duration
 	EndpointReport
 }
 
-// Loads holds the last reports. It is not safe for concurrent use.
+// Aggregator holds the last reports. It is not safe for concurrent use.
 type Aggregator struct {
-	proxies map[string]map[string]report // by proxy and cluster
-	own     map[string]map[string]own    // by cluster and endpoint
+	proxies         map[string]map[string]proxyReport            // by proxy and cluster
+	endpointReports map[string]map[string]receivedEndpointReport // by cluster and endpoint
 }
 
-// New returns a Loads without reports.
+// New returns an Aggregator without reports.
 func New() *Aggregator {
-	return &Aggregator{proxies: map[string]map[string]report{}, own: map[string]map[string]own{}}
+	return &Aggregator{proxies: map[string]map[string]proxyReport{}, endpointReports: map[string]map[string]receivedEndpointReport{}}
 }
 
-// TakeOwn takes what an endpoint of a cluster told of itself. An interval that is not above 0 makes it void.
-func (l *Aggregator) RecordEndpointReport(now time.Duration, cluster, endpoint string, interval time.Duration, o EndpointReport) {
+// RecordEndpointReport records what an endpoint of a cluster reports of itself. It ignores a report whose interval is not above 0.
+func (a *Aggregator) RecordEndpointReport(now time.Duration, cluster, endpoint string, interval time.Duration, report EndpointReport) {
 	if interval <= 0 {
 		return
 	}
-	if l.own[cluster] == nil {
-		l.own[cluster] = map[string]own{}
+	if a.endpointReports[cluster] == nil {
+		a.endpointReports[cluster] = map[string]receivedEndpointReport{}
 	}
-	l.own[cluster][endpoint] = own{now, interval, o}
+	a.endpointReports[cluster][endpoint] = receivedEndpointReport{now, interval, report}
 }
 
-// Take takes a proxy's report on a cluster. An interval that is not above 0 makes the report void.
-func (l *Aggregator) RecordProxyReport(now time.Duration, proxy, cluster string, interval time.Duration, stats map[string]Stats) {
+// RecordProxyReport records a proxy's report on a cluster. It ignores a report whose interval is not above 0.
+func (a *Aggregator) RecordProxyReport(now time.Duration, proxy, cluster string, interval time.Duration, stats map[string]Stats) {
 	if interval <= 0 {
 		return
 	}
-	if l.proxies[proxy] == nil {
-		l.proxies[proxy] = map[string]report{}
+	if a.proxies[proxy] == nil {
+		a.proxies[proxy] = map[string]proxyReport{}
 	}
-	l.proxies[proxy][cluster] = report{now, interval, stats}
+	a.proxies[proxy][cluster] = proxyReport{now, interval, stats}
 }
 
-// Leave forgets a proxy that has gone: what it had in progress is no longer known.
-func (l *Aggregator) RemoveProxy(proxy string) { delete(l.proxies, proxy) }
+// RemoveProxy drops the reports of a proxy that has left: its requests in progress are no longer known.
+func (a *Aggregator) RemoveProxy(proxy string) { delete(a.proxies, proxy) }
 
-// Merge gives the readings of a cluster's endpoints. Reports that are stale are forgotten.
-func (l *Aggregator) Merge(now time.Duration, cluster string) map[string]EndpointLoad {
+// Merge returns the loads of a cluster's endpoints by endpoint. It drops the cluster's stale reports.
+func (a *Aggregator) Merge(now time.Duration, cluster string) map[string]EndpointLoad {
 	out := map[string]EndpointLoad{}
-	sums := map[sample]Metric{}
+	sums := map[metricKey]Metric{}
 	failed := map[string]uint64{}
-	for proxy, clusters := range l.proxies {
-		r, there := clusters[cluster]
-		if !there {
+	for proxy, clusters := range a.proxies {
+		report, found := clusters[cluster]
+		if !found {
 			continue
 		}
-		if now-r.at >= stale*r.interval {
+		if now-report.receivedAt >= staleIntervals*report.interval {
 			if delete(clusters, cluster); len(clusters) == 0 {
-				delete(l.proxies, proxy)
+				delete(a.proxies, proxy)
 			}
 			continue
 		}
-		seconds := r.interval.Seconds()
-		for endpoint, s := range r.stats {
-			x := out[endpoint]
-			x.Proxies++
-			x.Inflight += float64(s.InProgress)
-			x.QPS += float64(s.OK) / seconds
-			x.EPS += float64(s.Failed) / seconds
-			x.Outcomes += s.OK + s.Failed
+		seconds := report.interval.Seconds()
+		for endpoint, s := range report.stats {
+			load := out[endpoint]
+			load.Proxies++
+			load.Inflight += float64(s.InProgress)
+			load.QPS += float64(s.OK) / seconds
+			load.EPS += float64(s.Failed) / seconds
+			load.Outcomes += s.OK + s.Failed
 			failed[endpoint] += s.Failed
-			out[endpoint] = x
+			out[endpoint] = load
 			for name, m := range s.Metrics {
 				if m.Samples == 0 || !(m.Sum >= 0) || math.IsInf(m.Sum, 0) {
 					continue
 				}
-				sum := sums[sample{endpoint, name}]
-				sums[sample{endpoint, name}] = Metric{sum.Samples + m.Samples, sum.Sum + m.Sum}
+				sum := sums[metricKey{endpoint, name}]
+				sums[metricKey{endpoint, name}] = Metric{sum.Samples + m.Samples, sum.Sum + m.Sum}
 			}
 		}
 	}
-	served := 0.0
-	for _, x := range out {
-		served += x.QPS / float64(len(out))
+	meanServed := 0.0
+	for _, load := range out {
+		meanServed += load.QPS / float64(len(out))
 	}
-	for endpoint, x := range out {
-		if x.Outcomes > 0 {
-			x.FailureShare = float64(failed[endpoint]) / float64(x.Outcomes)
+	for endpoint, load := range out {
+		if load.Outcomes > 0 {
+			load.FailureShare = float64(failed[endpoint]) / float64(load.Outcomes)
 		}
-		if x.QPS > 0 && x.QPS >= serves*served {
-			x.FailureShare = min(x.FailureShare, fullFailed)
+		if load.QPS > 0 && load.QPS >= minServedRatio*meanServed {
+			load.FailureShare = min(load.FailureShare, maxOverloadedFailureShare)
 		}
-		x.Metrics = map[string]float64{}
-		out[endpoint] = x
+		load.Metrics = map[string]float64{}
+		out[endpoint] = load
 	}
-	for k, m := range sums {
-		out[k.endpoint].Metrics[k.name] = m.Sum / float64(m.Samples)
+	for key, m := range sums {
+		out[key.endpoint].Metrics[key.name] = m.Sum / float64(m.Samples)
 	}
-	for endpoint, o := range l.own[cluster] {
-		if now-o.at >= stale*o.interval {
-			delete(l.own[cluster], endpoint)
+	for endpoint, own := range a.endpointReports[cluster] {
+		if now-own.receivedAt >= staleIntervals*own.interval {
+			delete(a.endpointReports[cluster], endpoint)
 			continue
 		}
-		x, seen := out[endpoint]
+		load, seen := out[endpoint]
 		if !seen {
-			x = EndpointLoad{Inflight: o.Metrics["inflight"], QPS: max(0, o.EndpointReport.QPS-o.EPS), EPS: o.EPS, Metrics: map[string]float64{}}
+			load = EndpointLoad{Inflight: own.Metrics["inflight"], QPS: max(0, own.EndpointReport.QPS-own.EPS), EPS: own.EPS, Metrics: map[string]float64{}}
 		}
-		maps.Copy(x.Metrics, o.Metrics)
-		out[endpoint] = x
+		maps.Copy(load.Metrics, own.Metrics)
+		out[endpoint] = load
 	}
 	return out
 }
 
-// Age tells how old each proxy's newest report is.
-func (l *Aggregator) ReportAges(now time.Duration) map[string]time.Duration {
+// ReportAges returns the age of each proxy's newest report.
+func (a *Aggregator) ReportAges(now time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for proxy, clusters := range l.proxies {
-		for _, r := range clusters {
-			if age, there := out[proxy]; !there || now-r.at < age {
-				out[proxy] = now - r.at
+	for proxy, clusters := range a.proxies {
+		for _, report := range clusters {
+			if age, found := out[proxy]; !found || now-report.receivedAt < age {
+				out[proxy] = now - report.receivedAt
 			}
 		}
 	}
