--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -115,7 +115,7 @@
 // reload loads the file and logs why it could not.
 func (s *Source) reload() {
 	if err := s.load(); err != nil {
-		s.log.Error("endpoint list rejected, the old one stays", "error", yamlfile.OneLine(err))
+		s.log.Error("endpoint list rejected, the previous list stays in force", "error", yamlfile.OneLine(err))
 	}
 }
 
