--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -173,7 +173,7 @@
 
 // fieldName tells whether a text can be the name of a header field that this program does not write itself.
 func fieldName(s string) bool {
-	return s != "" && !strings.ContainsAny(s, " \t:,;=\r\n") && !slices.Contains(protocol.OwnFields(), textproto.CanonicalMIMEHeaderKey(s))
+	return s != "" && !strings.ContainsAny(s, " \t:,;=\r\n") && !slices.Contains(protocol.ReservedFields(), textproto.CanonicalMIMEHeaderKey(s))
 }
 
 func (f *File) checkRoute(r *Route, at string, bad bad) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("%+v", f)
 	}
 	m := a.Module(f.SeedOf("portail"))
-	if m.Zone != 1 || m.Classes[1].Effect != balance.Keyed || m.Classes[1].Window != 5*time.Second || !m.Ask || m.Report.Fields[1] != balance.Inflight {
+	if m.Zone != 1 || m.Classes[1].Effect != balance.Keyed || m.Classes[1].DedupWindow != 5*time.Second || !m.PollDiscovery || m.Report.Fields[1] != balance.Inflight {
 		t.Errorf("%+v", m)
 	}
 	if f.SeedOf("portail") == f.SeedOf("partner") {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -96,10 +96,10 @@
 }
 
 // Parts are the pools' shares of a limit, by name.
-func (w *Whole) Parts(f *File) map[string]share.Part {
-	out := make(map[string]share.Part, len(f.Pools))
+func (w *Whole) Parts(f *File) map[string]share.Share {
+	out := make(map[string]share.Share, len(f.Pools))
 	for i := range f.Pools {
-		out[f.Pools[i].Name] = share.Part(*w.Of(&f.Pools[i]))
+		out[f.Pools[i].Name] = share.Share(*w.Of(&f.Pools[i]))
 	}
 	return out
 }
@@ -128,8 +128,8 @@
 		for i := range f.Pools {
 			if s := w.Of(&f.Pools[i]); s.Guaranteed == 0 {
 				s.Guaranteed = max(1, left/2/open)
-				if s.Most > 0 {
-					s.Guaranteed = min(s.Guaranteed, s.Most)
+				if s.Max > 0 {
+					s.Guaranteed = min(s.Guaranteed, s.Max)
 				}
 			}
 		}
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -230,7 +230,7 @@
 	// Guaranteed units, which the pool gets back with the next that another gives back.
 	Guaranteed int `yaml:"guaranteed,omitempty"`
 	// Most units, borrowed ones included; left out, all that are idle.
-	Most int `yaml:"most,omitempty"`
+	Max int `yaml:"most,omitempty"`
 }
 
 // Route leads requests to a pool. All conditions that are given have to fit.
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -122,7 +122,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings are missing")
 	}
-	if c.Module, err = wire.Settings(f.Settings, seed); err != nil {
+	if c.Module, err = wire.ParseSettings(f.Settings, seed); err != nil {
 		return nil, err
 	}
 	var s socketSettings
