--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -51,12 +51,12 @@
 }
 
 // Module is the decision module's settings for a pool. News of destinations has to be asked for where discovery gives it.
-func (p *Pool) Module(seed uint64) balance.Settings {
+func (p *Pool) BalancerSettings(seed uint64) balance.Settings {
 	s := balance.Settings{
 		Seed: seed, Index: p.Sidecars.Me, Balancers: p.Sidecars.Of, Zone: max(slices.Index(p.Zones, p.Zone), 0),
 		Objective: balance.Objective{Overall: 1},
 		Penalties: balance.Penalties{Waste: 0.02, LateFailure: 0.03, Probe: 0.001},
-		Report:    balance.Report{Source: vias[p.Reports.Via]},
+		Report:    balance.Report{Source: vias[p.Reports.Source]},
 		Limits: balance.Limits{Probes: p.Probes, Cancel: true, RetryAfter: p.RetryAfter > 0, MaxAttempts: p.Attempts,
 			MaxRetryAfter: p.RetryAfter.D(), RetryShare: p.Retries.Share, RetryBurst: p.Retries.Burst},
 		Rules: balance.Rules{DrainGrace: 500 * time.Millisecond, DiscoveryInterval: 10 * time.Second, SlowStartShare: p.Cold.Share, SlowStartTime: p.Cold.Time.D(),
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -77,7 +77,7 @@
 	}
 	c := membership.Defaults(names...)
 	if x := conf.Members.Merge; x != nil {
-		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMost, x.FlapHold.D()
+		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
 	}
 	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(c),
 		changed: make(chan struct{})}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -122,7 +122,7 @@
 
 // module is a pool's settings for the module. The proxies together are one balancer, which tracks every destination.
 func module(f *config.File, p *config.Pool) balance.Settings {
-	set := p.Module(f.SeedOf(p.Name))
+	set := p.BalancerSettings(f.SeedOf(p.Name))
 	set.Index, set.Balancers = 0, 1
 	set.PollDiscovery = false // news come by themselves, from package membership's sources
 	return set
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wrong := f.Wrong()
+	wrong := f.NewProblemList()
 	var out []routing.Member
 	seen := map[string]bool{}
 	for i, d := range l.Destinations {
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -40,7 +40,7 @@
 // prepare makes a pool that does not run yet. Its list has been read if it is a file.
 func (s *Set) prepare(f *config.File, conf *config.Pool) (*pool, error) {
 	log := s.log.With("pool", conf.Name)
-	module := conf.Module(f.SeedOf(conf.Name))
+	module := conf.BalancerSettings(f.SeedOf(conf.Name))
 	loop, err := routing.New(module, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	options := transport.ConnectionPoolOptions{Clock: s.clock, ConnectTimeout: conf.Connections.Timeout.D(),
 		IdleTimeout: time.Duration(float64(conf.Connections.Idle) * idleShare), ConnectionLimiter: room{s.limits, conf.Name}, ForwardClientErrors: true,
 		LoadFields: conf.Reports.Fields, ProbePath: "/health/live", Log: log}
-	if conf.Reports.Via != "none" {
+	if conf.Reports.Source != "none" {
 		options.ProbePath = "/stats"
 	}
 	var worths []float64
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -148,7 +148,7 @@
 	ways := make([]way, len(f.Routes))
 	for i, r := range f.Routes {
 		p := pools[r.Pool]
-		ways[i] = way{&p.service, p.classes, r.As}
+		ways[i] = way{&p.service, p.classes, r.DefaultClass}
 	}
 	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
 		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -46,24 +46,24 @@
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
 	options := transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleTimeout: c.ConnIdle * 7 / 10,
 		ConnectionLimiter: transport.NewConnLimiter(budget.UpstreamConns), LoadFields: c.LoadFields, ProbePath: "/health/live", Log: log}
-	if c.Module.Report.Source != balance.NoReports {
+	if c.Balancer.Report.Source != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
 	destinations := transport.NewConnectionPool(options)
-	loop, err := routing.New(c.Module, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
+	loop, err := routing.New(c.Balancer, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
 	if err != nil {
 		return err
 	}
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
 	directory := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.DrainGrace = !c.Module.PollDiscovery, c.Module.Rules.DrainGrace
-	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
+	directory.Pushed, directory.DrainGrace = !c.Balancer.PollDiscovery, c.Balancer.Rules.DrainGrace
+	directory.Seed = c.Balancer.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
 	directory.Clock, directory.OnLeaseExpiry = clock, loop.SetLeaseExpiry
-	directory.NoInitialDelay = len(c.Known.Endpoints) == 0
+	directory.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
 	service := &transport.Backend{Loop: loop}
-	if c.Module.Limits.RetryAfter {
-		service.RetryAfter = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
+	if c.Balancer.Limits.RetryAfter {
+		service.RetryAfter = min(stuckAdvice, c.Balancer.Limits.MaxRetryAfter)
 	}
 	front := transport.NewServer(clock, transport.SinglePoolRouter(service, c.Classes), budget, log)
 
@@ -75,12 +75,12 @@
 	}
 	defer ln.Close()
 	go loop.Run(ctx, destinations, directory)
-	loop.UpdateEndpoints(balance.Cached, c.Known.Index, transport.Members(c.Known))
+	loop.UpdateEndpoints(balance.Cached, c.CachedEndpoints.Index, transport.Members(c.CachedEndpoints))
 	if directory.Pushed { // the module asks for no watch; what the agent beside the sidecar has counts as told already
-		directory.Watch(c.Known.Index)
+		directory.Watch(c.CachedEndpoints.Index)
 	}
 	go front.Serve(ln)
-	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Endpoints))
+	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Balancer.Tier, "destinations", len(c.CachedEndpoints.Endpoints))
 
 	untilStopped(ctx, signals, log, loop.PendingRequests, func() error {
 		next, err := Reload(env)
