--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -20,7 +20,7 @@
 const timeout = 2 * time.Second
 
 // atOnce is how many may ask at a time; others are closed.
-const atOnce = 16
+const maxClients = 16
 
 // Answer sends what a word names. It ends with the context, and when sending fails.
 type Handler func(ctx context.Context, send func(any) error) error
@@ -64,14 +64,14 @@
 				time.Sleep(timeout) // a lack of descriptors, say
 				continue
 			}
-			if open.Add(1) > atOnce {
+			if open.Add(1) > maxClients {
 				open.Add(-1)
 				c.Close()
 				continue
 			}
 			go func() {
 				defer open.Add(-1)
-				answer(ctx, c, answers)
+				handleConn(ctx, c, answers)
 			}()
 		}
 	}()
@@ -79,7 +79,7 @@
 }
 
 // answer answers one caller.
-func answer(ctx context.Context, c net.Conn, answers map[string]Handler) {
+func handleConn(ctx context.Context, c net.Conn, answers map[string]Handler) {
 	defer c.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -134,7 +134,7 @@
 }
 
 // errEnough ends Follow after the first value.
-var errEnough = errors.New("enough")
+var errStop = errors.New("enough")
 
 // Ask reads the one value that a word names.
 func Query(path, word string, into any) error {
@@ -144,9 +144,9 @@
 		if err := json.Unmarshal(text, into); err != nil {
 			return err
 		}
-		return errEnough
+		return errStop
 	})
-	if err == errEnough {
+	if err == errStop {
 		return nil
 	}
 	return err
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -16,7 +16,7 @@
 
 // A word gets what it names, once or until whoever asked is gone; another word is refused by name; a second process is not
 // let in; those who connect and say nothing hold up no more than their number.
-func TestWords(t *testing.T) {
+func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	var following atomic.Int32
 	answers := map[string]Handler{StateCommand: SingleValue(func() any { return 7 }), "count": func(ctx context.Context, send func(any) error) error {
@@ -57,7 +57,7 @@
 		t.Errorf("%v, %v", got, err)
 	}
 	testkit.Until(t, "its end is seen", func() bool { return following.Load() == 0 })
-	for range 3 * atOnce {
+	for range 3 * maxClients {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"log/slog"
 )
 
-const good = `name: edge
+const validConfig = `name: edge
 listeners: [{address: "127.0.0.1:8080"}]
 pools:
   - name: portail
@@ -33,13 +33,13 @@
 `
 
 func TestDefaults(t *testing.T) {
-	f, err := Read("/etc/kitewood/edge.yaml", []byte(good))
+	f, err := Read("/etc/kitewood/edge.yaml", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, b := &f.Pools[0], &f.Pools[1]
 	if b.Members.File != "/etc/kitewood/partner.yaml" || a.Classes[0].Methods[0] != "GET" || a.Classes[1].Methods[0] != "POST" ||
-		a.Shares.Operations.Guaranteed != 20 || b.Shares.Operations.Guaranteed != (f.Limits.Operations-20)/2 || b.Attempts != 3 {
+		a.Shares.Requests.Guaranteed != 20 || b.Shares.Requests.Guaranteed != (f.Limits.Requests-20)/2 || b.Attempts != 3 {
 		t.Errorf("%+v", f)
 	}
 	m := a.BalancerSettings(f.SeedOf("portail"))
@@ -57,7 +57,7 @@
 }
 
 // Whatever is wrong is told with the file, the line, the column and the key.
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestErrorsHavePositionAndKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"name: edge", "nam: edge", "c.yaml:1:1: nam: unknown field"},
 		{"name: edge\n", "", "name: is missing"},
@@ -109,10 +109,10 @@
 		{`"*.partner.test"`, `"*partner.test"`, `c.yaml:18:5: routes[1]: host "*partner.test": a wildcard`},
 		{"pools:", "pools: [", "c.yaml:"},
 	} {
-		if !strings.Contains(good, c.from) {
+		if !strings.Contains(validConfig, c.from) {
 			t.Fatalf("%q is not in the text", c.from)
 		}
-		_, err := Read("c.yaml", []byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Read("c.yaml", []byte(strings.Replace(validConfig, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v; want %s", c.to, err, c.want)
 		}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -40,30 +40,30 @@
 
 // Complete fills in what the file of a path leaves out, and names all that is wrong by its key.
 func (f *File) Complete(path string, wrong func(key, format string, args ...any)) {
-	f.fill(filepath.Dir(path))
+	f.setDefaults(filepath.Dir(path))
 	f.check(wrong)
 }
 
 // fill puts in what a file leaves out.
-func (f *File) fill(folder string) {
+func (f *File) setDefaults(folder string) {
 	yamlfile.Default(&f.Limits.Cores, 1)
 	yamlfile.Default(&f.Limits.MemoryMB, 64)
 	yamlfile.Default(&f.Limits.Sockets, 1024)
-	front, _ := f.budget()
-	yamlfile.Default(&f.Limits.Operations, max(1, front*7/8))
+	front, _ := f.connectionLimits()
+	yamlfile.Default(&f.Limits.Requests, max(1, front*7/8))
 	for i := range f.Pools {
-		f.Pools[i].fill(folder)
+		f.Pools[i].setDefaults(folder)
 	}
-	f.fillShares()
+	f.setDefaultShares()
 }
 
-func (p *Pool) fill(folder string) {
+func (p *Pool) setDefaults(folder string) {
 	if m := &p.Members; m.File != "" && !filepath.IsAbs(m.File) {
 		m.File = filepath.Join(folder, m.File)
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		yamlfile.Default(&c.Worth, 1)
+		yamlfile.Default(&c.Utility, 1)
 		if c.Methods == nil {
 			c.Methods = []string{"POST"}
 			if c.Effect == "safe" {
@@ -73,60 +73,60 @@
 	}
 	if c := p.Chain; c != nil {
 		yamlfile.Default(&c.Service, p.Name)
-		yamlfile.Default(&c.Hops, 8)
-		yamlfile.Default(&c.Repeats, 4)
+		yamlfile.Default(&c.MaxHops, 8)
+		yamlfile.Default(&c.MaxRetries, 4)
 	}
-	yamlfile.Default(&p.Sidecars.Of, 1)
+	yamlfile.Default(&p.Sidecars.Count, 1)
 	yamlfile.Default(&p.Attempts, 3)
 	yamlfile.Default(&p.RetryAfter, yamlfile.Milliseconds(2000))
 	yamlfile.Default(&p.Reports.Source, "none")
-	yamlfile.Default(&p.Cold.Share, 0.2)
-	yamlfile.Default(&p.Cold.Time, yamlfile.Milliseconds(20_000))
-	yamlfile.Default(&p.Cold.Multiple, 2.5)
-	yamlfile.Default(&p.Cold.Window, yamlfile.Milliseconds(1500))
+	yamlfile.Default(&p.SlowStart.Share, 0.2)
+	yamlfile.Default(&p.SlowStart.Time, yamlfile.Milliseconds(20_000))
+	yamlfile.Default(&p.SlowStart.OverloadMultiple, 2.5)
+	yamlfile.Default(&p.SlowStart.OverloadWindow, yamlfile.Milliseconds(1500))
 	yamlfile.Default(&p.Connections.Idle, yamlfile.Milliseconds(30_000))
 	yamlfile.Default(&p.Connections.Timeout, yamlfile.Milliseconds(250))
 }
 
 // Whole is a limit that pools share, and each pool's share of it.
-type Whole struct {
-	Key   string // as in shares
-	Units int
-	Of    func(*Pool) *Share
+type SharedLimit struct {
+	Key     string // as in shares
+	Units   int
+	ShareOf func(*Pool) *Share
 }
 
 // Parts are the pools' shares of a limit, by name.
-func (w *Whole) Parts(f *File) map[string]share.Share {
+func (w *SharedLimit) PoolShares(f *File) map[string]share.Share {
 	out := make(map[string]share.Share, len(f.Pools))
 	for i := range f.Pools {
-		out[f.Pools[i].Name] = share.Share(*w.Of(&f.Pools[i]))
+		out[f.Pools[i].Name] = share.Share(*w.ShareOf(&f.Pools[i]))
 	}
 	return out
 }
 
 // Wholes are the limits that pools share.
-func (f *File) Wholes() []Whole {
-	_, connections := f.budget()
-	return []Whole{
-		{"operations", f.Limits.Operations, func(p *Pool) *Share { return &p.Shares.Operations }},
-		{"parked", (f.Limits.Operations + 1) / 2, func(p *Pool) *Share { return &p.Shares.Parked }},
+func (f *File) SharedLimits() []SharedLimit {
+	_, connections := f.connectionLimits()
+	return []SharedLimit{
+		{"operations", f.Limits.Requests, func(p *Pool) *Share { return &p.Shares.Requests }},
+		{"parked", (f.Limits.Requests + 1) / 2, func(p *Pool) *Share { return &p.Shares.Queued }},
 		{"connections", connections, func(p *Pool) *Share { return &p.Shares.Connections }},
 		{"memory_kb", f.Limits.MemoryMB << 10 / 4, func(p *Pool) *Share { return &p.Shares.MemoryKB }},
 	}
 }
 
 // fillShares gives the pools that name no guaranteed part equal parts of half of what the others leave.
-func (f *File) fillShares() {
-	for _, w := range f.Wholes() {
+func (f *File) setDefaultShares() {
+	for _, w := range f.SharedLimits() {
 		left, open := w.Units, 0
 		for i := range f.Pools {
-			s := w.Of(&f.Pools[i])
+			s := w.ShareOf(&f.Pools[i])
 			if left -= s.Guaranteed; s.Guaranteed == 0 {
 				open++
 			}
 		}
 		for i := range f.Pools {
-			if s := w.Of(&f.Pools[i]); s.Guaranteed == 0 {
+			if s := w.ShareOf(&f.Pools[i]); s.Guaranteed == 0 {
 				s.Guaranteed = max(1, left/2/open)
 				if s.Max > 0 {
 					s.Guaranteed = min(s.Guaranteed, s.Max)
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -15,9 +15,9 @@
 
 // The words of the file and what they stand for.
 var (
-	effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	vias    = map[string]balance.ReportSource{"none": balance.NoReports, "answers": balance.OnResponses, "orca": balance.OnResponses, "probes": balance.OnProbes}
-	fields  = map[string]balance.Field{"util": balance.Util, "inflight": balance.Inflight, "queue": balance.Queue,
+	effects       = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
+	reportSources = map[string]balance.ReportSource{"none": balance.NoReports, "answers": balance.OnResponses, "orca": balance.OnResponses, "probes": balance.OnProbes}
+	reportFields  = map[string]balance.Field{"util": balance.Util, "inflight": balance.Inflight, "queue": balance.Queue,
 		"latency_ms": balance.LatencyMS, "qps": balance.QPS, "eps": balance.EPS}
 	// methods are those whose answers are read like those of GET: the answer to HEAD has a length and no body.
 	methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
@@ -25,7 +25,7 @@
 
 const minSockets = transport.MinSockets
 
-func (f *File) budget() (front, destinations int) {
+func (f *File) connectionLimits() (front, destinations int) {
 	b := f.Budget()
 	return b.ClientConns, b.UpstreamConns
 }
@@ -53,26 +53,26 @@
 // Module is the decision module's settings for a pool. News of destinations has to be asked for where discovery gives it.
 func (p *Pool) BalancerSettings(seed uint64) balance.Settings {
 	s := balance.Settings{
-		Seed: seed, Index: p.Sidecars.Me, Balancers: p.Sidecars.Of, Zone: max(slices.Index(p.Zones, p.Zone), 0),
+		Seed: seed, Index: p.Sidecars.Index, Balancers: p.Sidecars.Count, Zone: max(slices.Index(p.Zones, p.Zone), 0),
 		Objective: balance.Objective{Overall: 1},
 		Penalties: balance.Penalties{Waste: 0.02, LateFailure: 0.03, Probe: 0.001},
-		Report:    balance.Report{Source: vias[p.Reports.Source]},
+		Report:    balance.Report{Source: reportSources[p.Reports.Source]},
 		Limits: balance.Limits{Probes: p.Probes, Cancel: true, RetryAfter: p.RetryAfter > 0, MaxAttempts: p.Attempts,
 			MaxRetryAfter: p.RetryAfter.D(), RetryShare: p.Retries.Share, RetryBurst: p.Retries.Burst},
-		Rules: balance.Rules{DrainGrace: 500 * time.Millisecond, DiscoveryInterval: 10 * time.Second, SlowStartShare: p.Cold.Share, SlowStartTime: p.Cold.Time.D(),
-			OverloadMultiple: p.Cold.Multiple, OverloadWindow: p.Cold.Window.D()},
+		Rules: balance.Rules{DrainGrace: 500 * time.Millisecond, DiscoveryInterval: 10 * time.Second, SlowStartShare: p.SlowStart.Share, SlowStartTime: p.SlowStart.Time.D(),
+			OverloadMultiple: p.SlowStart.OverloadMultiple, OverloadWindow: p.SlowStart.OverloadWindow.D()},
 		PollDiscovery:    p.Members.Discovery != "",
 		UnitsAreCapacity: true,
 	}
-	if p.Inner {
+	if p.InnerTier {
 		s.Tier = 1
 	}
 	for _, name := range p.Reports.Fields {
-		s.Report.Fields = append(s.Report.Fields, fields[name])
+		s.Report.Fields = append(s.Report.Fields, reportFields[name])
 	}
 	for _, c := range p.Classes {
-		s.Classes = append(s.Classes, balance.Class{LatencyTarget: c.Aim.D(), Deadline: c.Deadline.D(), Utility: c.Worth,
-			LateUtility: c.LateWorth, Effect: effects[c.Effect], DedupWindow: c.Window.D()})
+		s.Classes = append(s.Classes, balance.Class{LatencyTarget: c.LatencyTarget.D(), Deadline: c.Deadline.D(), Utility: c.Utility,
+			LateUtility: c.LateUtility, Effect: effects[c.Effect], DedupWindow: c.DedupWindow.D()})
 	}
 	return s
 }
--- a/internal/config/schemagen/main.go
+++ b/internal/config/schemagen/main.go
@@ -14,7 +14,7 @@
 )
 
 // where the types' comments are, from the folder of package config.
-const where = "kitewood/internal/config"
+const configPackage = "kitewood/internal/config"
 
 func main() {
 	text, err := generate(".")
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}}
-	if err := r.AddGoComments(where, folder, jsonschema.WithFullComment()); err != nil {
+	if err := r.AddGoComments(configPackage, folder, jsonschema.WithFullComment()); err != nil {
 		return nil, err
 	}
 	s := r.Reflect(&config.File{})
--- a/internal/config/schemagen/main_test.go
+++ b/internal/config/schemagen/main_test.go
@@ -8,7 +8,7 @@
 )
 
 // The schema that ships is that of the types, with a description of every key.
-func TestShippedSchemaIsThatOfTheTypes(t *testing.T) {
+func TestCommittedSchemaIsUpToDate(t *testing.T) {
 	t.Chdir("..")
 	want, err := generate(".")
 	if err != nil {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -36,7 +36,7 @@
 	// Sockets are all descriptors of the process, 1024 if left out.
 	Sockets int `yaml:"sockets,omitempty"`
 	// Operations open at a time in all pools; at most, and if left out, seven eighths of the clients' connections.
-	Operations int `yaml:"operations,omitempty"`
+	Requests int `yaml:"operations,omitempty"`
 }
 
 // Listener is a listener.
@@ -70,13 +70,13 @@
 	// Reports of load that destinations give.
 	Reports Reports `yaml:"reports,omitempty"`
 	// Cold is how destinations are that have just started.
-	Cold Cold `yaml:"cold,omitempty"`
+	SlowStart SlowStart `yaml:"cold,omitempty"`
 	// Connections to the pool's destinations.
 	Connections Connections `yaml:"connections,omitempty"`
 	// Shares of the process's limits.
 	Shares Shares `yaml:"shares,omitempty"`
 	// Inner says that the callers are services, not clients: nothing is refused because answers are foretold late, as what the caller has done would be lost.
-	Inner bool `yaml:"inner,omitempty"`
+	InnerTier bool `yaml:"inner,omitempty"`
 	// Chain is the word that services pass on with their calls; left out, none is read or written.
 	Chain *Chain `yaml:"chain,omitempty"`
 	// Origin is the header field that names whom a request comes from, such as a customer's number. In overload all sidecars refuse the same origins, for a minute.
@@ -92,11 +92,11 @@
 	// Service is the name that operations carry from here on, the pool's if left out. One that comes back to it is refused with 508.
 	Service string `yaml:"service,omitempty"`
 	// Hops are the services that an operation may pass, 8 if left out.
-	Hops int `yaml:"hops,omitempty"`
+	MaxHops int `yaml:"hops,omitempty"`
 	// Repeats that one operation may cause in all services together, 4 if left out.
-	Repeats int `yaml:"repeats,omitempty"`
+	MaxRetries int `yaml:"repeats,omitempty"`
 	// RepeatDeclined has what a service below has declined tried elsewhere, instead of passed up.
-	RepeatDeclined bool `yaml:"repeat_declined,omitempty"`
+	RetryDeclined bool `yaml:"repeat_declined,omitempty"`
 }
 
 // Retries are repeats of what may have run; what never ran costs none.
@@ -164,23 +164,23 @@
 	// Effect is safe (may be repeated freely), keyed (destinations drop repeats) or unsafe (must never run twice).
 	Effect string `yaml:"effect"`
 	// Window in which destinations drop repeats of a keyed class.
-	Window Duration `yaml:"window,omitempty"`
+	DedupWindow Duration `yaml:"window,omitempty"`
 	// Aim: an answer within it earns the full worth.
-	Aim Duration `yaml:"aim"`
+	LatencyTarget Duration `yaml:"aim"`
 	// Deadline: how long a client waits that does not say.
 	Deadline Duration `yaml:"deadline"`
 	// Worth of an answer against other classes, 1 if left out.
-	Worth float64 `yaml:"worth,omitempty"`
+	Utility float64 `yaml:"worth,omitempty"`
 	// LateWorth is the share of the worth that an answer after the aim still has.
-	LateWorth float64 `yaml:"late_worth,omitempty"`
+	LateUtility float64 `yaml:"late_worth,omitempty"`
 }
 
 // Sidecars is this process's place among those that send to the same destinations.
 type Sidecars struct {
 	// Me is this one's number, from 0.
-	Me int `yaml:"me,omitempty"`
+	Index int `yaml:"me,omitempty"`
 	// Of is how many there are, 1 if left out.
-	Of int `yaml:"of,omitempty"`
+	Count int `yaml:"of,omitempty"`
 }
 
 // Reports of load.
@@ -194,15 +194,15 @@
 }
 
 // Cold is what a destination can do that has just started.
-type Cold struct {
+type SlowStart struct {
 	// Share of its work at its start, 0.2 if left out.
 	Share float64 `yaml:"share,omitempty"`
 	// Time until it can do all of it, 20s if left out.
 	Time Duration `yaml:"time,omitempty"`
 	// Multiple of what it can do that tips it over, 2.5 if left out.
-	Multiple float64 `yaml:"multiple,omitempty"`
+	OverloadMultiple float64 `yaml:"multiple,omitempty"`
 	// Window that it must last for, 1.5s if left out.
-	Window Duration `yaml:"window,omitempty"`
+	OverloadWindow Duration `yaml:"window,omitempty"`
 }
 
 // Connections to destinations.
@@ -216,9 +216,9 @@
 // Shares of the process's limits. Left out, half of each limit is guaranteed to the pools in equal parts.
 type Shares struct {
 	// Operations open at a time.
-	Operations Share `yaml:"operations,omitempty"`
+	Requests Share `yaml:"operations,omitempty"`
 	// Parked are open operations that wait for a destination; there are half as many as operations.
-	Parked Share `yaml:"parked,omitempty"`
+	Queued Share `yaml:"parked,omitempty"`
 	// Connections to destinations.
 	Connections Share `yaml:"connections,omitempty"`
 	// MemoryKB for bodies of requests.
--- a/internal/pools/chain_test.go
+++ b/internal/pools/chain_test.go
@@ -12,14 +12,14 @@
 )
 
 // behind is a stand-in that notes the words it is sent, by path, and declines, fails or serves.
-type behind struct {
-	mu    sync.Mutex
-	words map[string][]string
+type downstreamStub struct {
+	mu           sync.Mutex
+	chainHeaders map[string][]string
 }
 
-func (b *behind) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *downstreamStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
-	b.words[r.URL.Path] = append(b.words[r.URL.Path], r.Header.Get("X-Chain"))
+	b.chainHeaders[r.URL.Path] = append(b.chainHeaders[r.URL.Path], r.Header.Get("X-Chain"))
 	b.mu.Unlock()
 	switch r.URL.Path {
 	case "/declined":
@@ -31,19 +31,19 @@
 	}
 }
 
-func (b *behind) came(path string) []string {
+func (b *downstreamStub) headersFor(path string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.words[path]
+	return b.chainHeaders[path]
 }
 
 // An operation's word goes on with each attempt; one that has come back, has no time left or cannot be read goes no further;
 // what a service below has declined is the answer; repeats end with what the word allows.
 func TestChain(t *testing.T) {
-	b := &behind{words: map[string][]string{}}
+	b := &downstreamStub{chainHeaders: map[string][]string{}}
 	server := httptest.NewServer(b)
 	defer server.Close()
-	p := start(t, map[string]*service{"web": {address: server.Listener.Addr().String()}}, `pools:
+	p := startProcess(t, map[string]*stubService{"web": {address: server.Listener.Addr().String()}}, `pools:
   - name: web
     members: {file: web.yaml}
     classes: [{name: any, effect: safe, aim: 5s, deadline: 9s, worth: 3}]
@@ -76,7 +76,7 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	if w, err := chain.Parse(b.came("/ok0")[0]); err != nil || w.Retries != 1 || w.Utility != 3 || strings.Join(w.Via, ",") != "a" || w.TimeLeft <= 0 {
+	if w, err := chain.Parse(b.headersFor("/ok0")[0]); err != nil || w.Retries != 1 || w.Utility != 3 || strings.Join(w.Via, ",") != "a" || w.TimeLeft <= 0 {
 		t.Errorf("%+v %v", w, err)
 	}
 	for _, c := range []struct {
@@ -96,12 +96,12 @@
 		{"/error", "left=5000;repeats=0;worth=2;token=y;via=b", 503, "2", true, 4},
 	} {
 		r := ask(c.path, c.word)
-		if got := b.came(c.path); r.StatusCode != c.status || r.Header.Get("Retry-After") != c.after || (r.Header.Get("X-Chain") == "declined") != c.declined ||
+		if got := b.headersFor(c.path); r.StatusCode != c.status || r.Header.Get("Retry-After") != c.after || (r.Header.Get("X-Chain") == "declined") != c.declined ||
 			len(got) != c.attempts {
 			t.Errorf("%s %q: %d %v, %d attempts, want %+v", c.path, c.word, r.StatusCode, r.Header, len(got), c)
 		}
 	}
-	if w, err := chain.Parse(b.came("/further")[0]); err != nil || w.Utility != 2 || strings.Join(w.Via, ",") != "b,c,a" {
+	if w, err := chain.Parse(b.headersFor("/further")[0]); err != nil || w.Utility != 2 || strings.Join(w.Via, ",") != "b,c,a" {
 		t.Errorf("%+v %v", w, err)
 	}
 }
--- a/internal/pools/limits.go
+++ b/internal/pools/limits.go
@@ -13,28 +13,28 @@
 )
 
 // limits hold what the pools share. They are the driver of the share package's core.
-type limits struct {
-	mu  sync.Mutex
-	now func() time.Duration
-	all map[string]*share.Limit // by the key in shares
+type sharedLimits struct {
+	mu    sync.Mutex
+	now   func() time.Duration
+	byKey map[string]*share.Limit // by the key in shares
 
-	evict func(pool string) bool // closes an idle connection of a pool
+	evictIdle func(pool string) bool // closes an idle connection of a pool
 }
 
-func newLimits(now func() time.Duration, evict func(string) bool) *limits {
-	return &limits{now: now, all: map[string]*share.Limit{}, evict: evict}
+func newSharedLimits(now func() time.Duration, evict func(string) bool) *sharedLimits {
+	return &sharedLimits{now: now, byKey: map[string]*share.Limit{}, evictIdle: evict}
 }
 
 // set divides the limits as a configuration has it.
-func (l *limits) set(f *config.File) error {
+func (l *sharedLimits) update(f *config.File) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, w := range f.Wholes() {
+	for _, w := range f.SharedLimits() {
 		var err error
-		if limit := l.all[w.Key]; limit != nil {
-			err = limit.Resize(w.Units, w.Parts(f))
+		if limit := l.byKey[w.Key]; limit != nil {
+			err = limit.Resize(w.Units, w.PoolShares(f))
 		} else {
-			l.all[w.Key], err = share.New(w.Units, w.Parts(f))
+			l.byKey[w.Key], err = share.New(w.Units, w.PoolShares(f))
 		}
 		if err != nil {
 			return err
@@ -44,23 +44,23 @@
 }
 
 // uses is what each pool holds of a limit.
-func (l *limits) uses(key string) (whole, used int, pools map[string]share.Usage) {
+func (l *sharedLimits) usage(key string) (whole, used int, pools map[string]share.Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	whole, used = l.all[key].Total()
-	return whole, used, l.all[key].Usage()
+	whole, used = l.byKey[key].Total()
+	return whole, used, l.byKey[key].Usage()
 }
 
 // gate is a pool's share of operations, of those parked, and of memory. It implements transport.Gate.
-type gate struct {
-	*limits
+type admissionController struct {
+	*sharedLimits
 	pool string
 }
 
-var _ transport.AdmissionController = gate{}
+var _ transport.AdmissionController = admissionController{}
 
 // Enter takes an operation's room, all of it or none.
-func (g gate) Admit(body int) (transport.Admission, bool) {
+func (g admissionController) Admit(body int) (transport.Admission, bool) {
 	kb := (body + 1023) >> 10
 	units := [...]struct {
 		key string
@@ -69,80 +69,80 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, u := range units {
-		if g.all[u.key].Acquire(g.now(), g.pool, u.n) {
+		if g.byKey[u.key].Acquire(g.now(), g.pool, u.n) {
 			continue
 		}
 		for _, taken := range units[:i] {
-			g.all[taken.key].Release(g.pool, taken.n)
+			g.byKey[taken.key].Release(g.pool, taken.n)
 		}
 		return nil, false
 	}
-	return &pass{gate: g, kb: kb}, true
+	return &admission{admissionController: g, bodyKB: kb}, true
 }
 
 // pass implements transport.Pass.
-type pass struct {
-	gate
-	kb     int
-	parked atomic.Bool // given back
+type admission struct {
+	admissionController
+	bodyKB   int
+	dequeued atomic.Bool // given back
 }
 
 // Sent gives back the operation's place among the parked.
-func (p *pass) Sent() {
+func (p *admission) Sent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unpark()
+	p.releaseQueued()
 }
 
-func (p *pass) unpark() {
-	if !p.parked.Swap(true) {
-		p.all["parked"].Release(p.pool, 1)
+func (p *admission) releaseQueued() {
+	if !p.dequeued.Swap(true) {
+		p.byKey["parked"].Release(p.pool, 1)
 	}
 }
 
 // Leave gives back all.
-func (p *pass) Release() {
+func (p *admission) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unpark()
-	p.all["operations"].Release(p.pool, 1)
-	p.all["memory_kb"].Release(p.pool, p.kb)
+	p.releaseQueued()
+	p.byKey["operations"].Release(p.pool, 1)
+	p.byKey["memory_kb"].Release(p.pool, p.bodyKB)
 }
 
 // room is a pool's share of connections. It implements transport.Room.
-type room struct {
-	*limits
+type connLimiter struct {
+	*sharedLimits
 	pool string
 }
 
-var _ transport.ConnLimiter = room{}
+var _ transport.ConnLimiter = connLimiter{}
 
 // Take takes one. Where others have borrowed what is the pool's own, one that stands idle is closed for it.
-func (r room) Acquire() bool {
-	if r.take() {
+func (r connLimiter) Acquire() bool {
+	if r.tryAcquire() {
 		return true
 	}
-	_, _, uses := r.uses("connections")
+	_, _, uses := r.usage("connections")
 	if own := uses[r.pool]; own.Used >= own.Guaranteed {
 		return false
 	}
 	for name, u := range uses {
-		if name != r.pool && u.Borrowed > 0 && r.evict(name) {
-			return r.take()
+		if name != r.pool && u.Borrowed > 0 && r.evictIdle(name) {
+			return r.tryAcquire()
 		}
 	}
 	return false
 }
 
-func (r room) take() bool {
+func (r connLimiter) tryAcquire() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.all["connections"].Acquire(r.now(), r.pool, 1)
+	return r.byKey["connections"].Acquire(r.now(), r.pool, 1)
 }
 
 // Give gives one back.
-func (r room) Release() {
+func (r connLimiter) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all["connections"].Release(r.pool, 1)
+	r.byKey["connections"].Release(r.pool, 1)
 }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -21,16 +21,16 @@
 )
 
 // service is a stand-in for the destinations of a pool.
-type service struct {
+type stubService struct {
 	address string
 	open    atomic.Int32
 	served  atomic.Int32
-	frozen  chan struct{} // closed when it thaws; nil while it serves
+	resume  chan struct{} // closed when it thaws; nil while it serves
 }
 
-func serve(t *testing.T, name string, frozen chan struct{}) *service {
+func startStubService(t *testing.T, name string, frozen chan struct{}) *stubService {
 	t.Helper()
-	s := &service{frozen: frozen}
+	s := &stubService{resume: frozen}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,20 +54,20 @@
 }
 
 // process is a Set with its configuration in a folder.
-type process struct {
+type testProcess struct {
 	*Set
 	t       *testing.T
 	dir     string
 	address string
 }
 
-func start(t *testing.T, services map[string]*service, text string) *process {
+func startProcess(t *testing.T, services map[string]*stubService, text string) *testProcess {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, dir: t.TempDir(), address: ln.Addr().String()}
+	p := &testProcess{t: t, dir: t.TempDir(), address: ln.Addr().String()}
 	ln.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -83,14 +83,14 @@
 			t.Fatal(err)
 		}
 	}
-	if err := p.take(text); err != nil {
+	if err := p.apply(text); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
 // take applies a configuration of pools and routes.
-func (p *process) take(text string) error {
+func (p *testProcess) apply(text string) error {
 	p.t.Helper()
 	f, err := config.Read(filepath.Join(p.dir, "c.yaml"), []byte(fmt.Sprintf("name: t\nlisteners: [{address: %q}]\n%s", p.address, text)))
 	if err != nil {
@@ -99,14 +99,14 @@
 	return p.Apply(f)
 }
 
-const class = "classes: [{name: any, effect: unsafe, methods: [GET, POST], aim: 1s, deadline: %s}]"
+const classFormat = "classes: [{name: any, effect: unsafe, methods: [GET, POST], aim: 1s, deadline: %s}]"
 
-func entry(name, deadline, more string) string {
-	return fmt.Sprintf("  - {name: %s, members: {file: %s.yaml}, "+class+more+"}\n", name, name, deadline)
+func poolEntry(name, deadline, more string) string {
+	return fmt.Sprintf("  - {name: %s, members: {file: %s.yaml}, "+classFormat+more+"}\n", name, name, deadline)
 }
 
 // ask sends one request on a connection of its own.
-func (p *process) ask(host, path string) (status int, body string, head http.Header) {
+func (p *testProcess) get(host, path string) (status int, body string, head http.Header) {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -124,45 +124,45 @@
 	return r.StatusCode, string(text), r.Header
 }
 
-func (p *process) want(host, path string, status int, body string) {
+func (p *testProcess) expect(host, path string, status int, body string) {
 	p.t.Helper()
-	if got, text, _ := p.ask(host, path); got != status || body != "" && text != body {
+	if got, text, _ := p.get(host, path); got != status || body != "" && text != body {
 		p.t.Errorf("%s%s: %d %q, want %d %q", host, path, got, text, status, body)
 	}
 }
 
 // Requests reach the pool of their route, a destination's own answer comes through, and what no route fits goes nowhere.
 func TestRequestsReachTheirPool(t *testing.T) {
-	a, b := serve(t, "a", nil), serve(t, "b", nil)
-	p := start(t, map[string]*service{"a": a, "b": b}, "pools:\n"+entry("a", "2s", "")+entry("b", "2s", "")+
+	a, b := startStubService(t, "a", nil), startStubService(t, "b", nil)
+	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "2s", "")+poolEntry("b", "2s", "")+
 		"routes: [{path: /a, pool: a}, {hosts: [b.test], pool: b}]\n")
-	p.want("x", "/a/1", 200, "a")
-	p.want("b.test", "/teapot", 418, "b")
-	p.want("b.test", "http://b.test/abs", 200, "b")
-	p.want("x", "/other", 404, "")
-	p.want("x", "/a/../other", 400, "")
+	p.expect("x", "/a/1", 200, "a")
+	p.expect("b.test", "/teapot", 418, "b")
+	p.expect("b.test", "http://b.test/abs", 200, "b")
+	p.expect("x", "/other", 404, "")
+	p.expect("x", "/a/../other", 400, "")
 	if n := a.served.Load() + b.served.Load(); n != 3 {
 		t.Errorf("%d requests reached a destination, want 3", n)
 	}
 }
 
 // A frozen pool is full at its share and answers busy at once with advice; the others serve on.
-func TestFrozenPoolHarmsNoOther(t *testing.T) {
+func TestFrozenPoolDoesNotAffectOthers(t *testing.T) {
 	thaw := make(chan struct{})
-	a, b := serve(t, "a", thaw), serve(t, "b", nil)
-	p := start(t, map[string]*service{"a": a, "b": b}, "pools:\n"+entry("a", "5s", ", shares: {operations: {guaranteed: 4, most: 4}}")+entry("b", "2s", "")+
+	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
+	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "5s", ", shares: {operations: {guaranteed: 4, most: 4}}")+poolEntry("b", "2s", "")+
 		"routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n")
 	ended := make(chan int, 4)
 	for range 4 {
-		go func() { status, _, _ := p.ask("x", "/a"); ended <- status }()
+		go func() { status, _, _ := p.get("x", "/a"); ended <- status }()
 	}
-	testkit.Until(t, "four operations are open", func() bool { _, _, u := p.limits.uses("operations"); return u["a"].Used == 4 })
+	testkit.Until(t, "four operations are open", func() bool { _, _, u := p.limits.usage("operations"); return u["a"].Used == 4 })
 	for range 20 {
-		status, _, head := p.ask("x", "/a")
+		status, _, head := p.get("x", "/a")
 		if status != 503 || head.Get("Retry-After") == "" {
 			t.Fatalf("answered %d, Retry-After %q", status, head.Get("Retry-After"))
 		}
-		p.want("x", "/b", 200, "b")
+		p.expect("x", "/b", 200, "b")
 	}
 	close(thaw)
 	for range 4 {
@@ -170,7 +170,7 @@
 	}
 	testkit.Until(t, "all is given back", func() bool {
 		for _, key := range []string{"operations", "parked", "memory_kb"} {
-			if _, used, _ := p.limits.uses(key); used != 0 {
+			if _, used, _ := p.limits.usage(key); used != 0 {
 				return false
 			}
 		}
@@ -184,18 +184,18 @@
 // While pools come, change and go, what is open in them ends by the rules, and a bad configuration changes nothing.
 func TestApplyWhileServing(t *testing.T) {
 	thaw := make(chan struct{})
-	a, b := serve(t, "a", thaw), serve(t, "b", nil)
-	both := "pools:\n" + entry("a", "3s", "") + entry("b", "2s", "") + "routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n"
-	only := "pools:\n" + entry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
-	p := start(t, map[string]*service{"a": a, "b": b}, both)
+	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
+	both := "pools:\n" + poolEntry("a", "3s", "") + poolEntry("b", "2s", "") + "routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n"
+	only := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
+	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, both)
 	kept := p.pools["b"]
 	answered := make(chan string, 1)
-	go func() { _, text, _ := p.ask("x", "/a"); answered <- text }()
+	go func() { _, text, _ := p.get("x", "/a"); answered <- text }()
 	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
-	if err := p.take(only); err != nil {
+	if err := p.apply(only); err != nil {
 		t.Fatal(err)
 	}
-	p.want("x", "/a", 404, "")
+	p.expect("x", "/a", 404, "")
 	if p.pools["b"] != kept {
 		t.Error("a pool that did not change was started anew")
 	}
@@ -203,45 +203,45 @@
 	if text := <-answered; text != "a" {
 		t.Errorf("the operation in the removed pool was answered %q", text)
 	}
-	if err := p.take(both); err != nil {
+	if err := p.apply(both); err != nil {
 		t.Fatal(err)
 	}
-	p.want("x", "/a", 200, "a")
+	p.expect("x", "/a", 200, "a")
 	testkit.Until(t, "the removed pool is forgotten", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.retired) == 0 })
 	before := p.pools["a"]
 	os.Remove(filepath.Join(p.dir, "b.yaml"))
-	bad := "pools:\n" + entry("a", "4s", "") + entry("c", "2s", "") + "routes: [{path: /c, pool: c}]\n"
-	if err := p.take(bad); err == nil || !strings.Contains(err.Error(), `pool "c"`) {
+	bad := "pools:\n" + poolEntry("a", "4s", "") + poolEntry("c", "2s", "") + "routes: [{path: /c, pool: c}]\n"
+	if err := p.apply(bad); err == nil || !strings.Contains(err.Error(), `pool "c"`) {
 		t.Errorf("a pool without its list: %v", err)
 	}
 	if p.pools["a"] != before || p.pools["c"] != nil {
 		t.Error("a refused configuration changed pools")
 	}
-	p.want("x", "/a", 200, "a")
-	if err := p.take("pools:\n" + entry("a", "4s", "") + "routes: [{path: /a, pool: a}]\n"); err != nil || p.pools["a"] == before {
+	p.expect("x", "/a", 200, "a")
+	if err := p.apply("pools:\n" + poolEntry("a", "4s", "") + "routes: [{path: /a, pool: a}]\n"); err != nil || p.pools["a"] == before {
 		t.Errorf("a changed pool was not started anew: %v", err)
 	}
-	p.want("x", "/a", 200, "a")
-	p.want("x", "/b", 404, "")
+	p.expect("x", "/a", 200, "a")
+	p.expect("x", "/b", 404, "")
 }
 
 // A pool that asks for its own connections while others have borrowed them gets one that stands idle.
-func TestIdleConnectionsAreGivenBack(t *testing.T) {
-	a, b := serve(t, "a", nil), serve(t, "b", nil)
-	p := start(t, map[string]*service{"a": a, "b": b}, "limits: {sockets: 64}\npools:\n"+entry("a", "2s", "")+entry("b", "2s", "")+
+func TestIdleBorrowedConnectionIsEvicted(t *testing.T) {
+	a, b := startStubService(t, "a", nil), startStubService(t, "b", nil)
+	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "limits: {sockets: 64}\npools:\n"+poolEntry("a", "2s", "")+poolEntry("b", "2s", "")+
 		"routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n")
-	r := room{p.limits, "a"}
-	p.want("x", "/b", 200, "b") // one idle connection
-	testkit.Until(t, "b's connection is idle", func() bool { _, used, _ := p.limits.uses("connections"); return used == 1 })
-	rb := room{p.limits, "b"}
-	for rb.take() {
+	r := connLimiter{p.limits, "a"}
+	p.expect("x", "/b", 200, "b") // one idle connection
+	testkit.Until(t, "b's connection is idle", func() bool { _, used, _ := p.limits.usage("connections"); return used == 1 })
+	rb := connLimiter{p.limits, "b"}
+	for rb.tryAcquire() {
 	}
-	whole, _, uses := p.limits.uses("connections")
+	whole, _, uses := p.limits.usage("connections")
 	if uses["b"].Borrowed == 0 || whole == uses["b"].Used {
 		t.Fatalf("b borrowed %+v of %d", uses["b"], whole)
 	}
 	n := 0
-	for r.take() {
+	for r.tryAcquire() {
 		n++
 	}
 	if !r.Acquire() || r.Acquire() {
@@ -252,30 +252,30 @@
 // The admin socket shows pools, limits and destinations of the live process, also while a pool is stuck or being retired.
 func TestAdminSocket(t *testing.T) {
 	thaw := make(chan struct{})
-	a, b := serve(t, "a", thaw), serve(t, "b", nil)
-	only := "pools:\n" + entry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
-	p := start(t, map[string]*service{"a": a, "b": b}, "pools:\n"+entry("a", "3s", "")+entry("b", "2s", "")+"routes: [{path: /a, pool: a}]\n")
+	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
+	only := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
+	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "3s", "")+poolEntry("b", "2s", "")+"routes: [{path: /a, pool: a}]\n")
 	path := filepath.Join(p.dir, "admin.sock")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if err := p.Admin(ctx, path); err != nil {
+	if err := p.ServeAdmin(ctx, path); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Admin(ctx, path); err == nil {
+	if err := p.ServeAdmin(ctx, path); err == nil {
 		t.Error("a socket that is in use was taken")
 	}
 	answered := make(chan int, 1)
-	go func() { status, _, _ := p.ask("x", "/a"); answered <- status }()
+	go func() { status, _, _ := p.get("x", "/a"); answered <- status }()
 	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
-	s, err := Ask(path)
-	if err != nil || len(s.Pools) != 2 || s.Pools[0].Name != "a" || s.Pools[0].Open != 1 || s.Pools[0].Destinations[0].InFlight != 1 ||
-		s.Pools[0].Destinations[0].State != "ready" || s.Pools[0].Shares["operations"].Used != 1 || s.Limits["operations"].Used != 1 {
+	s, err := ReadStatus(path)
+	if err != nil || len(s.Pools) != 2 || s.Pools[0].Name != "a" || s.Pools[0].Pending != 1 || s.Pools[0].Endpoints[0].InFlight != 1 ||
+		s.Pools[0].Endpoints[0].State != "ready" || s.Pools[0].Shares["operations"].Used != 1 || s.Limits["operations"].Used != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if err := p.take(only); err != nil {
+	if err := p.apply(only); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Ask(path); err != nil || !s.Pools[0].Retired || s.Pools[0].Open != 1 || s.Pools[1].Retired {
+	if s, err := ReadStatus(path); err != nil || !s.Pools[0].Retired || s.Pools[0].Pending != 1 || s.Pools[1].Retired {
 		t.Errorf("%+v, %v", s, err)
 	}
 	close(thaw)
@@ -283,13 +283,13 @@
 		t.Errorf("answered %d", status)
 	}
 	cancel()
-	testkit.Until(t, "the socket is closed", func() bool { _, err := Ask(path); return err != nil })
+	testkit.Until(t, "the socket is closed", func() bool { _, err := ReadStatus(path); return err != nil })
 }
 
 // A pool whose settings change while discovery says nothing goes on with the list that its predecessor had: what was ready is
 // sent to, and what drains is not.
-func TestChangedPoolKeepsItsList(t *testing.T) {
-	a, gone := serve(t, "a", nil), serve(t, "gone", nil)
+func TestChangedPoolKeepsEndpointList(t *testing.T) {
+	a, gone := startStubService(t, "a", nil), startStubService(t, "gone", nil)
 	var silent atomic.Bool
 	calls := make(chan bool, 99)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -302,17 +302,17 @@
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
 	text := func(deadline string) string {
-		return fmt.Sprintf("pools:\n  - {name: a, members: {discovery: %q}, "+class+"}\nroutes: [{path: /, pool: a}]\n",
+		return fmt.Sprintf("pools:\n  - {name: a, members: {discovery: %q}, "+classFormat+"}\nroutes: [{path: /, pool: a}]\n",
 			discovery.Listener.Addr(), deadline)
 	}
-	p := start(t, nil, text("2s"))
-	testkit.Until(t, "the list is there", func() bool { return len(p.Status().Pools[0].Destinations) == 2 })
+	p := startProcess(t, nil, text("2s"))
+	testkit.Until(t, "the list is there", func() bool { return len(p.Status().Pools[0].Endpoints) == 2 })
 	silent.Store(true)
-	if err := p.take(text("3s")); err != nil {
+	if err := p.apply(text("3s")); err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
-		p.want("x", "/", 200, "a")
+		p.expect("x", "/", 200, "a")
 	}
 	if n := gone.served.Load(); n > 0 {
 		t.Errorf("%d requests went to what drains", n)
--- a/internal/pools/runtime_test.go
+++ b/internal/pools/runtime_test.go
@@ -8,11 +8,11 @@
 
 // What lives for a moment must not pile up to a multiple of what stays: on a quiet sidecar that looks like a leak for
 // minutes.
-func TestFitRuntime(t *testing.T) {
+func TestConfigureRuntime(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	defer debug.SetGCPercent(debug.SetGCPercent(100))
-	FitRuntime(1, 48)
+	ConfigureRuntime(1, 48)
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -25,24 +25,24 @@
 	log    *slog.Logger
 	ctx    context.Context
 	clock  routing.Clock
-	limits *limits
+	limits *sharedLimits
 	guard  *guard.Guard
 
-	mu        sync.Mutex // held by Apply, and by those who look
-	file      *config.File
-	front     *transport.Server
-	listeners map[string]net.Listener
-	watcher   *filewatch.Watcher // nil until a pool needs it
-	pools     map[string]*pool
-	retired   map[*pool]bool
-	last      map[string]*pool // the last one of a name that was retired, while it runs
+	mu          sync.Mutex // held by Apply, and by those who look
+	file        *config.File
+	server      *transport.Server
+	listeners   map[string]net.Listener
+	watcher     *filewatch.Watcher // nil until a pool needs it
+	pools       map[string]*pool
+	retired     map[*pool]bool
+	lastRetired map[string]*pool // the last one of a name that was retired, while it runs
 }
 
 // New returns a Set without pools. The context ends all of it at once.
 func New(ctx context.Context, log *slog.Logger) *Set {
 	s := &Set{log: log, ctx: ctx, clock: routing.NewClock(), guard: guard.New(log), listeners: map[string]net.Listener{}, pools: map[string]*pool{},
-		retired: map[*pool]bool{}, last: map[string]*pool{}}
-	s.limits = newLimits(s.clock.Now, s.evict)
+		retired: map[*pool]bool{}, lastRetired: map[string]*pool{}}
+	s.limits = newSharedLimits(s.clock.Now, s.evictIdle)
 	return s
 }
 
@@ -78,42 +78,42 @@
 	pools := map[string]*pool{}
 	for i := range f.Pools {
 		conf := &f.Pools[i]
-		if old := s.pools[conf.Name]; old != nil && old.same(conf) {
+		if old := s.pools[conf.Name]; old != nil && old.canKeep(conf) {
 			pools[conf.Name] = old
 			continue
 		}
-		p, err := s.prepare(f, conf)
+		p, err := s.newPool(f, conf)
 		if err != nil {
 			return undo(fmt.Errorf("pool %q: %w", conf.Name, err))
 		}
 		started = append(started, p.cancel)
 		pools[conf.Name] = p
 	}
-	if err := s.limits.set(f); err != nil {
+	if err := s.limits.update(f); err != nil {
 		return undo(err)
 	}
 	// From here on nothing fails.
 	for _, p := range pools {
 		if old := s.pools[p.name]; old != p {
 			if old == nil {
-				old = s.last[p.name]
+				old = s.lastRetired[p.name]
 			}
 			if old != nil {
-				p.succeed(old)
+				p.takeOver(old)
 			}
 			p.run()
 		}
 	}
 	for i := range f.Pools {
-		pools[f.Pools[i].Name].adopt(&f.Pools[i])
+		pools[f.Pools[i].Name].updateConfig(&f.Pools[i])
 	}
-	find := directions(f, table, pools)
-	if s.front == nil {
-		s.front = transport.NewServer(s.clock, find, f.Budget(), s.log)
-		s.front.UseGuard(s.guard)
+	find := newRouter(f, table, pools)
+	if s.server == nil {
+		s.server = transport.NewServer(s.clock, find, f.Budget(), s.log)
+		s.server.UseGuard(s.guard)
 	} else {
-		s.front.SetRoutes(find)
-		s.front.SetBudget(f.Budget())
+		s.server.SetRoutes(find)
+		s.server.SetBudget(f.Budget())
 	}
 	for address, ln := range s.listeners {
 		if listeners[address] == nil {
@@ -122,7 +122,7 @@
 	}
 	for address, ln := range listeners {
 		if s.listeners[address] == nil {
-			go s.front.Serve(ln)
+			go s.server.Serve(ln)
 		}
 	}
 	for name, old := range s.pools {
@@ -134,12 +134,12 @@
 		s.log.Warn("the admin socket moves at the next start only", "admin", s.file.Admin)
 	}
 	s.file, s.listeners, s.pools = f, listeners, pools
-	FitRuntime(f.Limits.Cores, f.Limits.MemoryMB)
+	ConfigureRuntime(f.Limits.Cores, f.Limits.MemoryMB)
 	return nil
 }
 
 // directions lead requests by a table to the pools of a configuration.
-func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
+func newRouter(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
 	type way struct {
 		to      *transport.Backend
 		classes []protocol.Class
@@ -148,7 +148,7 @@
 	ways := make([]way, len(f.Routes))
 	for i, r := range f.Routes {
 		p := pools[r.Pool]
-		ways[i] = way{&p.service, p.classes, r.DefaultClass}
+		ways[i] = way{&p.backend, p.classes, r.DefaultClass}
 	}
 	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
 		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
@@ -163,32 +163,32 @@
 
 // retire lets a pool that takes nothing new end what is open in it. Each operation has its answer by its deadline.
 func (s *Set) retire(p *pool) {
-	s.retired[p], s.last[p.name] = true, p
-	p.destinations.Close()
-	time.AfterFunc(p.longest()+endMargin, func() {
+	s.retired[p], s.lastRetired[p.name] = true, p
+	p.connections.Close()
+	time.AfterFunc(p.maxDeadline()+retireMargin, func() {
 		p.cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.retired, p)
-		if s.last[p.name] == p {
-			delete(s.last, p.name)
+		if s.lastRetired[p.name] == p {
+			delete(s.lastRetired, p.name)
 		}
 	})
 }
 
 // endMargin is how long after the longest deadline a pool's last answers may come.
-const endMargin = time.Second
+const retireMargin = time.Second
 
 // evict closes an idle connection of a pool, for another that has lent it.
-func (s *Set) evict(name string) bool {
+func (s *Set) evictIdle(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[name]
-	return p != nil && p.destinations.EvictOldestIdle()
+	return p != nil && p.connections.EvictOldestIdle()
 }
 
 // Owed tells how many operations have no answer yet.
-func (s *Set) Owed() (n int) {
+func (s *Set) PendingRequests() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pools {
@@ -205,19 +205,19 @@
 	s.mu.Lock()
 	longest := time.Duration(0)
 	for _, p := range s.pools {
-		longest = max(longest, p.longest())
+		longest = max(longest, p.maxDeadline())
 	}
 	var lns []net.Listener
 	for _, ln := range s.listeners {
 		lns = append(lns, ln)
 	}
-	front := s.front
+	front := s.server
 	s.mu.Unlock()
-	front.Stop(ctx, longest+endMargin/2, lns...)
+	front.Stop(ctx, longest+retireMargin/2, lns...)
 }
 
 // FitRuntime fits the runtime to the machine's part that the process may use.
-func FitRuntime(cores float64, memoryMB int) {
+func ConfigureRuntime(cores float64, memoryMB int) {
 	runtime.GOMAXPROCS(max(1, int(cores+0.5)))
 	// Next to nothing lives long here. At 400% the heap grew for minutes towards its first collection, like a leak.
 	debug.SetGCPercent(50)
@@ -225,7 +225,7 @@
 }
 
 // same tells whether a pool can go on under another configuration: its shares and the address of its discovery may change.
-func (p *pool) same(conf *config.Pool) bool {
+func (p *pool) canKeep(conf *config.Pool) bool {
 	a, b := p.conf, *conf
 	a.Shares, b.Shares = config.Shares{}, config.Shares{}
 	if a.Members.Discovery != "" && b.Members.Discovery != "" {
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -32,7 +32,7 @@
 }
 
 // file is the form of $ROUTER_CONFIG.
-type file struct {
+type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
 		Cores    float64
@@ -44,7 +44,7 @@
 }
 
 // socketSettings are the settings that the module does not need and the sockets do.
-type socketSettings struct {
+type connectionSettings struct {
 	Profiles []struct {
 		Name, Repeat string
 		GiveUpS      float64
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -93,7 +93,7 @@
 	return c, nil
 }
 
-func (f *file) config() (*Config, error) {
+func (f *configFile) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Cores: f.Limits.Cores,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets)}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
@@ -125,7 +125,7 @@
 	if c.Balancer, err = wire.ParseSettings(f.Settings, seed); err != nil {
 		return nil, err
 	}
-	var s socketSettings
+	var s connectionSettings
 	if err := json.Unmarshal(f.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/program/file.go
+++ b/internal/program/file.go
@@ -23,7 +23,7 @@
 func ServeFile(ctx context.Context, path string, log *slog.Logger) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	signals := listen()
+	signals := notifySignals()
 	defer signal.Stop(signals)
 	f, err := config.Load(path)
 	if err != nil {
@@ -34,12 +34,12 @@
 		return err
 	}
 	if f.Admin != "" {
-		if err := set.Admin(ctx, f.Admin); err != nil {
+		if err := set.ServeAdmin(ctx, f.Admin); err != nil {
 			return fmt.Errorf("admin: %w", err)
 		}
 	}
 	log.Info("serving", "name", f.Name, "listeners", len(f.Listeners), "pools", len(f.Pools), "routes", len(f.Routes))
-	untilStopped(ctx, signals, log, set.Owed, func() error {
+	waitForStop(ctx, signals, log, set.PendingRequests, func() error {
 		next, err := config.Load(path)
 		if err != nil {
 			return err
@@ -51,7 +51,7 @@
 		return nil
 	})
 	set.Stop(ctx)
-	log.Info("stopped", "owed", set.Owed())
+	log.Info("stopped", "owed", set.PendingRequests())
 	return nil
 }
 
@@ -78,7 +78,7 @@
 	if f.Admin == "" {
 		return fmt.Errorf("%s: admin is not set: the process shows nothing", path)
 	}
-	status, err := pools.Ask(f.Admin)
+	status, err := pools.ReadStatus(f.Admin)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
@@ -87,28 +87,28 @@
 		e.SetIndent("", "  ")
 		return e.Encode(status)
 	}
-	return table(out, status)
+	return writeTable(out, status)
 }
 
 // table writes a status for people.
-func table(out io.Writer, s pools.Status) error {
+func writeTable(out io.Writer, s pools.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\t%d pools\t%d goroutines\t%d KB\n\n", s.Name, len(s.Pools), s.Goroutines, s.MemoryKB)
 	fmt.Fprintln(w, "POOL\tSTATE\tOPEN\tPARKED\tLEVEL\tBELOW\tLIMIT\tUSED\tGUARANTEED\tMOST\tBORROWED")
 	for _, p := range s.Pools {
 		state := "serving"
 		switch {
-		case p.Stuck:
+		case p.Unresponsive:
 			state = "stuck"
 		case p.Retired:
 			state = "retired"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t\t\t\t\t\n", p.Name, state, p.Open, p.Parked, p.Level, p.Below)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t\t\t\t\t\n", p.Name, state, p.Pending, p.Queued, p.ShedLevel, p.DownstreamShed)
 		for _, key := range slices.Sorted(maps.Keys(p.Shares)) {
 			u := p.Shares[key]
 			most := "-"
-			if u.Most > 0 {
-				most = strconv.Itoa(u.Most)
+			if u.Max > 0 {
+				most = strconv.Itoa(u.Max)
 			}
 			fmt.Fprintf(w, "\t\t\t\t\t\t%s\t%d\t%d\t%s\t%d\n", key, u.Used, u.Guaranteed, most, u.Borrowed)
 		}
@@ -116,14 +116,14 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "LIMIT\tUSED\tWHOLE")
 	for _, key := range slices.Sorted(maps.Keys(s.Limits)) {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", key, s.Limits[key].Used, s.Limits[key].Whole)
+		fmt.Fprintf(w, "%s\t%d\t%d\n", key, s.Limits[key].Used, s.Limits[key].Total)
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "DESTINATION\tPOOL\tADDRESS\tSTATE\tWEIGHT\tUTILISATION\tFAILED\tIN FLIGHT\tHELD OFF")
 	for _, p := range s.Pools {
-		for _, d := range p.Destinations {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%.2f\t%.2f\t%d\t%dms\n", d.Name, p.Name, d.Address, d.State, d.Weight, d.Utilisation, d.Failed,
-				d.InFlight, d.HeldOffMS)
+		for _, d := range p.Endpoints {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%.2f\t%.2f\t%d\t%dms\n", d.Name, p.Name, d.Address, d.State, d.Weight, d.Utilisation, d.FailureRatio,
+				d.InFlight, d.EjectedMS)
 		}
 	}
 	return w.Flush()
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -9,7 +9,7 @@
 )
 
 // good is a whole configuration with one class of each kind.
-const good = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"index":41,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:7070","zone":"a","type":"m2",
  "group":3,"status":"Ready","weight":1.0,"since_ms":0}]},
@@ -33,7 +33,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"ROUTER_NAME": "n4"})
+	c, err := load(t, validConfig, map[string]string{"ROUTER_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 }
 
 // What is wrong with a configuration is said in one line that names the place.
-func TestLoadBad(t *testing.T) {
+func TestLoadInvalid(t *testing.T) {
 	for old, c := range map[string][2]string{
 		`"seed":"8c1f30d27a5be964"`: {`"seed":"odd"`, "seed"},
 		`"127.0.0.1:8500"`:          {`"nowhere"`, "discovery"},
@@ -59,7 +59,7 @@
 		`"name":"look"`:             {`"name":""`, "profile 0"},
 		`"name":"n3"`:               {`"name":`, "config.json"},
 	} {
-		_, err := load(t, strings.Replace(good, old, c[0], 1), nil)
+		_, err := load(t, strings.Replace(validConfig, old, c[0], 1), nil)
 		if err == nil || !strings.Contains(err.Error(), c[1]) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", c[0], err)
 		}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -21,10 +21,10 @@
 
 // A stopping sidecar is killed no sooner than the longest deadline, or 3 s where that is longer, and 0.7 s after the word.
 const (
-	stopLongest = 3 * time.Second
-	stopMargin  = 500 * time.Millisecond
-	stuckAdvice = time.Second           // when clients should come back while the loop is stuck
-	viewWithin  = 50 * time.Millisecond // the loop may take so long to tell what it counts
+	maxStopWait            = 3 * time.Second
+	stopMargin             = 500 * time.Millisecond
+	unresponsiveRetryAfter = time.Second           // when clients should come back while the loop is stuck
+	viewTimeout            = 50 * time.Millisecond // the loop may take so long to tell what it counts
 )
 
 // Serve runs the sidecar that the environment describes until a signal stops it and nothing is owed to a client any more.
@@ -32,13 +32,13 @@
 func Serve(ctx context.Context, env func(string) string, log *slog.Logger) error {
 	// First of all: a signal that comes while the configuration is read waits until it can be answered. SIGHUP would end
 	// the process.
-	signals := listen()
+	signals := notifySignals()
 	defer signal.Stop(signals)
 	c, err := Load(env)
 	if err != nil {
 		return err
 	}
-	pools.FitRuntime(c.Cores, c.MemoryMB)
+	pools.ConfigureRuntime(c.Cores, c.MemoryMB)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
@@ -63,7 +63,7 @@
 	directory.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
 	service := &transport.Backend{Loop: loop}
 	if c.Balancer.Limits.RetryAfter {
-		service.RetryAfter = min(stuckAdvice, c.Balancer.Limits.MaxRetryAfter)
+		service.RetryAfter = min(unresponsiveRetryAfter, c.Balancer.Limits.MaxRetryAfter)
 	}
 	front := transport.NewServer(clock, transport.SinglePoolRouter(service, c.Classes), budget, log)
 
@@ -82,7 +82,7 @@
 	go front.Serve(ln)
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Balancer.Tier, "destinations", len(c.CachedEndpoints.Endpoints))
 
-	untilStopped(ctx, signals, log, loop.PendingRequests, func() error {
+	waitForStop(ctx, signals, log, loop.PendingRequests, func() error {
 		next, err := Reload(env)
 		if err != nil {
 			return err
@@ -95,8 +95,8 @@
 	for _, class := range c.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	front.Stop(ctx, min(longest, stopLongest)+stopMargin, ln)
-	if v, ok := loop.View(viewWithin); ok {
+	front.Stop(ctx, min(longest, maxStopWait)+stopMargin, ln)
+	if v, ok := loop.View(viewTimeout); ok {
 		log.Info("counts", "requests", &v.Metrics, "connections", front.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
 			"discovery", directory.State())
 	}
@@ -105,7 +105,7 @@
 }
 
 // listen has the signals that a sidecar knows come to a channel.
-func listen() chan os.Signal {
+func notifySignals() chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
@@ -113,16 +113,16 @@
 
 // A configuration that is bad at SIGHUP may be half written: it is read again after these pauses, until it is good.
 const (
-	firstReread = 100 * time.Millisecond // doubled each time,
-	mostReread  = time.Second            // up to this
-	rereads     = 12                     // about 9 s in all
+	initialReloadDelay = 100 * time.Millisecond // doubled each time,
+	maxReloadDelay     = time.Second            // up to this
+	maxReloadRetries   = 12                     // about 9 s in all
 )
 
 // untilStopped waits for the signal to stop, and reads the configuration again at each SIGHUP.
-func untilStopped(ctx context.Context, signals chan os.Signal, log *slog.Logger, owed func() int, reload func() error) {
+func waitForStop(ctx context.Context, signals chan os.Signal, log *slog.Logger, owed func() int, reload func() error) {
 	again := time.NewTimer(time.Hour)
 	defer again.Stop()
-	pause, left, last := firstReread, 0, ""
+	pause, left, last := initialReloadDelay, 0, ""
 	try := func() {
 		err := reload()
 		if err == nil {
@@ -136,7 +136,7 @@
 		}
 		if left > 0 {
 			again.Reset(pause)
-			pause = min(2*pause, mostReread)
+			pause = min(2*pause, maxReloadDelay)
 		}
 	}
 	for {
@@ -148,7 +148,7 @@
 				log.Info("stopping", "signal", s.String(), "owed", owed())
 				return
 			}
-			pause, left, last = firstReread, rereads, ""
+			pause, left, last = initialReloadDelay, maxReloadRetries, ""
 			again.Stop()
 			try()
 		case <-again.C:
--- a/internal/yamlfile/read.go
+++ b/internal/yamlfile/read.go
@@ -50,7 +50,7 @@
 func Read(name string, text []byte, into any) (*File, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, problem(name, err)
+		return nil, newProblem(name, err)
 	}
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return nil, &Problem{File: name, Text: "the file is empty"}
@@ -61,32 +61,32 @@
 	}
 	// From the tree: reading the text a second time took as long as all the rest.
 	if err := yaml.NodeToValue(tree.Docs[0].Body, into, yaml.Strict()); err != nil {
-		return nil, problem(name, err)
+		return nil, newProblem(name, err)
 	}
 	return &File{name, tree.Docs[0].Body}, nil
 }
 
 // Wrong collects what is wrong with the figures of a file.
-type Wrong struct {
+type ProblemList struct {
 	file *File
-	all  []error
+	errs []error
 }
 
 // Wrong returns an empty collection.
-func (f *File) NewProblemList() *Wrong { return &Wrong{file: f} }
+func (f *File) NewProblemList() *ProblemList { return &ProblemList{file: f} }
 
 // Add notes that a key, such as pools[0].name, is wrong.
-func (w *Wrong) Add(key, format string, args ...any) {
+func (w *ProblemList) Add(key, format string, args ...any) {
 	p := &Problem{File: w.file.name, Text: key + ": " + fmt.Sprintf(format, args...)}
 	p.Line, p.Column = w.file.position(key)
-	w.all = append(w.all, p)
+	w.errs = append(w.errs, p)
 }
 
 // Err is all that was added, as Problems, or nil.
-func (w *Wrong) Err() error { return errors.Join(w.all...) }
+func (w *ProblemList) Err() error { return errors.Join(w.errs...) }
 
 // problem takes the position out of an error of the YAML library.
-func problem(file string, err error) error {
+func newProblem(file string, err error) error {
 	p := &Problem{File: file, Text: err.Error()}
 	var y yaml.Error
 	if errors.As(err, &y) {
