--- a/internal/pools/chain_test.go
+++ b/internal/pools/chain_test.go
@@ -11,16 +11,16 @@
 	"kitewood/internal/chain"
 )
 
-// behind is a stand-in that notes the words it is sent, by path, and declines, fails or serves.
+// downstreamStub is a service that records the chain headers it receives, by path, and declines, fails or serves requests.
 type downstreamStub struct {
 	mu           sync.Mutex
 	chainHeaders map[string][]string
 }
 
-func (b *downstreamStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b.mu.Lock()
-	b.chainHeaders[r.URL.Path] = append(b.chainHeaders[r.URL.Path], r.Header.Get("X-Chain"))
-	b.mu.Unlock()
+func (d *downstreamStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	d.chainHeaders[r.URL.Path] = append(d.chainHeaders[r.URL.Path], r.Header.Get("X-Chain"))
+	d.mu.Unlock()
 	switch r.URL.Path {
 	case "/declined":
 		w.Header().Set("X-Chain", "declined")
@@ -31,17 +31,17 @@
 	}
 }
 
-func (b *downstreamStub) headersFor(path string) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.chainHeaders[path]
+func (d *downstreamStub) headersFor(path string) []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.chainHeaders[path]
 }
 
-// An operation's word goes on with each attempt; one that has come back, has no time left or cannot be read goes no further;
-// what a service below has declined is the answer; repeats end with what the word allows.
+// Each attempt carries the request's chain header. A request that has looped, has no time left or has an unreadable header is
+// not sent on, a response that a downstream service declined is passed up, and retries stop at the header's limit.
 func TestChain(t *testing.T) {
-	b := &downstreamStub{chainHeaders: map[string][]string{}}
-	server := httptest.NewServer(b)
+	stub := &downstreamStub{chainHeaders: map[string][]string{}}
+	server := httptest.NewServer(stub)
 	defer server.Close()
 	p := startProcess(t, map[string]*stubService{"web": {address: server.Listener.Addr().String()}}, `pools:
   - name: web
@@ -53,15 +53,15 @@
     origin: X-Customer
 routes: [{path: /, pool: web}]
 `)
-	ask := func(path, word string) *http.Response {
+	get := func(path, header string) *http.Response {
 		t.Helper()
 		q, err := http.NewRequest("GET", "http://"+p.address+path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		q.Header.Set("X-Customer", "7")
-		if word != "" {
-			q.Header.Set("X-Chain", word)
+		if header != "" {
+			q.Header.Set("X-Chain", header)
 		}
 		r, err := http.DefaultClient.Do(q)
 		if err != nil {
@@ -71,20 +71,20 @@
 		return r
 	}
 	defer http.DefaultClient.CloseIdleConnections()
-	for n := range 20 { // it earns repeats by sending
-		if r := ask(fmt.Sprintf("/ok%d", n), ""); r.StatusCode != 200 || r.Header.Get("X-Chain") != "" {
-			t.Fatalf("%+v", r)
+	for n := range 20 { // each first attempt adds to the retry budget
+		if r := get(fmt.Sprintf("/ok%d", n), ""); r.StatusCode != 200 || r.Header.Get("X-Chain") != "" {
+			t.Fatalf("response to a plain request: %+v", r)
 		}
 	}
-	if w, err := chain.Parse(b.headersFor("/ok0")[0]); err != nil || w.Retries != 1 || w.Utility != 3 || strings.Join(w.Via, ",") != "a" || w.TimeLeft <= 0 {
-		t.Errorf("%+v %v", w, err)
+	if h, err := chain.Parse(stub.headersFor("/ok0")[0]); err != nil || h.Retries != 1 || h.Utility != 3 || strings.Join(h.Via, ",") != "a" || h.TimeLeft <= 0 {
+		t.Errorf("header of a new request: %+v, %v", h, err)
 	}
 	for _, c := range []struct {
-		path, word string
-		status     int
-		after      string
-		declined   bool
-		attempts   int
+		path, header string
+		status       int
+		retryAfter   string
+		declined     bool
+		attempts     int
 	}{
 		{"/further", "left=5000;repeats=1;worth=2;token=x;via=b,c", 200, "", false, 1},
 		{"/circle", "left=5000;repeats=1;worth=2;token=x;via=b,a", 508, "", true, 0},
@@ -92,16 +92,16 @@
 		{"/late", "left=0;repeats=1;worth=2;token=x;via=b", 503, "", true, 0},
 		{"/bad", "left=x", 400, "", false, 0},
 		{"/declined", "", 503, "7", true, 1},
-		{"/error", "", 503, "2", true, 3}, // two of three repeats stay here
+		{"/error", "", 503, "2", true, 3}, // two of the three retries are made by this sidecar
 		{"/error", "left=5000;repeats=0;worth=2;token=y;via=b", 503, "2", true, 4},
 	} {
-		r := ask(c.path, c.word)
-		if got := b.headersFor(c.path); r.StatusCode != c.status || r.Header.Get("Retry-After") != c.after || (r.Header.Get("X-Chain") == "declined") != c.declined ||
+		r := get(c.path, c.header)
+		if got := stub.headersFor(c.path); r.StatusCode != c.status || r.Header.Get("Retry-After") != c.retryAfter || (r.Header.Get("X-Chain") == "declined") != c.declined ||
 			len(got) != c.attempts {
-			t.Errorf("%s %q: %d %v, %d attempts, want %+v", c.path, c.word, r.StatusCode, r.Header, len(got), c)
+			t.Errorf("%s %q: %d %v, %d attempts, want %+v", c.path, c.header, r.StatusCode, r.Header, len(got), c)
 		}
 	}
-	if w, err := chain.Parse(b.headersFor("/further")[0]); err != nil || w.Utility != 2 || strings.Join(w.Via, ",") != "b,c,a" {
-		t.Errorf("%+v %v", w, err)
+	if h, err := chain.Parse(stub.headersFor("/further")[0]); err != nil || h.Utility != 2 || strings.Join(h.Via, ",") != "b,c,a" {
+		t.Errorf("header of a forwarded request: %+v, %v", h, err)
 	}
 }
--- a/internal/pools/limits.go
+++ b/internal/pools/limits.go
@@ -1,5 +1,5 @@
-// Package pools runs the services of one process: each has a Loop, connections and a list of destinations of its own, and
-// a share of the process's limits. It takes a new configuration while it serves.
+// Package pools runs the pools of one process. Each pool has its own event loop, connections and endpoint list, and a share
+// of the process limits. The configuration can be replaced while the process serves.
 package pools
 
 import (
@@ -12,20 +12,20 @@
 	"kitewood/internal/transport"
 )
 
-// limits hold what the pools share. They are the driver of the share package's core.
+// sharedLimits holds the limits that the pools share. It adds locking and a clock to package share.
 type sharedLimits struct {
 	mu    sync.Mutex
 	now   func() time.Duration
-	byKey map[string]*share.Limit // by the key in shares
+	byKey map[string]*share.Limit // by the key in the shares setting
 
-	evictIdle func(pool string) bool // closes an idle connection of a pool
+	evictIdle func(pool string) bool // closes an idle connection of the pool; false if it has none
 }
 
 func newSharedLimits(now func() time.Duration, evict func(string) bool) *sharedLimits {
 	return &sharedLimits{now: now, byKey: map[string]*share.Limit{}, evictIdle: evict}
 }
 
-// set divides the limits as a configuration has it.
+// update divides the limits among the pools of a configuration.
 func (l *sharedLimits) update(f *config.File) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,15 +43,16 @@
 	return nil
 }
 
-// uses is what each pool holds of a limit.
-func (l *sharedLimits) usage(key string) (whole, used int, pools map[string]share.Usage) {
+// usage returns the size of a limit, the units in use, and the usage of each pool.
+func (l *sharedLimits) usage(key string) (total, used int, pools map[string]share.Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	whole, used = l.byKey[key].Total()
-	return whole, used, l.byKey[key].Usage()
+	total, used = l.byKey[key].Total()
+	return total, used, l.byKey[key].Usage()
 }
 
-// gate is a pool's share of operations, of those parked, and of memory. It implements transport.Gate.
+// admissionController admits requests to a pool within its shares of requests, queued requests and memory. It implements
+// transport.AdmissionController.
 type admissionController struct {
 	*sharedLimits
 	pool string
@@ -59,57 +60,58 @@
 
 var _ transport.AdmissionController = admissionController{}
 
-// Enter takes an operation's room, all of it or none.
-func (g admissionController) Admit(body int) (transport.Admission, bool) {
+// Admit acquires one request, one queued request and the memory for a body of the given bytes: all of them or none.
+func (c admissionController) Admit(body int) (transport.Admission, bool) {
 	kb := (body + 1023) >> 10
 	units := [...]struct {
 		key string
 		n   int
 	}{{"operations", 1}, {"parked", 1}, {"memory_kb", kb}}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for i, u := range units {
-		if g.byKey[u.key].Acquire(g.now(), g.pool, u.n) {
+		if c.byKey[u.key].Acquire(c.now(), c.pool, u.n) {
 			continue
 		}
-		for _, taken := range units[:i] {
-			g.byKey[taken.key].Release(g.pool, taken.n)
+		for _, acquired := range units[:i] {
+			c.byKey[acquired.key].Release(c.pool, acquired.n)
 		}
 		return nil, false
 	}
-	return &admission{admissionController: g, bodyKB: kb}, true
+	return &admission{admissionController: c, bodyKB: kb}, true
 }
 
-// pass implements transport.Pass.
+// admission holds the units of one admitted request. It implements transport.Admission.
 type admission struct {
 	admissionController
 	bodyKB   int
-	dequeued atomic.Bool // given back
+	dequeued atomic.Bool // the queued unit has been released
 }
 
-// Sent gives back the operation's place among the parked.
-func (p *admission) Sent() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.releaseQueued()
+// Sent releases the request's queued unit.
+func (a *admission) Sent() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.releaseQueued()
 }
 
-func (p *admission) releaseQueued() {
-	if !p.dequeued.Swap(true) {
-		p.byKey["parked"].Release(p.pool, 1)
+// releaseQueued releases the queued unit at most once. The caller holds mu.
+func (a *admission) releaseQueued() {
+	if !a.dequeued.Swap(true) {
+		a.byKey["parked"].Release(a.pool, 1)
 	}
 }
 
-// Leave gives back all.
-func (p *admission) Release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.releaseQueued()
-	p.byKey["operations"].Release(p.pool, 1)
-	p.byKey["memory_kb"].Release(p.pool, p.bodyKB)
+// Release releases all units of the request.
+func (a *admission) Release() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.releaseQueued()
+	a.byKey["operations"].Release(a.pool, 1)
+	a.byKey["memory_kb"].Release(a.pool, a.bodyKB)
 }
 
-// room is a pool's share of connections. It implements transport.Room.
+// connLimiter limits the connections of a pool to its share. It implements transport.ConnLimiter.
 type connLimiter struct {
 	*sharedLimits
 	pool string
@@ -117,32 +119,34 @@
 
 var _ transport.ConnLimiter = connLimiter{}
 
-// Take takes one. Where others have borrowed what is the pool's own, one that stands idle is closed for it.
-func (r connLimiter) Acquire() bool {
-	if r.tryAcquire() {
+// Acquire acquires one connection. When other pools have borrowed part of this pool's guarantee, it closes one of their idle
+// connections to get it.
+func (c connLimiter) Acquire() bool {
+	if c.tryAcquire() {
 		return true
 	}
-	_, _, uses := r.usage("connections")
-	if own := uses[r.pool]; own.Used >= own.Guaranteed {
+	_, _, usage := c.usage("connections")
+	if own := usage[c.pool]; own.Used >= own.Guaranteed {
 		return false
 	}
-	for name, u := range uses {
-		if name != r.pool && u.Borrowed > 0 && r.evictIdle(name) {
-			return r.tryAcquire()
+	for name, u := range usage {
+		if name != c.pool && u.Borrowed > 0 && c.evictIdle(name) {
+			return c.tryAcquire()
 		}
 	}
 	return false
 }
 
-func (r connLimiter) tryAcquire() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.byKey["connections"].Acquire(r.now(), r.pool, 1)
+// tryAcquire acquires one connection if the limit allows it now.
+func (c connLimiter) tryAcquire() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byKey["connections"].Acquire(c.now(), c.pool, 1)
 }
 
-// Give gives one back.
-func (r connLimiter) Release() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.byKey["connections"].Release(r.pool, 1)
+// Release releases one connection.
+func (c connLimiter) Release() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byKey["connections"].Release(c.pool, 1)
 }
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -15,33 +15,33 @@
 	"kitewood/internal/transport"
 )
 
-// pool is one service.
+// pool is one set of endpoints with its own event loop, connections and endpoint source.
 type pool struct {
 	name            string
-	conf            config.Pool // as last applied; under Set.mu
+	conf            config.Pool // as last applied; guarded by Set.mu
 	ctx             context.Context
 	cancel          context.CancelFunc
 	loop            *routing.Loop
 	log             *slog.Logger
 	connections     *transport.ConnectionPool
 	source          routing.Discovery
-	discoveryClient *transport.DiscoveryClient // nil where the list is a file
+	discoveryClient *transport.DiscoveryClient // nil if the endpoint list is a file
 	classes         []protocol.Class
 	backend         transport.Backend
 }
 
-// idleShare of the time that destinations keep an idle connection is how long it is used here: one that its peer closes
-// as a request is written counts as one that may have run.
+// idleTimeoutFraction is the part of the endpoints' idle timeout after which the pool stops using an idle connection. A request
+// written to a connection that the endpoint closes at the same moment may have run and counts as such.
 const idleTimeoutFraction = 0.7
 
-// fullAdvice is when to come back to a pool that is full or stuck, where its settings allow so much.
+// overloadRetryAfter is the Retry-After of a pool that is at its limit or unresponsive; the pool's settings may lower it.
 const overloadRetryAfter = time.Second
 
-// prepare makes a pool that does not run yet. Its list has been read if it is a file.
+// newPool returns a pool that does not run yet. An endpoint list in a file has been read.
 func (s *Set) newPool(f *config.File, conf *config.Pool) (*pool, error) {
 	log := s.log.With("pool", conf.Name)
-	module := conf.BalancerSettings(f.SeedOf(conf.Name))
-	loop, err := routing.New(module, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
+	settings := conf.BalancerSettings(f.SeedOf(conf.Name))
+	loop, err := routing.New(settings, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
 	if err != nil {
 		return nil, err
 	}
@@ -51,8 +51,8 @@
 	if conf.Members.Discovery != "" {
 		p.discoveryClient = transport.NewDiscoveryClient(p.ctx, conf.Members.Discovery, loop, log)
 		p.discoveryClient.Clock, p.discoveryClient.OnLeaseExpiry = s.clock, loop.SetLeaseExpiry
-		p.discoveryClient.NoInitialDelay = true // the pool has no list of its own
-		p.discoveryClient.Seed, p.discoveryClient.DrainGrace = f.SeedOf(conf.Name+"/discovery"), module.Rules.DrainGrace
+		p.discoveryClient.NoInitialDelay = true // the pool has no cached list
+		p.discoveryClient.Seed, p.discoveryClient.DrainGrace = f.SeedOf(conf.Name+"/discovery"), settings.Rules.DrainGrace
 		p.source = p.discoveryClient
 	} else if p.source, err = s.openListFile(p.ctx, conf.Members.File, loop, log); err != nil {
 		p.cancel()
@@ -64,11 +64,11 @@
 	if conf.Reports.Source != "none" {
 		options.ProbePath = "/stats"
 	}
-	var worths []float64
+	var utilities []float64
 	for _, c := range conf.Classes {
-		worths = append(worths, c.Utility)
+		utilities = append(utilities, c.Utility)
 	}
-	p.backend = transport.Backend{Loop: loop, Admission: admissionController{s.limits, conf.Name}, RetryAfter: min(overloadRetryAfter, conf.RetryAfter.D()), Utilities: worths,
+	p.backend = transport.Backend{Loop: loop, Admission: admissionController{s.limits, conf.Name}, RetryAfter: min(overloadRetryAfter, conf.RetryAfter.D()), Utilities: utilities,
 		Origin: textproto.CanonicalMIMEHeaderKey(conf.Origin)}
 	if c := conf.Chain; c != nil {
 		options.ChainHeader, options.ForwardDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RetryDeclined
@@ -82,7 +82,7 @@
 	return p, nil
 }
 
-// source watches a list file, by the one watcher of the process, which is made for the first.
+// openListFile watches an endpoint list file. All files share one watcher, which the first call creates.
 func (s *Set) openListFile(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Discovery, error) {
 	if s.watcher == nil {
 		var err error
@@ -93,8 +93,8 @@
 	return listfile.Open(ctx, s.watcher, path, loop, log)
 }
 
-// succeed has the pool take the place of another. Where both ask discovery it goes on with the list that the other had, until
-// discovery tells it one.
+// takeOver makes the pool the successor of another. If both use discovery, the pool starts with the endpoint list of its
+// predecessor and uses it until discovery reports a new one.
 func (p *pool) takeOver(old *pool) {
 	p.loop.TakeOver(old.loop)
 	if p.discoveryClient == nil || old.discoveryClient == nil {
@@ -102,14 +102,14 @@
 	}
 	p.discoveryClient.TakeOver(old.discoveryClient)
 	if !p.loop.InheritEndpoints(old.loop, viewTimeout) {
-		p.log.Warn("the list of the pool before is not known: its loop does not answer")
+		p.log.Warn("cannot inherit the endpoint list: the event loop of the previous pool did not respond")
 	}
 }
 
-// run starts the pool's Loop.
+// run starts the pool's event loop.
 func (p *pool) run() { go p.loop.Run(p.ctx, p.connections, p.source) }
 
-// adopt takes what may change while the pool runs.
+// updateConfig applies the settings that may change while the pool runs: see canKeep.
 func (p *pool) updateConfig(conf *config.Pool) {
 	if p.discoveryClient != nil && conf.Members.Discovery != p.conf.Members.Discovery {
 		p.discoveryClient.SwitchAddress(conf.Members.Discovery)
@@ -117,7 +117,7 @@
 	p.conf = *conf
 }
 
-// longest is the longest deadline of a class.
+// maxDeadline returns the longest deadline of the pool's classes.
 func (p *pool) maxDeadline() (d time.Duration) {
 	for _, c := range p.classes {
 		d = max(d, c.Deadline)
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -20,17 +20,18 @@
 	"kitewood/internal/testkit"
 )
 
-// service is a stand-in for the destinations of a pool.
+// stubService is the endpoint of a pool.
 type stubService struct {
 	address string
 	open    atomic.Int32
 	served  atomic.Int32
-	resume  chan struct{} // closed when it thaws; nil while it serves
+	resume  chan struct{} // requests wait until it is closed; nil: they do not wait
 }
 
-func startStubService(t *testing.T, name string, frozen chan struct{}) *stubService {
+// startStubService starts an endpoint that answers with its name, after resume is closed unless that is nil.
+func startStubService(t *testing.T, name string, resume chan struct{}) *stubService {
 	t.Helper()
-	s := &stubService{resume: frozen}
+	s := &stubService{resume: resume}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +40,8 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.open.Add(1)
 		defer s.open.Add(-1)
-		if frozen != nil {
-			<-frozen
+		if resume != nil {
+			<-resume
 		}
 		s.served.Add(1)
 		if r.URL.Path == "/teapot" {
@@ -53,7 +54,7 @@
 	return s
 }
 
-// process is a Set with its configuration in a folder.
+// testProcess is a Set whose configuration and endpoint lists are in a temporary directory.
 type testProcess struct {
 	*Set
 	t       *testing.T
@@ -61,6 +62,7 @@
 	address string
 }
 
+// startProcess starts a Set on a free port with a list file for each service and the configuration text.
 func startProcess(t *testing.T, services map[string]*stubService, text string) *testProcess {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +91,7 @@
 	return p
 }
 
-// take applies a configuration of pools and routes.
+// apply applies a configuration given by its pools and routes.
 func (p *testProcess) apply(text string) error {
 	p.t.Helper()
 	f, err := config.Read(filepath.Join(p.dir, "c.yaml"), []byte(fmt.Sprintf("name: t\nlisteners: [{address: %q}]\n%s", p.address, text)))
@@ -101,12 +103,13 @@
 
 const classFormat = "classes: [{name: any, effect: unsafe, methods: [GET, POST], aim: 1s, deadline: %s}]"
 
+// poolEntry returns the configuration of a pool with one class and a list file.
 func poolEntry(name, deadline, more string) string {
 	return fmt.Sprintf("  - {name: %s, members: {file: %s.yaml}, "+classFormat+more+"}\n", name, name, deadline)
 }
 
-// ask sends one request on a connection of its own.
-func (p *testProcess) get(host, path string) (status int, body string, head http.Header) {
+// get sends one request on a new connection.
+func (p *testProcess) get(host, path string) (status int, body string, header http.Header) {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -124,6 +127,7 @@
 	return r.StatusCode, string(text), r.Header
 }
 
+// expect sends one request and checks the status of the response, and its body unless that is empty.
 func (p *testProcess) expect(host, path string, status int, body string) {
 	p.t.Helper()
 	if got, text, _ := p.get(host, path); got != status || body != "" && text != body {
@@ -131,7 +135,8 @@
 	}
 }
 
-// Requests reach the pool of their route, a destination's own answer comes through, and what no route fits goes nowhere.
+// Requests reach the pool of their route, the endpoint's response is passed through, and requests that match no route reach no
+// endpoint.
 func TestRequestsReachTheirPool(t *testing.T) {
 	a, b := startStubService(t, "a", nil), startStubService(t, "b", nil)
 	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "2s", "")+poolEntry("b", "2s", "")+
@@ -142,33 +147,33 @@
 	p.expect("x", "/other", 404, "")
 	p.expect("x", "/a/../other", 400, "")
 	if n := a.served.Load() + b.served.Load(); n != 3 {
-		t.Errorf("%d requests reached a destination, want 3", n)
+		t.Errorf("%d requests reached an endpoint, want 3", n)
 	}
 }
 
-// A frozen pool is full at its share and answers busy at once with advice; the others serve on.
+// A pool whose endpoint does not answer rejects requests above its share at once, with Retry-After; other pools are not affected.
 func TestFrozenPoolDoesNotAffectOthers(t *testing.T) {
-	thaw := make(chan struct{})
-	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
+	resume := make(chan struct{})
+	a, b := startStubService(t, "a", resume), startStubService(t, "b", nil)
 	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "5s", ", shares: {operations: {guaranteed: 4, most: 4}}")+poolEntry("b", "2s", "")+
 		"routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n")
 	ended := make(chan int, 4)
 	for range 4 {
 		go func() { status, _, _ := p.get("x", "/a"); ended <- status }()
 	}
-	testkit.Until(t, "four operations are open", func() bool { _, _, u := p.limits.usage("operations"); return u["a"].Used == 4 })
+	testkit.Until(t, "four requests are pending", func() bool { _, _, u := p.limits.usage("operations"); return u["a"].Used == 4 })
 	for range 20 {
-		status, _, head := p.get("x", "/a")
-		if status != 503 || head.Get("Retry-After") == "" {
-			t.Fatalf("answered %d, Retry-After %q", status, head.Get("Retry-After"))
+		status, _, header := p.get("x", "/a")
+		if status != 503 || header.Get("Retry-After") == "" {
+			t.Fatalf("status %d, Retry-After %q", status, header.Get("Retry-After"))
 		}
 		p.expect("x", "/b", 200, "b")
 	}
-	close(thaw)
+	close(resume)
 	for range 4 {
 		<-ended
 	}
-	testkit.Until(t, "all is given back", func() bool {
+	testkit.Until(t, "all units are released", func() bool {
 		for _, key := range []string{"operations", "parked", "memory_kb"} {
 			if _, used, _ := p.limits.usage(key); used != 0 {
 				return false
@@ -177,83 +182,85 @@
 		return true
 	})
 	if n := b.served.Load(); n != 20 {
-		t.Errorf("b served %d of 20", n)
+		t.Errorf("b served %d requests, want 20", n)
 	}
 }
 
-// While pools come, change and go, what is open in them ends by the rules, and a bad configuration changes nothing.
+// Pools are added, changed and removed while they serve: requests in flight still finish, and an invalid configuration changes
+// nothing.
 func TestApplyWhileServing(t *testing.T) {
-	thaw := make(chan struct{})
-	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
+	resume := make(chan struct{})
+	a, b := startStubService(t, "a", resume), startStubService(t, "b", nil)
 	both := "pools:\n" + poolEntry("a", "3s", "") + poolEntry("b", "2s", "") + "routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n"
-	only := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
+	onlyB := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
 	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, both)
 	kept := p.pools["b"]
 	answered := make(chan string, 1)
 	go func() { _, text, _ := p.get("x", "/a"); answered <- text }()
-	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
-	if err := p.apply(only); err != nil {
+	testkit.Until(t, "the request is at its endpoint", func() bool { return a.open.Load() == 1 })
+	if err := p.apply(onlyB); err != nil {
 		t.Fatal(err)
 	}
 	p.expect("x", "/a", 404, "")
 	if p.pools["b"] != kept {
-		t.Error("a pool that did not change was started anew")
+		t.Error("a pool that did not change was restarted")
 	}
-	close(thaw)
+	close(resume)
 	if text := <-answered; text != "a" {
-		t.Errorf("the operation in the removed pool was answered %q", text)
+		t.Errorf("the request in the removed pool was answered %q", text)
 	}
 	if err := p.apply(both); err != nil {
 		t.Fatal(err)
 	}
 	p.expect("x", "/a", 200, "a")
-	testkit.Until(t, "the removed pool is forgotten", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.retired) == 0 })
+	testkit.Until(t, "the removed pool has ended", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.retired) == 0 })
 	before := p.pools["a"]
 	os.Remove(filepath.Join(p.dir, "b.yaml"))
-	bad := "pools:\n" + poolEntry("a", "4s", "") + poolEntry("c", "2s", "") + "routes: [{path: /c, pool: c}]\n"
-	if err := p.apply(bad); err == nil || !strings.Contains(err.Error(), `pool "c"`) {
-		t.Errorf("a pool without its list: %v", err)
+	invalid := "pools:\n" + poolEntry("a", "4s", "") + poolEntry("c", "2s", "") + "routes: [{path: /c, pool: c}]\n"
+	if err := p.apply(invalid); err == nil || !strings.Contains(err.Error(), `pool "c"`) {
+		t.Errorf("pool without its list file: %v", err)
 	}
 	if p.pools["a"] != before || p.pools["c"] != nil {
-		t.Error("a refused configuration changed pools")
+		t.Error("a rejected configuration changed pools")
 	}
 	p.expect("x", "/a", 200, "a")
 	if err := p.apply("pools:\n" + poolEntry("a", "4s", "") + "routes: [{path: /a, pool: a}]\n"); err != nil || p.pools["a"] == before {
-		t.Errorf("a changed pool was not started anew: %v", err)
+		t.Errorf("a changed pool was not restarted: %v", err)
 	}
 	p.expect("x", "/a", 200, "a")
 	p.expect("x", "/b", 404, "")
 }
 
-// A pool that asks for its own connections while others have borrowed them gets one that stands idle.
+// When another pool has borrowed connections that are guaranteed to a pool, the pool gets an idle one of them.
 func TestIdleBorrowedConnectionIsEvicted(t *testing.T) {
 	a, b := startStubService(t, "a", nil), startStubService(t, "b", nil)
 	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "limits: {sockets: 64}\npools:\n"+poolEntry("a", "2s", "")+poolEntry("b", "2s", "")+
 		"routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n")
-	r := connLimiter{p.limits, "a"}
+	limiterA := connLimiter{p.limits, "a"}
 	p.expect("x", "/b", 200, "b") // one idle connection
 	testkit.Until(t, "b's connection is idle", func() bool { _, used, _ := p.limits.usage("connections"); return used == 1 })
-	rb := connLimiter{p.limits, "b"}
-	for rb.tryAcquire() {
+	limiterB := connLimiter{p.limits, "b"}
+	for limiterB.tryAcquire() {
 	}
-	whole, _, uses := p.limits.usage("connections")
-	if uses["b"].Borrowed == 0 || whole == uses["b"].Used {
-		t.Fatalf("b borrowed %+v of %d", uses["b"], whole)
+	total, _, usage := p.limits.usage("connections")
+	if usage["b"].Borrowed == 0 || total == usage["b"].Used {
+		t.Fatalf("usage of b is %+v of %d connections", usage["b"], total)
 	}
 	n := 0
-	for r.tryAcquire() {
+	for limiterA.tryAcquire() {
 		n++
 	}
-	if !r.Acquire() || r.Acquire() {
-		t.Errorf("after %d spare ones a gets the one that b left idle, and no more", n)
+	if !limiterA.Acquire() || limiterA.Acquire() {
+		t.Errorf("after %d free connections a must get exactly one more, the idle one of b", n)
 	}
 }
 
-// The admin socket shows pools, limits and destinations of the live process, also while a pool is stuck or being retired.
+// The admin socket shows the pools, limits and endpoints of the running process, also while requests wait and a pool is being
+// retired.
 func TestAdminSocket(t *testing.T) {
-	thaw := make(chan struct{})
-	a, b := startStubService(t, "a", thaw), startStubService(t, "b", nil)
-	only := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
+	resume := make(chan struct{})
+	a, b := startStubService(t, "a", resume), startStubService(t, "b", nil)
+	onlyB := "pools:\n" + poolEntry("b", "2s", "") + "routes: [{path: /b, pool: b}]\n"
 	p := startProcess(t, map[string]*stubService{"a": a, "b": b}, "pools:\n"+poolEntry("a", "3s", "")+poolEntry("b", "2s", "")+"routes: [{path: /a, pool: a}]\n")
 	path := filepath.Join(p.dir, "admin.sock")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -262,40 +269,40 @@
 		t.Fatal(err)
 	}
 	if err := p.ServeAdmin(ctx, path); err == nil {
-		t.Error("a socket that is in use was taken")
+		t.Error("a socket in use was replaced")
 	}
 	answered := make(chan int, 1)
 	go func() { status, _, _ := p.get("x", "/a"); answered <- status }()
-	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
+	testkit.Until(t, "the request is at its endpoint", func() bool { return a.open.Load() == 1 })
 	s, err := ReadStatus(path)
 	if err != nil || len(s.Pools) != 2 || s.Pools[0].Name != "a" || s.Pools[0].Pending != 1 || s.Pools[0].Endpoints[0].InFlight != 1 ||
 		s.Pools[0].Endpoints[0].State != "ready" || s.Pools[0].Shares["operations"].Used != 1 || s.Limits["operations"].Used != 1 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("status %+v, %v", s, err)
 	}
-	if err := p.apply(only); err != nil {
+	if err := p.apply(onlyB); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := ReadStatus(path); err != nil || !s.Pools[0].Retired || s.Pools[0].Pending != 1 || s.Pools[1].Retired {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("status %+v, %v", s, err)
 	}
-	close(thaw)
+	close(resume)
 	if status := <-answered; status != 200 {
-		t.Errorf("answered %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 	cancel()
 	testkit.Until(t, "the socket is closed", func() bool { _, err := ReadStatus(path); return err != nil })
 }
 
-// A pool whose settings change while discovery says nothing goes on with the list that its predecessor had: what was ready is
-// sent to, and what drains is not.
+// A pool whose settings change while discovery sends no list continues with the endpoint list of its predecessor: ready
+// endpoints receive requests, draining ones do not.
 func TestChangedPoolKeepsEndpointList(t *testing.T) {
-	a, gone := startStubService(t, "a", nil), startStubService(t, "gone", nil)
+	a, draining := startStubService(t, "a", nil), startStubService(t, "gone", nil)
 	var silent atomic.Bool
 	calls := make(chan bool, 99)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls <- true; !silent.Load() {
-			one := `{"name":%q,"address":%q,"zone":"","type":"","group":0,"status":%q,"weight":1,"since_ms":0}`
-			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[`+one+","+one+"]}\n", "a", a.address, "Ready", "gone", gone.address, "Terminating")
+			format := `{"name":%q,"address":%q,"zone":"","type":"","group":0,"status":%q,"weight":1,"since_ms":0}`
+			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[`+format+","+format+"]}\n", "a", a.address, "Ready", "gone", draining.address, "Terminating")
 			w.(http.Flusher).Flush()
 		}
 		<-r.Context().Done()
@@ -306,7 +313,7 @@
 			discovery.Listener.Addr(), deadline)
 	}
 	p := startProcess(t, nil, text("2s"))
-	testkit.Until(t, "the list is there", func() bool { return len(p.Status().Pools[0].Endpoints) == 2 })
+	testkit.Until(t, "the endpoint list has arrived", func() bool { return len(p.Status().Pools[0].Endpoints) == 2 })
 	silent.Store(true)
 	if err := p.apply(text("3s")); err != nil {
 		t.Fatal(err)
@@ -314,7 +321,7 @@
 	for range 20 {
 		p.expect("x", "/", 200, "a")
 	}
-	if n := gone.served.Load(); n > 0 {
-		t.Errorf("%d requests went to what drains", n)
+	if n := draining.served.Load(); n > 0 {
+		t.Errorf("%d requests went to a draining endpoint", n)
 	}
 }
--- a/internal/pools/runtime_test.go
+++ b/internal/pools/runtime_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// What lives for a moment must not pile up to a multiple of what stays: on a quiet sidecar that looks like a leak for
-// minutes.
+// Short-lived garbage must not grow to a multiple of the live heap: on an idle sidecar that looks like a leak for minutes.
 func TestConfigureRuntime(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
@@ -16,12 +15,12 @@
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	var kept []byte
+	var buffer []byte
 	for range 8 << 20 / 4096 {
-		kept = make([]byte, 4096)
+		buffer = make([]byte, 4096)
 	}
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(buffer)
 	if runtime.ReadMemStats(&after); after.NumGC == before.NumGC {
-		t.Errorf("%d MB were not collected", (after.HeapAlloc-before.HeapAlloc)>>20)
+		t.Errorf("no collection after %d MB of garbage", (after.HeapAlloc-before.HeapAlloc)>>20)
 	}
 }
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -20,7 +20,7 @@
 	"kitewood/internal/transport"
 )
 
-// Set is the pools of a process, behind its listeners.
+// Set is the set of pools of a process, with the listeners in front of them.
 type Set struct {
 	log    *slog.Logger
 	ctx    context.Context
@@ -28,17 +28,17 @@
 	limits *sharedLimits
 	guard  *guard.Guard
 
-	mu          sync.Mutex // held by Apply, and by those who look
+	mu          sync.Mutex // held by Apply and by readers
 	file        *config.File
 	server      *transport.Server
 	listeners   map[string]net.Listener
-	watcher     *filewatch.Watcher // nil until a pool needs it
+	watcher     *filewatch.Watcher // nil until a pool has a list file
 	pools       map[string]*pool
 	retired     map[*pool]bool
-	lastRetired map[string]*pool // the last one of a name that was retired, while it runs
+	lastRetired map[string]*pool // by name, the pool that was retired last, while it still runs
 }
 
-// New returns a Set without pools. The context ends all of it at once.
+// New returns a Set without pools. Cancelling the context ends all of its pools at once, without draining.
 func New(ctx context.Context, log *slog.Logger) *Set {
 	s := &Set{log: log, ctx: ctx, clock: routing.NewClock(), guard: guard.New(log), listeners: map[string]net.Listener{}, pools: map[string]*pool{},
 		retired: map[*pool]bool{}, lastRetired: map[string]*pool{}}
@@ -46,8 +46,8 @@
 	return s
 }
 
-// Apply takes a configuration, the first or another one, while it serves. Pools that are no longer named, or named with
-// other settings, take nothing new and end what is open in them by the rules. On an error nothing is changed.
+// Apply applies a configuration: the first one, or another one while the Set serves. Pools that the configuration removes or
+// changes accept no new requests and finish those in flight within their deadlines. On an error nothing changes.
 func (s *Set) Apply(f *config.File) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 	var started []func()
 	undo := func(err error) error {
-		for _, end := range started {
-			end()
+		for _, stop := range started {
+			stop()
 		}
 		return err
 	}
@@ -92,7 +92,7 @@
 	if err := s.limits.update(f); err != nil {
 		return undo(err)
 	}
-	// From here on nothing fails.
+	// Nothing below can fail.
 	for _, p := range pools {
 		if old := s.pools[p.name]; old != p {
 			if old == nil {
@@ -107,12 +107,12 @@
 	for i := range f.Pools {
 		pools[f.Pools[i].Name].updateConfig(&f.Pools[i])
 	}
-	find := newRouter(f, table, pools)
+	router := newRouter(f, table, pools)
 	if s.server == nil {
-		s.server = transport.NewServer(s.clock, find, f.Budget(), s.log)
+		s.server = transport.NewServer(s.clock, router, f.Budget(), s.log)
 		s.server.UseGuard(s.guard)
 	} else {
-		s.server.SetRoutes(find)
+		s.server.SetRoutes(router)
 		s.server.SetBudget(f.Budget())
 	}
 	for address, ln := range s.listeners {
@@ -131,37 +131,38 @@
 		}
 	}
 	if s.file != nil && s.file.Admin != f.Admin {
-		s.log.Warn("the admin socket moves at the next start only", "admin", s.file.Admin)
+		s.log.Warn("the admin socket path changes only after a restart", "admin", s.file.Admin)
 	}
 	s.file, s.listeners, s.pools = f, listeners, pools
 	ConfigureRuntime(f.Limits.Cores, f.Limits.MemoryMB)
 	return nil
 }
 
-// directions lead requests by a table to the pools of a configuration.
+// newRouter returns a router that sends requests to the pools of a configuration as the table says.
 func newRouter(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
-	type way struct {
-		to      *transport.Backend
-		classes []protocol.Class
-		as      string
+	type target struct {
+		backend      *transport.Backend
+		classes      []protocol.Class
+		defaultClass string
 	}
-	ways := make([]way, len(f.Routes))
+	targets := make([]target, len(f.Routes))
 	for i, r := range f.Routes {
 		p := pools[r.Pool]
-		ways[i] = way{&p.backend, p.classes, r.DefaultClass}
+		targets[i] = target{&p.backend, p.classes, r.DefaultClass}
 	}
 	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
-		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
-		if bad != nil {
-			return nil, protocol.RequestMeta{}, &protocol.Error{Status: bad.Status, Reason: bad.Why}
+		i, rejection := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
+		if rejection != nil {
+			return nil, protocol.RequestMeta{}, &protocol.Error{Status: rejection.Status, Reason: rejection.Why}
 		}
 		m.ToOriginForm()
-		op, err := protocol.ReadRoutedRequestMeta(m, ways[i].classes, ways[i].as)
-		return ways[i].to, op, err
+		meta, err := protocol.ReadRoutedRequestMeta(m, targets[i].classes, targets[i].defaultClass)
+		return targets[i].backend, meta, err
 	}
 }
 
-// retire lets a pool that takes nothing new end what is open in it. Each operation has its answer by its deadline.
+// retire lets a pool that receives no new requests finish those in flight, and then ends it. Each request is answered by its
+// deadline.
 func (s *Set) retire(p *pool) {
 	s.retired[p], s.lastRetired[p.name] = true, p
 	p.connections.Close()
@@ -176,10 +177,10 @@
 	})
 }
 
-// endMargin is how long after the longest deadline a pool's last answers may come.
+// retireMargin is how long after the longest deadline the last responses of a pool may arrive.
 const retireMargin = time.Second
 
-// evict closes an idle connection of a pool, for another that has lent it.
+// evictIdle closes an idle connection of a pool so that its lender can have it back.
 func (s *Set) evictIdle(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +188,7 @@
 	return p != nil && p.connections.EvictOldestIdle()
 }
 
-// Owed tells how many operations have no answer yet.
+// PendingRequests returns the number of requests that have no answer yet, those of retired pools included.
 func (s *Set) PendingRequests() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,31 +201,32 @@
 	return n
 }
 
-// Stop ends the listeners as transport.Front.Stop does, within the longest deadline of a class and a margin.
+// Stop stops the listeners like transport.Server.Stop, within the longest deadline of a class and a margin.
 func (s *Set) Stop(ctx context.Context) {
 	s.mu.Lock()
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, p := range s.pools {
-		longest = max(longest, p.maxDeadline())
+		maxDeadline = max(maxDeadline, p.maxDeadline())
 	}
 	var lns []net.Listener
 	for _, ln := range s.listeners {
 		lns = append(lns, ln)
 	}
-	front := s.server
+	server := s.server
 	s.mu.Unlock()
-	front.Stop(ctx, longest+retireMargin/2, lns...)
+	server.Stop(ctx, maxDeadline+retireMargin/2, lns...)
 }
 
-// FitRuntime fits the runtime to the machine's part that the process may use.
+// ConfigureRuntime sets the runtime's processor count, garbage collection and memory limit for the given resources.
 func ConfigureRuntime(cores float64, memoryMB int) {
 	runtime.GOMAXPROCS(max(1, int(cores+0.5)))
-	// Next to nothing lives long here. At 400% the heap grew for minutes towards its first collection, like a leak.
+	// Few objects live long here. At 400% the heap grew for minutes before its first collection, which looked like a leak.
 	debug.SetGCPercent(50)
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * 3 / 4)
 }
 
-// same tells whether a pool can go on under another configuration: its shares and the address of its discovery may change.
+// canKeep reports whether the pool can continue with another configuration: only its shares and the address of its discovery
+// may differ.
 func (p *pool) canKeep(conf *config.Pool) bool {
 	a, b := p.conf, *conf
 	a.Shares, b.Shares = config.Shares{}, config.Shares{}
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -12,44 +12,44 @@
 	"kitewood/internal/transport"
 )
 
-// Status is what the admin socket shows. It changes nothing.
+// Status is the state of the process as the admin socket shows it.
 type Status struct {
 	Name       string           `json:"name"`
 	Goroutines int              `json:"goroutines"`
-	MemoryKB   int              `json:"memory_kb"` // held by the runtime
-	Limits     map[string]Limit `json:"limits"`    // by the key in shares
+	MemoryKB   int              `json:"memory_kb"` // memory that the Go runtime holds
+	Limits     map[string]Limit `json:"limits"`    // by the key in the shares setting
 	Pools      []PoolStatus     `json:"pools"`
 	Listeners  []string         `json:"listeners"`
 
-	CloseCounts map[string]uint64 `json:"closings"`   // ends of clients' connections, by reason
-	Violations  map[string]uint64 `json:"violations"` // of invariants, by name: each is a defect
-	Denials     map[string]uint64 `json:"denials"`    // what was not done as it would have broken one
+	CloseCounts map[string]uint64 `json:"closings"`   // closed client connections, by reason
+	Violations  map[string]uint64 `json:"violations"` // invariant violations, by name; each one is a defect
+	Denials     map[string]uint64 `json:"denials"`    // actions that were denied because they would have violated an invariant
 }
 
-// Limit is one limit of the process.
+// Limit is the size and the use of one process limit.
 type Limit struct {
 	Total int `json:"whole"`
 	Used  int `json:"used"`
 }
 
-// PoolStatus is one pool.
+// PoolStatus is the state of one pool.
 type PoolStatus struct {
 	Name           string            `json:"name"`
-	Retired        bool              `json:"retired,omitempty"` // it takes nothing new and ends what is open
-	Unresponsive   bool              `json:"stuck,omitempty"`   // its loop did not answer
-	Index          int64             `json:"index"`             // of its last list
+	Retired        bool              `json:"retired,omitempty"` // accepts no new requests and finishes those in flight
+	Unresponsive   bool              `json:"stuck,omitempty"`   // its event loop did not respond
+	Index          int64             `json:"index"`             // of its latest endpoint list
 	Pending        int               `json:"open"`
 	Queued         int               `json:"parked"`
-	ShedLevel      float64           `json:"level"` // of refusals because answers are foretold late: 0 none, 1 all but what is worth most, 2 all
-	DownstreamShed float64           `json:"below"` // share refused because services below decline it
+	ShedLevel      float64           `json:"level"` // load shedding because responses are predicted to be late: 0 none, 1 all but the class of the highest utility, 2 all
+	DownstreamShed float64           `json:"below"` // share of requests shed because downstream services decline them
 	Shares         map[string]Usage  `json:"shares,omitempty"`
 	Endpoints      []EndpointStatus  `json:"destinations"`
-	Counts         map[string]uint64 `json:"counts"` // requests, attempts, refusals, retries and lists since the start, by name
+	Counts         map[string]uint64 `json:"counts"` // requests, attempts, rejections, retries and lists since the start, by name
 
-	Discovery *transport.DiscoveryState `json:"discovery,omitempty"` // where its list comes from there
+	Discovery *transport.DiscoveryState `json:"discovery,omitempty"` // nil if the endpoint list is a file
 }
 
-// Use is what a pool holds of a limit. Borrowed units are a part of those used.
+// Usage is a pool's use of one limit. Borrowed units are part of the used ones.
 type Usage struct {
 	Guaranteed int `json:"guaranteed"`
 	Max        int `json:"most,omitempty"`
@@ -57,11 +57,11 @@
 	Borrowed   int `json:"borrowed"`
 }
 
-// DestinationStatus is one destination.
+// EndpointStatus is the state of one endpoint.
 type EndpointStatus struct {
 	Name         string  `json:"name"`
 	Address      string  `json:"address"`
-	State        string  `json:"state"` // ready, draining, ejected, trial, untracked
+	State        string  `json:"state"` // ready, draining, ejected, held off, trial or untracked
 	Weight       float64 `json:"weight"`
 	Utilisation  float64 `json:"utilisation"`
 	FailureRatio float64 `json:"failed"`
@@ -69,10 +69,11 @@
 	EjectedMS    int64   `json:"held_off_ms,omitempty"`
 }
 
-// viewWithin is how long a pool's loop may take to say what it knows.
+// viewTimeout is how long a pool's event loop may take to report its state.
 const viewTimeout = 500 * time.Millisecond
 
-// Status asks every pool at once, so that those that are stuck cost half a second in all.
+// Status returns the state of all pools. It queries them in parallel, so that unresponsive pools delay it by half a second in
+// total.
 func (s *Set) Status() Status {
 	s.mu.Lock()
 	all := slices.Collect(maps.Values(s.pools))
@@ -100,10 +101,10 @@
 		<-done
 	}
 	for key := range s.limits.byKey {
-		whole, used, uses := s.limits.usage(key)
-		out.Limits[key] = Limit{whole, used}
+		total, used, usage := s.limits.usage(key)
+		out.Limits[key] = Limit{total, used}
 		for i, p := range all[:live] {
-			if u, there := uses[p.name]; there {
+			if u, ok := usage[p.name]; ok {
 				if out.Pools[i].Shares == nil {
 					out.Pools[i].Shares = map[string]Usage{}
 				}
@@ -115,6 +116,7 @@
 	return out
 }
 
+// status returns the state of the pool; an unresponsive one reports little more than its pending requests.
 func (p *pool) status(retired bool) PoolStatus {
 	out := PoolStatus{Name: p.name, Retired: retired, Endpoints: []EndpointStatus{}}
 	if p.discoveryClient != nil {
@@ -128,25 +130,25 @@
 	}
 	out.Index, out.Pending, out.Queued, out.ShedLevel, out.DownstreamShed = v.Index, v.Pending, v.Queued, v.ShedLevel, v.DownstreamShed
 	out.Counts = v.Metrics.Counts()
-	for _, d := range v.Endpoints {
-		out.Endpoints = append(out.Endpoints, EndpointStatus{Name: d.Name, Address: d.Address, State: endpointState(d), Weight: d.Weight,
-			Utilisation: d.Utilisation, FailureRatio: d.FailureRatio, InFlight: d.InFlight, EjectedMS: d.EjectedFor.Milliseconds()})
+	for _, e := range v.Endpoints {
+		out.Endpoints = append(out.Endpoints, EndpointStatus{Name: e.Name, Address: e.Address, State: endpointState(e), Weight: e.Weight,
+			Utilisation: e.Utilisation, FailureRatio: e.FailureRatio, InFlight: e.InFlight, EjectedMS: e.EjectedFor.Milliseconds()})
 	}
 	return out
 }
 
-// state is a destination's state in one word.
-func endpointState(d routing.EndpointView) string {
+// endpointState names the state of an endpoint.
+func endpointState(e routing.EndpointView) string {
 	switch {
-	case d.State == balance.Draining:
+	case e.State == balance.Draining:
 		return "draining"
-	case d.EjectedFor > 0 && d.Probation:
+	case e.EjectedFor > 0 && e.Probation:
 		return "ejected"
-	case d.EjectedFor > 0:
+	case e.EjectedFor > 0:
 		return "held off"
-	case d.Probation:
+	case e.Probation:
 		return "trial"
-	case !d.Tracked:
+	case !e.Tracked:
 		return "untracked"
 	}
 	return "ready"
