--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,187 +14,191 @@
 	"kitewood/internal/share"
 )
 
-// bad notes that a key is wrong.
+// reportFunc records what is wrong with the value of a key.
 type reportFunc func(key, format string, args ...any)
 
-// check names all that is wrong.
-func (f *File) check(bad reportFunc) {
+// check reports every invalid setting by its key.
+func (f *File) check(report reportFunc) {
 	if f.Name == "" {
-		bad("name", "is missing")
+		report("name", "is missing")
 	}
 	if _, err := strconv.ParseUint(f.Seed, 16, 64); f.Seed != "" && err != nil {
-		bad("seed", "it must be up to 16 hexadecimal digits")
+		report("seed", "must be up to 16 hexadecimal digits")
 	}
 	if !(f.Limits.Cores > 0 && f.Limits.Cores <= 1024) {
-		bad("limits.cores", "must be above 0, not %g", f.Limits.Cores)
+		report("limits.cores", "must be above 0, not %g", f.Limits.Cores)
 	}
 	if f.Limits.MemoryMB < 16 {
-		bad("limits.memory_mb", "at least 16, not %d", f.Limits.MemoryMB)
+		report("limits.memory_mb", "must be at least 16, not %d", f.Limits.MemoryMB)
 	}
 	if f.Limits.Sockets < minSockets {
-		bad("limits.sockets", "at least %d, not %d", minSockets, f.Limits.Sockets)
+		report("limits.sockets", "must be at least %d, not %d", minSockets, f.Limits.Sockets)
 	}
-	if front, _ := f.connectionLimits(); f.Limits.Requests < 1 || f.Limits.Requests > front {
-		bad("limits.operations", "between 1 and the %d connections that clients may have, not %d", front, f.Limits.Requests)
+	if clients, _ := f.connectionLimits(); f.Limits.Requests < 1 || f.Limits.Requests > clients {
+		report("limits.operations", "must be between 1 and the limit of %d client connections, not %d", clients, f.Limits.Requests)
 	}
 	if len(f.Listeners) == 0 {
-		bad("listeners", "at least one is needed")
+		report("listeners", "at least one is required")
 	}
 	seen := map[string]bool{}
 	for i, l := range f.Listeners {
 		key := fmt.Sprintf("listeners[%d].address", i)
 		if _, err := netip.ParseAddrPort(l.Address); err != nil {
-			bad(key, "an IP and a port are wanted, not %q", l.Address)
+			report(key, "must be an IP address and a port, not %q", l.Address)
 		}
-		checkUnique(seen, l.Address, key, bad)
+		checkUnique(seen, l.Address, key, report)
 	}
 	if len(f.Pools) == 0 {
-		bad("pools", "at least one is needed")
+		report("pools", "at least one is required")
 	}
 	seen = map[string]bool{}
 	for i := range f.Pools {
 		p, at := &f.Pools[i], fmt.Sprintf("pools[%d].", i)
 		if p.Name == "" || strings.ContainsAny(p.Name, " /\t") {
-			bad(at+"name", "a pool has a name without spaces and slashes, not %q", p.Name)
+			report(at+"name", "must be a name without spaces and slashes, not %q", p.Name)
 		}
-		checkUnique(seen, p.Name, at+"name", bad)
-		p.check(at, bad)
+		checkUnique(seen, p.Name, at+"name", report)
+		p.check(at, report)
 	}
-	for _, w := range f.SharedLimits() {
-		if _, err := share.New(w.Units, w.PoolShares(f)); err != nil {
-			bad("pools", "shares.%s: %v", w.Key, err)
+	for _, l := range f.SharedLimits() {
+		if _, err := share.New(l.Units, l.PoolShares(f)); err != nil {
+			report("pools", "shares.%s: %v", l.Key, err)
 		}
 	}
 	for i, r := range f.Routes {
-		f.checkRoute(&r, fmt.Sprintf("routes[%d].", i), bad)
+		f.checkRoute(&r, fmt.Sprintf("routes[%d].", i), report)
 	}
 }
 
-func checkUnique(seen map[string]bool, name, key string, bad reportFunc) {
+// checkUnique reports a name that occurred before.
+func checkUnique(seen map[string]bool, name, key string, report reportFunc) {
 	if name != "" && seen[name] {
-		bad(key, "%q stands twice", name)
+		report(key, "%q is used twice", name)
 	}
 	seen[name] = true
 }
 
-func (p *Pool) check(at string, bad reportFunc) {
+// check reports every invalid setting of a pool; at is the key of the pool with a dot.
+func (p *Pool) check(at string, report reportFunc) {
 	switch m := p.Members; {
 	case m.Discovery == "" && m.File == "" && m.Etcd == nil:
-		bad(at+"members", "discovery or file is needed")
+		report(at+"members", "discovery or file is required")
 	case m.Discovery != "":
 		if _, err := netip.ParseAddrPort(m.Discovery); err != nil {
-			bad(at+"members.discovery", "an IP and a port are wanted, not %q", m.Discovery)
+			report(at+"members.discovery", "must be an IP address and a port, not %q", m.Discovery)
 		}
 	}
 	if len(p.Classes) == 0 {
-		bad(at+"classes", "at least one is needed")
+		report(at+"classes", "at least one is required")
 	}
 	seen := map[string]bool{}
 	for i, c := range p.Classes {
 		at := fmt.Sprintf("%sclasses[%d].", at, i)
 		if c.Name == "" || strings.ContainsAny(c.Name, " /\t") {
-			bad(at+"name", "a class has a name without spaces and slashes, not %q", c.Name)
+			report(at+"name", "must be a name without spaces and slashes, not %q", c.Name)
 		}
-		checkUnique(seen, c.Name, at+"name", bad)
+		checkUnique(seen, c.Name, at+"name", report)
 		if _, known := effects[c.Effect]; !known {
-			bad(at+"effect", "safe, keyed or unsafe, not %q", c.Effect)
+			report(at+"effect", "must be safe, keyed or unsafe, not %q", c.Effect)
 		}
 		if (c.Effect == "keyed") != (c.DedupWindow > 0) {
-			bad(at+"window", "a keyed class needs it, others have none")
+			report(at+"window", "is required for a keyed class and not allowed for others")
 		}
 		for j, m := range c.Methods {
 			if !slices.Contains(methods, m) {
-				bad(fmt.Sprintf("%smethods[%d]", at, j), "one of %s, not %q", strings.Join(methods, ", "), m)
+				report(fmt.Sprintf("%smethods[%d]", at, j), "must be one of %s, not %q", strings.Join(methods, ", "), m)
 			}
 		}
 		if c.LatencyTarget <= 0 {
-			bad(at+"aim", "must be above 0, not %s", c.LatencyTarget.D())
+			report(at+"aim", "must be above 0, not %s", c.LatencyTarget.D())
 		}
 		if c.Deadline < c.LatencyTarget {
-			bad(at+"deadline", "at least the aim of %s, not %s", c.LatencyTarget.D(), c.Deadline.D())
+			report(at+"deadline", "must be at least the aim of %s, not %s", c.LatencyTarget.D(), c.Deadline.D())
 		}
 		if !(c.Utility > 0) {
-			bad(at+"worth", "must be above 0, not %g", c.Utility)
+			report(at+"worth", "must be above 0, not %g", c.Utility)
 		}
 		if !(c.LateUtility >= 0 && c.LateUtility <= 1) {
-			bad(at+"late_worth", "a share lies between 0 and 1, not %g", c.LateUtility)
+			report(at+"late_worth", "must be between 0 and 1, not %g", c.LateUtility)
 		}
 	}
 	if s := p.Sidecars; s.Count < 1 || s.Index < 0 || s.Index >= s.Count {
-		bad(at+"sidecars", "me counts from 0 up to below of, not %d of %d", s.Index, s.Count)
+		report(at+"sidecars", "me must be at least 0 and below of, not %d of %d", s.Index, s.Count)
 	}
 	if p.Zone != "" && !slices.Contains(p.Zones, p.Zone) {
-		bad(at+"zone", "%q is none of the zones %q", p.Zone, p.Zones)
+		report(at+"zone", "%q is not one of the zones %q", p.Zone, p.Zones)
 	}
 	if p.Attempts < 1 || p.Attempts > 10 {
-		bad(at+"attempts", "between 1 and 10, not %d", p.Attempts)
+		report(at+"attempts", "must be between 1 and 10, not %d", p.Attempts)
 	}
 	if c := p.Chain; c != nil {
 		if !validHeaderName(c.Header) {
-			bad(at+"chain.header", "a header field's name is wanted, not %q", c.Header)
+			report(at+"chain.header", "must be the name of a header field that the sidecar does not use itself, not %q", c.Header)
 		}
 		if c.Service == "" || strings.ContainsAny(c.Service, ",;= \t") {
-			bad(at+"chain.service", "a name without spaces, commas, semicolons and equals signs is wanted, not %q", c.Service)
+			report(at+"chain.service", "must be a name without spaces, commas, semicolons and equals signs, not %q", c.Service)
 		}
 		if c.MaxHops < 1 || c.MaxHops > 32 {
-			bad(at+"chain.hops", "between 1 and 32, not %d", c.MaxHops)
+			report(at+"chain.hops", "must be between 1 and 32, not %d", c.MaxHops)
 		}
 		if c.MaxRetries < 0 || c.MaxRetries > 100 {
-			bad(at+"chain.repeats", "between 0 and 100, not %d", c.MaxRetries)
+			report(at+"chain.repeats", "must be between 0 and 100, not %d", c.MaxRetries)
 		}
 	}
 	if p.Origin != "" && !validHeaderName(p.Origin) {
-		bad(at+"origin", "a header field's name is wanted, not %q", p.Origin)
+		report(at+"origin", "must be the name of a header field that the sidecar does not use itself, not %q", p.Origin)
 	}
 	if r := p.Retries; !(r.Share >= 0 && r.Share <= 1) || !(r.Burst >= 0 && r.Burst <= 1e6) {
-		bad(at+"retries", "a share up to 1 and a burst that is not negative are wanted")
+		report(at+"retries", "share must be between 0 and 1 and burst between 0 and 1000000")
 	}
 	if p.RetryAfter < 0 {
-		bad(at+"retry_after", "is negative")
+		report(at+"retry_after", "must not be negative")
 	}
 	if _, known := reportSources[p.Reports.Source]; !known {
-		bad(at+"reports.via", "answers, probes, none or, for kitewood-control, orca, not %q", p.Reports.Source)
+		report(at+"reports.via", "must be answers, probes, none or, for kitewood-control, orca, not %q", p.Reports.Source)
 	}
 	for i, name := range p.Reports.Fields {
 		if _, known := reportFields[name]; !known {
-			bad(fmt.Sprintf("%sreports.fields[%d]", at, i), "unknown field %q", name)
+			report(fmt.Sprintf("%sreports.fields[%d]", at, i), "unknown field %q", name)
 		}
 	}
 	if (p.Reports.Source != "none") != (len(p.Reports.Fields) > 0) {
-		bad(at+"reports.fields", "reports need fields, and where there are none there are no fields")
+		report(at+"reports.fields", "fields are required with reports and not allowed without")
 	}
 	if c := p.SlowStart; !(c.Share > 0 && c.Share <= 1) || c.Time < 0 || !(c.OverloadMultiple >= 1) || c.OverloadWindow <= 0 {
-		bad(at+"cold", "a share up to 1, a multiple from 1 and spans that are not negative are wanted")
+		report(at+"cold", "share must be above 0 and at most 1, multiple at least 1, time not negative and window above 0")
 	}
 	if p.Connections.Idle <= 0 || p.Connections.Timeout <= 0 {
-		bad(at+"connections", "idle and timeout must be above 0")
+		report(at+"connections", "idle and timeout must be above 0")
 	}
 }
 
-// fieldName tells whether a text can be the name of a header field that this program does not write itself.
+// validHeaderName reports whether a string can be the name of a header field and is none that the sidecar writes itself.
 func validHeaderName(s string) bool {
 	return s != "" && !strings.ContainsAny(s, " \t:,;=\r\n") && !slices.Contains(protocol.ReservedFields(), textproto.CanonicalMIMEHeaderKey(s))
 }
 
-func (f *File) checkRoute(r *Route, at string, bad reportFunc) {
+// checkRoute reports every invalid setting of a route; at is the key of the route with a dot.
+func (f *File) checkRoute(r *Route, at string, report reportFunc) {
 	i := slices.IndexFunc(f.Pools, func(p Pool) bool { return p.Name == r.Pool })
 	if i < 0 {
-		bad(at+"pool", "there is no pool %q", r.Pool)
+		report(at+"pool", "there is no pool %q", r.Pool)
 	} else {
 		for key, class := range map[string]string{"class": r.Class, "as": r.DefaultClass} {
 			if class != "" && f.Pools[i].classIndex(class) < 0 {
-				bad(at+key, "the pool %q has no class %q", r.Pool, class)
+				report(at+key, "the pool %q has no class %q", r.Pool, class)
 			}
 		}
 	}
 	if r.Path != "" && r.Exact != "" {
-		bad(at+"exact", "path is given, too: one of them is enough")
+		report(at+"exact", "only one of exact and path is allowed")
 	}
 	if _, err := route.New([]route.Rule{r.rule(0)}); err != nil {
-		bad(strings.TrimSuffix(at, "."), "%v", errors.Unwrap(err))
+		report(strings.TrimSuffix(at, "."), "%v", errors.Unwrap(err))
 	}
 }
 
+// classIndex returns the index of a class by name, or -1.
 func (p *Pool) classIndex(name string) int {
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,55 +8,56 @@
 	"kitewood/internal/yamlfile"
 )
 
-// Load reads a configuration file, fills in what it leaves out and checks it. Its errors are yamlfile.Problems, joined
-// where there are several.
+// Load reads a configuration file, sets the defaults and checks it. Its errors are yamlfile.Problems, joined if there are
+// several.
 func Load(path string) (*File, error) { return yamlfile.Load(path, Read) }
 
-// Read reads the text of a configuration file as Load does.
+// Read parses the text of a configuration file like Load; path is the name of the file.
 func Read(path string, text []byte) (*File, error) {
 	var f File
 	tree, err := yamlfile.Read(path, text, &f)
 	if err != nil {
 		return nil, err
 	}
-	wrong := tree.NewProblemList()
-	f.Complete(path, wrong.Add)
+	problems := tree.NewProblemList()
+	f.Complete(path, problems.Add)
 	for i := range f.Pools {
 		switch m := f.Pools[i].Members; {
 		case m.Etcd != nil || m.Merge != nil || m.Serve != "":
-			wrong.Add(fmt.Sprintf("pools[%d].members", i), "etcd, merge and serve are kitewood-control's: a sidecar has discovery or file")
+			problems.Add(fmt.Sprintf("pools[%d].members", i), "etcd, merge and serve are for kitewood-control only: a sidecar has discovery or file")
 		case m.Discovery != "" && m.File != "":
-			wrong.Add(fmt.Sprintf("pools[%d].members.file", i), "discovery is given, too: one of them is enough")
+			problems.Add(fmt.Sprintf("pools[%d].members.file", i), "only one of file and discovery is allowed")
 		}
 		if r := f.Pools[i].Reports; r.Source == "orca" || r.Interval != 0 {
-			wrong.Add(fmt.Sprintf("pools[%d].reports", i), "via: orca and every are kitewood-control's: a sidecar reads its own answers")
+			problems.Add(fmt.Sprintf("pools[%d].reports", i), "via: orca and every are for kitewood-control only: a sidecar reads the reports in its own responses")
 		}
 	}
-	if err := wrong.Err(); err != nil {
+	if err := problems.Err(); err != nil {
 		return nil, err
 	}
 	return &f, nil
 }
 
-// Complete fills in what the file of a path leaves out, and names all that is wrong by its key.
-func (f *File) Complete(path string, wrong func(key, format string, args ...any)) {
+// Complete sets the defaults of a configuration that was read from path and reports every invalid setting by its key.
+func (f *File) Complete(path string, report func(key, format string, args ...any)) {
 	f.setDefaults(filepath.Dir(path))
-	f.check(wrong)
+	f.check(report)
 }
 
-// fill puts in what a file leaves out.
+// setDefaults sets the settings that the file leaves out. Relative paths start at folder.
 func (f *File) setDefaults(folder string) {
 	yamlfile.Default(&f.Limits.Cores, 1)
 	yamlfile.Default(&f.Limits.MemoryMB, 64)
 	yamlfile.Default(&f.Limits.Sockets, 1024)
-	front, _ := f.connectionLimits()
-	yamlfile.Default(&f.Limits.Requests, max(1, front*7/8))
+	clients, _ := f.connectionLimits()
+	yamlfile.Default(&f.Limits.Requests, max(1, clients*7/8))
 	for i := range f.Pools {
 		f.Pools[i].setDefaults(folder)
 	}
 	f.setDefaultShares()
 }
 
+// setDefaults sets the settings of a pool that the file leaves out.
 func (p *Pool) setDefaults(folder string) {
 	if m := &p.Members; m.File != "" && !filepath.IsAbs(m.File) {
 		m.File = filepath.Join(folder, m.File)
@@ -88,23 +89,23 @@
 	yamlfile.Default(&p.Connections.Timeout, yamlfile.Milliseconds(250))
 }
 
-// Whole is a limit that pools share, and each pool's share of it.
+// SharedLimit is a limit that the pools share.
 type SharedLimit struct {
-	Key     string // as in shares
-	Units   int
+	Key     string // in the shares setting
+	Units   int    // size of the limit
 	ShareOf func(*Pool) *Share
 }
 
-// Parts are the pools' shares of a limit, by name.
-func (w *SharedLimit) PoolShares(f *File) map[string]share.Share {
-	out := make(map[string]share.Share, len(f.Pools))
+// PoolShares returns the pools' shares of the limit by pool name.
+func (l *SharedLimit) PoolShares(f *File) map[string]share.Share {
+	shares := make(map[string]share.Share, len(f.Pools))
 	for i := range f.Pools {
-		out[f.Pools[i].Name] = share.Share(*w.ShareOf(&f.Pools[i]))
+		shares[f.Pools[i].Name] = share.Share(*l.ShareOf(&f.Pools[i]))
 	}
-	return out
+	return shares
 }
 
-// Wholes are the limits that pools share.
+// SharedLimits returns the limits that the pools share.
 func (f *File) SharedLimits() []SharedLimit {
 	_, connections := f.connectionLimits()
 	return []SharedLimit{
@@ -115,19 +116,20 @@
 	}
 }
 
-// fillShares gives the pools that name no guaranteed part equal parts of half of what the others leave.
+// setDefaultShares guarantees the pools that name no guaranteed part equal parts of half of the units that the other pools
+// leave.
 func (f *File) setDefaultShares() {
-	for _, w := range f.SharedLimits() {
-		left, open := w.Units, 0
+	for _, l := range f.SharedLimits() {
+		left, unset := l.Units, 0
 		for i := range f.Pools {
-			s := w.ShareOf(&f.Pools[i])
+			s := l.ShareOf(&f.Pools[i])
 			if left -= s.Guaranteed; s.Guaranteed == 0 {
-				open++
+				unset++
 			}
 		}
 		for i := range f.Pools {
-			if s := w.ShareOf(&f.Pools[i]); s.Guaranteed == 0 {
-				s.Guaranteed = max(1, left/2/open)
+			if s := l.ShareOf(&f.Pools[i]); s.Guaranteed == 0 {
+				s.Guaranteed = max(1, left/2/unset)
 				if s.Max > 0 {
 					s.Guaranteed = min(s.Guaranteed, s.Max)
 				}
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -13,35 +13,38 @@
 	"kitewood/internal/transport"
 )
 
-// The words of the file and what they stand for.
+// Values of settings and their meaning.
 var (
 	effects       = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 	reportSources = map[string]balance.ReportSource{"none": balance.NoReports, "answers": balance.OnResponses, "orca": balance.OnResponses, "probes": balance.OnProbes}
 	reportFields  = map[string]balance.Field{"util": balance.Util, "inflight": balance.Inflight, "queue": balance.Queue,
 		"latency_ms": balance.LatencyMS, "qps": balance.QPS, "eps": balance.EPS}
-	// methods are those whose answers are read like those of GET: the answer to HEAD has a length and no body.
+	// methods are those whose responses are read like those of GET. HEAD is not: its response has a length and no body.
 	methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
 
+// minSockets is the minimum number of descriptors of a process.
 const minSockets = transport.MinSockets
 
-func (f *File) connectionLimits() (front, destinations int) {
+// connectionLimits returns the maximum numbers of client connections and of connections to endpoints.
+func (f *File) connectionLimits() (clients, upstream int) {
 	b := f.Budget()
 	return b.ClientConns, b.UpstreamConns
 }
 
-// Budget divides the descriptors of the process.
+// Budget divides the descriptors of the process among its kinds of connections.
 func (f *File) Budget() transport.Budget {
-	// Each further listener needs a descriptor and may be one connection ahead; each pool watches a list; files share one
-	// watch of two descriptors, and an admin socket takes up to four.
-	more := 2*max(len(f.Listeners)-1, 0) + len(f.Pools) + 2
+	// Beyond the reserve of a single listener: each further listener needs a descriptor and may have accepted one connection
+	// more, each pool watches an endpoint list, all files share one watcher of two descriptors, and the admin socket needs up to
+	// four.
+	extra := 2*max(len(f.Listeners)-1, 0) + len(f.Pools) + 2
 	if f.Admin != "" {
-		more += 4
+		extra += 4
 	}
-	return transport.NewBudget(max(f.Limits.Sockets-more, minSockets), int64(f.Limits.MemoryMB)<<20)
+	return transport.NewBudget(max(f.Limits.Sockets-extra, minSockets), int64(f.Limits.MemoryMB)<<20)
 }
 
-// SeedOf is the seed of a pool's random choices: no two pools draw the same.
+// SeedOf returns the seed of a pool's random choices. It differs between pools, so that they do not make the same choices.
 func (f *File) SeedOf(pool string) uint64 {
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
@@ -50,7 +53,8 @@
 	return seed ^ xxhash.Sum64String(pool)
 }
 
-// Module is the decision module's settings for a pool. News of destinations has to be asked for where discovery gives it.
+// BalancerSettings returns the settings of package balance for a pool. If the endpoint list comes from discovery, the balancer
+// has to ask for updates.
 func (p *Pool) BalancerSettings(seed uint64) balance.Settings {
 	s := balance.Settings{
 		Seed: seed, Index: p.Sidecars.Index, Balancers: p.Sidecars.Count, Zone: max(slices.Index(p.Zones, p.Zone), 0),
@@ -77,6 +81,7 @@
 	return s
 }
 
+// rule returns the route as a rule of package route.
 func (r *Route) rule(target int) route.Rule {
 	rule := route.Rule{Hosts: r.Hosts, Path: r.Path, Class: r.Class, Target: target}
 	if r.Exact != "" {
@@ -88,7 +93,7 @@
 	return rule
 }
 
-// Table compiles the routes. A match's target is the place of its route in the file.
+// Table compiles the routes. The target of a match is the index of its route in the file.
 func (f *File) Table() (*route.Table, error) {
 	rules := make([]route.Rule, 0, len(f.Routes))
 	for i := range f.Routes {
--- a/internal/config/schemagen/main.go
+++ b/internal/config/schemagen/main.go
@@ -1,5 +1,5 @@
-// Command schemagen writes the JSON schema of the configuration, made from the types of package config and their
-// comments, for editors. Run it by go generate ./internal/config.
+// Command schemagen writes the JSON schema of the configuration file, for editors. It derives the schema from the types of
+// package config and their comments. Run it with go generate ./internal/config.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"kitewood/internal/config"
 )
 
-// where the types' comments are, from the folder of package config.
+// configPackage is the package whose comments describe the settings.
 const configPackage = "kitewood/internal/config"
 
 func main() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// generate makes the schema. folder is that of package config.
+// generate returns the schema; folder is the directory of package config.
 func generate(folder string) ([]byte, error) {
 	r := &jsonschema.Reflector{FieldNameTag: "yaml", DoNotReference: true, Mapper: func(t reflect.Type) *jsonschema.Schema {
 		if t == reflect.TypeFor[config.Duration]() {
--- a/internal/config/schemagen/main_test.go
+++ b/internal/config/schemagen/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The schema that ships is that of the types, with a description of every key.
+// The committed schema matches the types and holds the descriptions of the settings.
 func TestCommittedSchemaIsUpToDate(t *testing.T) {
 	t.Chdir("..")
 	want, err := generate(".")
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("docs/configuration.schema.json is not that of the types: go generate ./internal/config")
+		t.Error("docs/configuration.schema.json is out of date: run go generate ./internal/config")
 	}
 	for _, part := range []string{`"late_worth"`, "wildcards such as *.example.org", `"additionalProperties": false`, `"pattern"`} {
 		if !strings.Contains(string(want), part) {
-			t.Errorf("the schema does not hold %s", part)
+			t.Errorf("the schema does not contain %s", part)
 		}
 	}
 }
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -1,157 +1,157 @@
-// Package config is the product's own configuration: one process that fronts several services, each a pool with
-// destinations, classes and limits of its own. docs/configuration.md documents it key by key.
+// Package config reads the configuration file of a sidecar or control service: a process that serves several pools, each with
+// endpoints, classes and limits of its own. docs/configuration.md documents the file key by key.
 package config
 
 //go:generate go run ./schemagen ../../docs/configuration.schema.json
 
 import "kitewood/internal/yamlfile"
 
-// Duration is a span written as 500ms or 1m30s.
+// Duration is a duration with a unit, such as 500ms or 1m30s.
 type Duration = yamlfile.Duration
 
-// File is a whole configuration.
+// File is a configuration file.
 type File struct {
 	// Name of this process, in logs.
 	Name string `yaml:"name"`
-	// Seed of all random choices, up to 16 hexadecimal digits; left out, it follows from the name.
+	// Seed of all random choices, up to 16 hexadecimal digits; derived from the name if left out.
 	Seed string `yaml:"seed,omitempty"`
 	// Limits of the whole process.
 	Limits Limits `yaml:"limits,omitempty"`
-	// Listeners are the listeners. All of them serve all routes.
+	// Listeners of the process. Each of them serves all routes.
 	Listeners []Listener `yaml:"listeners"`
-	// Admin is the path of a unix socket that shows the live state; left out, there is none.
+	// Admin is the path of a unix socket that shows the state of the process; there is none if left out.
 	Admin string `yaml:"admin,omitempty"`
-	// Pools are the services.
+	// Pools of endpoints.
 	Pools []Pool `yaml:"pools"`
-	// Routes lead requests to pools. What no route fits is answered 404.
+	// Routes of requests to pools. A request that matches none is answered with 404.
 	Routes []Route `yaml:"routes"`
 }
 
-// Limits of the process. Pools share operations, parked, connections and memory.
+// Limits of the process. The pools share the limits of requests, queued requests, connections and memory.
 type Limits struct {
 	// Cores that the process may use, 1 if left out.
 	Cores float64 `yaml:"cores,omitempty"`
-	// MemoryMB the process may use, 64 if left out.
+	// Memory in MB that the process may use, 64 if left out.
 	MemoryMB int `yaml:"memory_mb,omitempty"`
-	// Sockets are all descriptors of the process, 1024 if left out.
+	// Maximum number of descriptors of the process, 1024 if left out.
 	Sockets int `yaml:"sockets,omitempty"`
-	// Operations open at a time in all pools; at most, and if left out, seven eighths of the clients' connections.
+	// Maximum number of pending requests in all pools; the upper bound and the default are seven eighths of the client connections.
 	Requests int `yaml:"operations,omitempty"`
 }
 
-// Listener is a listener.
+// Listener is an address that accepts connections.
 type Listener struct {
 	// Address to listen on, IP and port.
 	Address string `yaml:"address"`
 }
 
-// Pool is one service.
+// Pool is a set of endpoints with a balancer of its own.
 type Pool struct {
 	// Name of the pool, in routes, logs and the admin socket.
 	Name string `yaml:"name"`
-	// Members tell where the list of destinations comes from.
+	// Members are the source of the endpoint list.
 	Members Members `yaml:"members"`
-	// Classes of requests, at least one. A request that states none is of its route's class, or of the first that takes its method.
+	// Classes of requests, at least one. A request that states no class has that of its route, or else the first class with its method.
 	Classes []Class `yaml:"classes"`
-	// Sidecars that share the pool's destinations, this one among them.
+	// Sidecars that send to the pool's endpoints, this one among them.
 	Sidecars Sidecars `yaml:"sidecars,omitempty"`
-	// Zone that this process stands in; one of zones.
+	// Zone of this process; one of zones.
 	Zone string `yaml:"zone,omitempty"`
-	// Zones that destinations may name.
+	// Zones that endpoints may name.
 	Zones []string `yaml:"zones,omitempty"`
-	// Kinds of machines that destinations may name.
+	// Kinds of machines that endpoints may name.
 	Kinds []string `yaml:"kinds,omitempty"`
-	// Attempts for one operation at the most, 3 if left out.
+	// Maximum number of attempts for one request, 3 if left out.
 	Attempts int `yaml:"attempts,omitempty"`
-	// RetryAfter is the longest advice when to come back, 2s if left out.
+	// RetryAfter is the largest Retry-After value sent to clients, 2s if left out.
 	RetryAfter Duration `yaml:"retry_after,omitempty"`
-	// Probes of health and load may be sent.
+	// Probes says whether health and load probes may be sent.
 	Probes bool `yaml:"probes,omitempty"`
-	// Reports of load that destinations give.
+	// Reports of load that endpoints give.
 	Reports Reports `yaml:"reports,omitempty"`
-	// Cold is how destinations are that have just started.
+	// Slow start: the capacity of endpoints that have just started.
 	SlowStart SlowStart `yaml:"cold,omitempty"`
-	// Connections to the pool's destinations.
+	// Connections to the pool's endpoints.
 	Connections Connections `yaml:"connections,omitempty"`
-	// Shares of the process's limits.
+	// Shares of the process limits.
 	Shares Shares `yaml:"shares,omitempty"`
-	// Inner says that the callers are services, not clients: nothing is refused because answers are foretold late, as what the caller has done would be lost.
+	// Inner tier: the callers are services, not clients. No request is shed because its response is predicted to be late, since the work that the caller has done would be lost.
 	InnerTier bool `yaml:"inner,omitempty"`
-	// Chain is the word that services pass on with their calls; left out, none is read or written.
+	// Chain is the header that services pass on with their calls; none is read or written if left out.
 	Chain *Chain `yaml:"chain,omitempty"`
-	// Origin is the header field that names whom a request comes from, such as a customer's number. In overload all sidecars refuse the same origins, for a minute.
+	// Origin is the header field that identifies whom a request comes from, for example a customer number. In overload, all sidecars reject the same origins for a minute.
 	Origin string `yaml:"origin,omitempty"`
-	// Retries of what may have run.
+	// Retries of requests that may have run.
 	Retries Retries `yaml:"retries,omitempty"`
 }
 
-// Chain is what a client's operation may cost in all services together.
+// Chain limits what one client request may cost in all services that take part in answering it.
 type Chain struct {
-	// Header is the field that services pass on as it is with each call that they make for a request.
+	// Header is the field that services pass on unchanged with each call that they make for a request.
 	Header string `yaml:"header"`
-	// Service is the name that operations carry from here on, the pool's if left out. One that comes back to it is refused with 508.
+	// Service is the name that requests carry from here on, the pool's if left out. A request that returns to a service it has passed is rejected with 508.
 	Service string `yaml:"service,omitempty"`
-	// Hops are the services that an operation may pass, 8 if left out.
+	// Maximum number of services that a request may pass, 8 if left out.
 	MaxHops int `yaml:"hops,omitempty"`
-	// Repeats that one operation may cause in all services together, 4 if left out.
+	// Maximum number of retries that one request may cause in all services together, 4 if left out.
 	MaxRetries int `yaml:"repeats,omitempty"`
-	// RepeatDeclined has what a service below has declined tried elsewhere, instead of passed up.
+	// Retry a request on another endpoint when a downstream service has declined it, instead of passing the decline up.
 	RetryDeclined bool `yaml:"repeat_declined,omitempty"`
 }
 
-// Retries are repeats of what may have run; what never ran costs none.
+// Retries is the budget of retries for requests that may have run; a retry of a request that never ran is not counted.
 type Retries struct {
-	// Share of first attempts, 0.125 if left out.
+	// Share of retries in relation to first attempts, 0.125 if left out.
 	Share float64 `yaml:"share,omitempty"`
-	// Burst that all sidecars together can save up, 64 if left out; each has one at the least.
+	// Burst of retries that all sidecars together can save up, 64 if left out; each sidecar has at least one.
 	Burst float64 `yaml:"burst,omitempty"`
 }
 
-// Members are a list's sources: for a sidecar one, discovery or file; kitewood-control merges several.
+// Members are the sources of an endpoint list: discovery or file for a sidecar; kitewood-control merges several.
 type Members struct {
 	// Discovery is the address of the platform's discovery, IP and port.
 	Discovery string `yaml:"discovery,omitempty"`
-	// File with the list. It is watched; relative paths start at the configuration's folder.
+	// File with the endpoint list. Changes are picked up; a relative path starts at the directory of the configuration file.
 	File string `yaml:"file,omitempty"`
-	// Etcd is followed by kitewood-control.
+	// Etcd that kitewood-control watches.
 	Etcd *Etcd `yaml:"etcd,omitempty"`
-	// Merge is how kitewood-control judges what its sources say.
+	// Merge says how kitewood-control merges the reports of its sources.
 	Merge *Merge `yaml:"merge,omitempty"`
 	// Serve is the address, IP and port, at which kitewood-control offers the merged list by the platform's discovery protocol.
 	Serve string `yaml:"serve,omitempty"`
 }
 
-// Etcd is a prefix of keys, each a destination whose name is the rest of the key.
+// Etcd is a key prefix in etcd. Each key below it is an endpoint, named by the rest of the key.
 type Etcd struct {
 	// Endpoints of the cluster's members, host and port or URL.
 	Endpoints []string `yaml:"endpoints"`
 	// Prefix of the keys, with its last slash.
 	Prefix string `yaml:"prefix"`
-	// Form of the values: kitewood, if left out, or naming, as etcd's naming/endpoints package writes them.
+	// Form of the values: kitewood (the default), or naming for the format of etcd's naming/endpoints package.
 	Form string `yaml:"form,omitempty"`
-	// User that authenticates; left out, nobody does.
+	// User to authenticate as; no authentication if left out.
 	User string `yaml:"user,omitempty"`
-	// PasswordFile holds the user's password; relative paths start at the configuration's folder.
+	// PasswordFile holds the user's password; a relative path starts at the directory of the configuration file.
 	PasswordFile string `yaml:"password_file,omitempty"`
-	// CA of the members' certificates, PEM; with it the connections are TLS.
+	// CA of the members' certificates, PEM; if given, the connections use TLS.
 	CA string `yaml:"ca,omitempty"`
-	// Certificate of this client, PEM, where members want one.
+	// Certificate of this client, PEM, if the members require one.
 	Certificate string `yaml:"certificate,omitempty"`
 	// Key of the certificate, PEM.
 	Key string `yaml:"key,omitempty"`
 }
 
-// Merge is how sources that disagree are judged.
+// Merge says how kitewood-control resolves conflicts between the sources of an endpoint list.
 type Merge struct {
-	// StaleAfter is how long after it was lost a source's good words count no longer if another is heard, 30s if left out.
+	// StaleAfter is how long after its loss a source still counts as evidence that an endpoint is ready, if another source is available; 30s if left out.
 	StaleAfter Duration `yaml:"stale_after,omitempty"`
-	// HoldBelow is the share of what a source named before under which a whole list is not believed at once, 0.3 if left out.
+	// HoldBelow is a share of the endpoints that a source named before. A complete list with fewer is not accepted at once. 0.3 if left out.
 	HoldBelow float64 `yaml:"hold_below,omitempty"`
-	// HoldFor is how long what such a list leaves out stays, 10s if left out.
+	// HoldFor is how long the endpoints that such a list leaves out are kept, 10s if left out.
 	HoldFor Duration `yaml:"hold_for,omitempty"`
-	// FlapMost is the number of returns within a minute from which on a destination is held back, 4 if left out.
+	// Number of returns within a minute from which on an endpoint is held back, 4 if left out.
 	FlapMax int `yaml:"flap_most,omitempty"`
-	// FlapHold is how long it is held back first, 5s if left out; it doubles with each return, up to a minute.
+	// FlapHold is how long a flapping endpoint is held back at first, 5s if left out; it doubles with each further return, up to a minute.
 	FlapHold Duration `yaml:"flap_hold,omitempty"`
 }
 
@@ -159,83 +159,83 @@
 type Class struct {
 	// Name that requests state in X-Service-Class.
 	Name string `yaml:"name"`
-	// Methods that it takes; left out, GET for safe classes and POST for others.
+	// Methods of the class; if left out, GET for safe classes and POST for others.
 	Methods []string `yaml:"methods,omitempty"`
-	// Effect is safe (may be repeated freely), keyed (destinations drop repeats) or unsafe (must never run twice).
+	// Effect is safe (may be retried freely), keyed (endpoints deduplicate retries) or unsafe (must never run twice).
 	Effect string `yaml:"effect"`
-	// Window in which destinations drop repeats of a keyed class.
+	// Window in which endpoints deduplicate retries of a keyed class.
 	DedupWindow Duration `yaml:"window,omitempty"`
-	// Aim: an answer within it earns the full worth.
+	// Latency target: a response within it earns the full utility.
 	LatencyTarget Duration `yaml:"aim"`
-	// Deadline: how long a client waits that does not say.
+	// Deadline of a request whose client states none.
 	Deadline Duration `yaml:"deadline"`
-	// Worth of an answer against other classes, 1 if left out.
+	// Utility of a response in relation to other classes, 1 if left out.
 	Utility float64 `yaml:"worth,omitempty"`
-	// LateWorth is the share of the worth that an answer after the aim still has.
+	// Share of the utility that a response later than the latency target still has.
 	LateUtility float64 `yaml:"late_worth,omitempty"`
 }
 
-// Sidecars is this process's place among those that send to the same destinations.
+// Sidecars is this process's place among the sidecars that send to the same endpoints.
 type Sidecars struct {
-	// Me is this one's number, from 0.
+	// Index of this sidecar, from 0.
 	Index int `yaml:"me,omitempty"`
-	// Of is how many there are, 1 if left out.
+	// Number of sidecars, 1 if left out.
 	Count int `yaml:"of,omitempty"`
 }
 
-// Reports of load.
+// Reports configures load reports.
 type Reports struct {
-	// Via is answers, probes or none, none if left out. For kitewood-control it may be orca: it asks destinations out of band.
+	// Source of reports: answers, probes or none; none if left out. For kitewood-control it may be orca, which queries the endpoints out of band.
 	Source string `yaml:"via,omitempty"`
-	// Every is how often kitewood-control asks destinations that it asks itself, 1s if left out.
+	// Interval at which kitewood-control queries endpoints itself, 1s if left out.
 	Interval Duration `yaml:"every,omitempty"`
 	// Fields of a report: util, inflight, queue, qps, latency_ms, eps.
 	Fields []string `yaml:"fields,omitempty"`
 }
 
-// Cold is what a destination can do that has just started.
+// SlowStart is the capacity of an endpoint that has just started.
 type SlowStart struct {
-	// Share of its work at its start, 0.2 if left out.
+	// Share of its capacity that an endpoint has when it starts, 0.2 if left out.
 	Share float64 `yaml:"share,omitempty"`
-	// Time until it can do all of it, 20s if left out.
+	// Time until an endpoint has its full capacity, 20s if left out.
 	Time Duration `yaml:"time,omitempty"`
-	// Multiple of what it can do that tips it over, 2.5 if left out.
+	// Multiple of its current capacity that overloads an endpoint so that it fails, 2.5 if left out.
 	OverloadMultiple float64 `yaml:"multiple,omitempty"`
-	// Window that it must last for, 1.5s if left out.
+	// Window for which that load has to last, 1.5s if left out.
 	OverloadWindow Duration `yaml:"window,omitempty"`
 }
 
-// Connections to destinations.
+// Connections configures the connections to endpoints.
 type Connections struct {
-	// Idle is how long destinations keep an idle connection, 30s if left out.
+	// Idle is how long endpoints keep an idle connection, 30s if left out.
 	Idle Duration `yaml:"idle,omitempty"`
-	// Timeout of a handshake, 250ms if left out.
+	// Timeout of connecting, 250ms if left out.
 	Timeout Duration `yaml:"timeout,omitempty"`
 }
 
-// Shares of the process's limits. Left out, half of each limit is guaranteed to the pools in equal parts.
+// Shares of the process limits. If left out, the pools are guaranteed half of each limit, in equal parts.
 type Shares struct {
-	// Operations open at a time.
+	// Pending requests.
 	Requests Share `yaml:"operations,omitempty"`
-	// Parked are open operations that wait for a destination; there are half as many as operations.
+	// Pending requests that are queued for an endpoint; the limit is half that of pending requests.
 	Queued Share `yaml:"parked,omitempty"`
-	// Connections to destinations.
+	// Connections to endpoints.
 	Connections Share `yaml:"connections,omitempty"`
-	// MemoryKB for bodies of requests.
+	// Memory in KB for request bodies.
 	MemoryKB Share `yaml:"memory_kb,omitempty"`
 }
 
-// Share of one limit.
+// Share is a pool's share of one limit.
 type Share struct {
-	// Guaranteed units, which the pool gets back with the next that another gives back.
+	// Guaranteed units. If others have borrowed them, the pool gets them back as units are released.
 	Guaranteed int `yaml:"guaranteed,omitempty"`
-	// Most units, borrowed ones included; left out, all that are idle.
+	// Maximum number of units, borrowed ones included; all that are free if left out.
 	Max int `yaml:"most,omitempty"`
 }
 
-// Route leads requests to a pool. All conditions that are given have to fit.
+// Route sends requests to a pool. A request matches if all given conditions hold.
 type Route struct {
-	// Hosts: names, names with a port, or wildcards such as *.example.org; left out, any.
+	// Hosts: names, names with a port, or wildcards such as *.example.org; any host if left out.
 	Hosts []string `yaml:"hosts,omitempty"`
 	// Path prefix, by whole segments.
 	Path string `yaml:"path,omitempty"`
@@ -243,10 +243,10 @@
 	Exact string `yaml:"exact,omitempty"`
 	// Class that the request states.
 	Class string `yaml:"class,omitempty"`
-	// Headers with their values; an empty value only wants the field to be there.
+	// Headers with their values; an empty value requires only that the header is present.
 	Headers map[string]string `yaml:"headers,omitempty"`
-	// Pool that the request goes to.
+	// Pool that the request is sent to.
 	Pool string `yaml:"pool"`
-	// As is the class of requests that state none.
+	// Class of requests that state none.
 	DefaultClass string `yaml:"as,omitempty"`
 }
