--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -1,4 +1,4 @@
-// Package program puts the sidecar together: its configuration, its parts, its limits, and the signals that stop it.
+// Package program assembles the sidecar: configuration, components, limits, and the handling of signals.
 package program
 
 import (
@@ -18,12 +18,12 @@
 	"kitewood/internal/wire"
 )
 
-// Config is what a sidecar is told when it starts.
+// Config is the configuration of a sidecar that is started from the environment.
 type Config struct {
 	Name, Listen, Discovery string
 	Cores                   float64
 	MemoryMB, Sockets       int
-	CachedEndpoints         protocol.EndpointList // the list as this sidecar last had it; it may be old
+	CachedEndpoints         protocol.EndpointList // the last endpoint list of this sidecar; it may be out of date
 	Balancer                balance.Settings
 	Classes                 []protocol.Class
 	Zones, Kinds            []string
@@ -31,7 +31,7 @@
 	ConnIdle, ConnTimeout   time.Duration
 }
 
-// file is the form of $ROUTER_CONFIG.
+// configFile is the JSON format of the file that ROUTER_CONFIG names.
 type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
@@ -43,7 +43,7 @@
 	Settings json.RawMessage
 }
 
-// socketSettings are the settings that the module does not need and the sockets do.
+// connectionSettings are the settings that package balance does not use and the connections do.
 type connectionSettings struct {
 	Profiles []struct {
 		Name, Repeat string
@@ -55,8 +55,8 @@
 	Shapes      []string
 }
 
-// Reload reads the configuration again. The file was replaced since the environment was set, so what it says of
-// discovery goes before ROUTER_DISCOVERY.
+// Reload reads the configuration again. The file may have been replaced since the environment was set, so its discovery
+// address takes precedence over ROUTER_DISCOVERY.
 func Reload(env func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -66,8 +66,8 @@
 	})
 }
 
-// Load reads the configuration that the environment names. What ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY say
-// goes before the file.
+// Load reads the configuration file that the environment names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY take
+// precedence over the file.
 func Load(env func(string) string) (*Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -81,9 +81,9 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for name, to := range map[string]*string{"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery} {
+	for name, field := range map[string]*string{"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery} {
 		if v := env(name); v != "" {
-			*to = v
+			*field = v
 		}
 	}
 	c, err := f.config()
@@ -93,6 +93,7 @@
 	return c, nil
 }
 
+// config checks the file and converts it to a Config.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Cores: f.Limits.Cores,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets)}
@@ -112,7 +113,7 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, errors.New("seed: it must be up to 16 hexadecimal digits")
+		return nil, errors.New("seed: must be up to 16 hexadecimal digits")
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		if c.CachedEndpoints, err = protocol.ReadEndpointList(f.Known); err != nil {
@@ -144,11 +145,12 @@
 	if c.ConnIdle <= 0 || c.ConnTimeout <= 0 {
 		return nil, errors.New("settings: permissions.connIdleS and permissions.connectTimeoutS must be above 0")
 	}
-	// A module that does not take its settings says so here, not when the sidecar already serves.
+	// Settings that package balance rejects are reported here, not when the sidecar already serves.
 	if _, err := routing.New(c.Balancer, routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/program/file.go
+++ b/internal/program/file.go
@@ -18,8 +18,8 @@
 	"kitewood/internal/pools"
 )
 
-// ServeFile runs the pools of a configuration file until a signal stops the process and nothing is owed to a client any
-// more. At SIGHUP it reads the file again and takes all of it but the admin socket; a bad file changes nothing.
+// ServeFile runs the pools of a configuration file until a signal stops the process and no requests are pending. On SIGHUP it
+// reads the file again and applies all of it except the admin socket path; an invalid file changes nothing.
 func ServeFile(ctx context.Context, path string, log *slog.Logger) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -47,7 +47,7 @@
 		if err := set.Apply(next); err != nil {
 			return err
 		}
-		log.Info("configuration read again", "listeners", len(next.Listeners), "pools", len(next.Pools), "routes", len(next.Routes))
+		log.Info("configuration reloaded", "listeners", len(next.Listeners), "pools", len(next.Pools), "routes", len(next.Routes))
 		return nil
 	})
 	set.Stop(ctx)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// CheckFile reads a configuration file as ServeFile would and writes the whole of it, with what it leaves out filled in.
+// CheckFile reads a configuration file like ServeFile and writes it with all defaults.
 func CheckFile(path string, out io.Writer) error {
 	f, err := config.Load(path)
 	if err != nil {
@@ -69,28 +69,28 @@
 	return err
 }
 
-// ShowPools writes what the process of a configuration file is at, from its admin socket.
+// ShowPools reads the status of the process that serves a configuration file from its admin socket and writes it.
 func ShowPools(path string, asJSON bool, out io.Writer) error {
 	f, err := config.Load(path)
 	if err != nil {
 		return err
 	}
 	if f.Admin == "" {
-		return fmt.Errorf("%s: admin is not set: the process shows nothing", path)
+		return fmt.Errorf("%s: admin is not set: the process has no admin socket", path)
 	}
 	status, err := pools.ReadStatus(f.Admin)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		return e.Encode(status)
+		enc := json.NewEncoder(out)
+		enc.SetIndent("", "  ")
+		return enc.Encode(status)
 	}
 	return writeTable(out, status)
 }
 
-// table writes a status for people.
+// writeTable writes a status as tables.
 func writeTable(out io.Writer, s pools.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\t%d pools\t%d goroutines\t%d KB\n\n", s.Name, len(s.Pools), s.Goroutines, s.MemoryKB)
@@ -106,11 +106,11 @@
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%.2f\t\t\t\t\t\n", p.Name, state, p.Pending, p.Queued, p.ShedLevel, p.DownstreamShed)
 		for _, key := range slices.Sorted(maps.Keys(p.Shares)) {
 			u := p.Shares[key]
-			most := "-"
+			maxUnits := "-"
 			if u.Max > 0 {
-				most = strconv.Itoa(u.Max)
+				maxUnits = strconv.Itoa(u.Max)
 			}
-			fmt.Fprintf(w, "\t\t\t\t\t\t%s\t%d\t%d\t%s\t%d\n", key, u.Used, u.Guaranteed, most, u.Borrowed)
+			fmt.Fprintf(w, "\t\t\t\t\t\t%s\t%d\t%d\t%s\t%d\n", key, u.Used, u.Guaranteed, maxUnits, u.Borrowed)
 		}
 	}
 	fmt.Fprintln(w)
@@ -121,9 +121,9 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "DESTINATION\tPOOL\tADDRESS\tSTATE\tWEIGHT\tUTILISATION\tFAILED\tIN FLIGHT\tHELD OFF")
 	for _, p := range s.Pools {
-		for _, d := range p.Endpoints {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%.2f\t%.2f\t%d\t%dms\n", d.Name, p.Name, d.Address, d.State, d.Weight, d.Utilisation, d.FailureRatio,
-				d.InFlight, d.EjectedMS)
+		for _, e := range p.Endpoints {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%.2f\t%.2f\t%d\t%dms\n", e.Name, p.Name, e.Address, e.State, e.Weight, e.Utilisation, e.FailureRatio,
+				e.InFlight, e.EjectedMS)
 		}
 	}
 	return w.Flush()
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// good is a whole configuration with one class of each kind.
+// validConfig is a complete configuration with a safe and an unsafe class.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"index":41,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:7070","zone":"a","type":"m2",
@@ -18,6 +18,7 @@
  "permissions":{"connIdleS":30,"connectTimeoutS":0.25,"sendCap":4},"invariants":{"stopSendingWithinS":0.5},
  "registryMode":"ask","telemetry":{"via":"inline","fields":["q","busy"]},"zones":["a"],"shapes":["m1","m2"]}}`
 
+// load writes a configuration file and loads it with the given environment.
 func load(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -32,6 +33,7 @@
 	})
 }
 
+// The environment takes precedence over the file, and settings are converted to those of the sidecar.
 func TestLoad(t *testing.T) {
 	c, err := load(t, validConfig, map[string]string{"ROUTER_NAME": "n4"})
 	if err != nil {
@@ -40,11 +42,11 @@
 	if c.Name != "n4" || c.Balancer.Seed != 0x8c1f30d27a5be964 || len(c.CachedEndpoints.Endpoints) != 1 || c.Sockets != 1024 ||
 		c.Classes[0].Methods[0] != "GET" || c.Classes[1].Methods[0] != "POST" || c.Classes[1].Deadline != 4*time.Second ||
 		c.ConnTimeout != 250*time.Millisecond || c.Kinds[1] != "m2" {
-		t.Errorf("%+v", c)
+		t.Errorf("loaded configuration: %+v", c)
 	}
 }
 
-// What is wrong with a configuration is said in one line that names the place.
+// Errors in a configuration are reported on one line that names the setting.
 func TestLoadInvalid(t *testing.T) {
 	for old, c := range map[string][2]string{
 		`"seed":"8c1f30d27a5be964"`: {`"seed":"odd"`, "seed"},
@@ -61,10 +63,10 @@
 	} {
 		_, err := load(t, strings.Replace(validConfig, old, c[0], 1), nil)
 		if err == nil || !strings.Contains(err.Error(), c[1]) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c[0], err)
+			t.Errorf("%s: error %v", c[0], err)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
-		t.Error("no configuration is one")
+		t.Error("no error without ROUTER_CONFIG")
 	}
 }
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -19,19 +19,19 @@
 	"kitewood/internal/yamlfile"
 )
 
-// A stopping sidecar is killed no sooner than the longest deadline, or 3 s where that is longer, and 0.7 s after the word.
+// After the signal to stop, a sidecar is not killed before the longest deadline of a class, or 3 s if that is shorter, plus 0.7 s.
 const (
 	maxStopWait            = 3 * time.Second
 	stopMargin             = 500 * time.Millisecond
-	unresponsiveRetryAfter = time.Second           // when clients should come back while the loop is stuck
-	viewTimeout            = 50 * time.Millisecond // the loop may take so long to tell what it counts
+	unresponsiveRetryAfter = time.Second           // Retry-After while the event loop does not respond
+	viewTimeout            = 50 * time.Millisecond // for the event loop to report its metrics
 )
 
-// Serve runs the sidecar that the environment describes until a signal stops it and nothing is owed to a client any more.
-// At SIGHUP it reads the configuration again and moves to the discovery named there.
+// Serve runs the sidecar that the environment describes until a signal stops it and no requests are pending. On SIGHUP it reads
+// the configuration again and switches to the discovery address in it.
 func Serve(ctx context.Context, env func(string) string, log *slog.Logger) error {
-	// First of all: a signal that comes while the configuration is read waits until it can be answered. SIGHUP would end
-	// the process.
+	// Before all else, so that a signal that arrives while the configuration is read is handled later. Without a handler
+	// SIGHUP would end the process.
 	signals := notifySignals()
 	defer signal.Stop(signals)
 	c, err := Load(env)
@@ -49,37 +49,37 @@
 	if c.Balancer.Report.Source != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
-	destinations := transport.NewConnectionPool(options)
+	connections := transport.NewConnectionPool(options)
 	loop, err := routing.New(c.Balancer, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
 	if err != nil {
 		return err
 	}
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
-	directory := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.DrainGrace = !c.Balancer.PollDiscovery, c.Balancer.Rules.DrainGrace
-	directory.Seed = c.Balancer.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
-	directory.Clock, directory.OnLeaseExpiry = clock, loop.SetLeaseExpiry
-	directory.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
-	service := &transport.Backend{Loop: loop}
+	discovery := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
+	discovery.Pushed, discovery.DrainGrace = !c.Balancer.PollDiscovery, c.Balancer.Rules.DrainGrace
+	discovery.Seed = c.Balancer.Seed ^ xxhash.Sum64String(c.Listen) // sidecars with the same seed must not call discovery at the same time
+	discovery.Clock, discovery.OnLeaseExpiry = clock, loop.SetLeaseExpiry
+	discovery.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
+	backend := &transport.Backend{Loop: loop}
 	if c.Balancer.Limits.RetryAfter {
-		service.RetryAfter = min(unresponsiveRetryAfter, c.Balancer.Limits.MaxRetryAfter)
+		backend.RetryAfter = min(unresponsiveRetryAfter, c.Balancer.Limits.MaxRetryAfter)
 	}
-	front := transport.NewServer(clock, transport.SinglePoolRouter(service, c.Classes), budget, log)
+	server := transport.NewServer(clock, transport.SinglePoolRouter(backend, c.Classes), budget, log)
 
-	front.UseGuard(invariants)
+	server.UseGuard(invariants)
 
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	go loop.Run(ctx, destinations, directory)
+	go loop.Run(ctx, connections, discovery)
 	loop.UpdateEndpoints(balance.Cached, c.CachedEndpoints.Index, transport.Members(c.CachedEndpoints))
-	if directory.Pushed { // the module asks for no watch; what the agent beside the sidecar has counts as told already
-		directory.Watch(c.CachedEndpoints.Index)
+	if discovery.Pushed { // the balancer requests no watch; the cached list of the local agent counts as received
+		discovery.Watch(c.CachedEndpoints.Index)
 	}
-	go front.Serve(ln)
+	go server.Serve(ln)
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Balancer.Tier, "destinations", len(c.CachedEndpoints.Endpoints))
 
 	waitForStop(ctx, signals, log, loop.PendingRequests, func() error {
@@ -87,56 +87,57 @@
 		if err != nil {
 			return err
 		}
-		log.Info("configuration read again: discovery is taken from it, all else at the next start", "discovery", next.Discovery)
-		directory.SwitchAddress(next.Discovery)
+		log.Info("configuration reloaded: the discovery address is in use, other changes need a restart", "discovery", next.Discovery)
+		discovery.SwitchAddress(next.Discovery)
 		return nil
 	})
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, class := range c.Classes {
-		longest = max(longest, class.Deadline)
+		maxDeadline = max(maxDeadline, class.Deadline)
 	}
-	front.Stop(ctx, min(longest, maxStopWait)+stopMargin, ln)
+	server.Stop(ctx, min(maxDeadline, maxStopWait)+stopMargin, ln)
 	if v, ok := loop.View(viewTimeout); ok {
-		log.Info("counts", "requests", &v.Metrics, "connections", front.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
-			"discovery", directory.State())
+		log.Info("counts", "requests", &v.Metrics, "connections", server.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
+			"discovery", discovery.State())
 	}
 	log.Info("stopped", "owed", loop.PendingRequests())
 	return nil
 }
 
-// listen has the signals that a sidecar knows come to a channel.
+// notifySignals returns a channel that receives the signals that a sidecar handles.
 func notifySignals() chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
 
-// A configuration that is bad at SIGHUP may be half written: it is read again after these pauses, until it is good.
+// A configuration that is invalid at SIGHUP may be only partly written. It is read again with exponential backoff until it is
+// valid.
 const (
-	initialReloadDelay = 100 * time.Millisecond // doubled each time,
-	maxReloadDelay     = time.Second            // up to this
-	maxReloadRetries   = 12                     // about 9 s in all
+	initialReloadDelay = 100 * time.Millisecond // doubled after each retry
+	maxReloadDelay     = time.Second            // upper bound of the delay
+	maxReloadRetries   = 12                     // about 9 s in total
 )
 
-// untilStopped waits for the signal to stop, and reads the configuration again at each SIGHUP.
-func waitForStop(ctx context.Context, signals chan os.Signal, log *slog.Logger, owed func() int, reload func() error) {
-	again := time.NewTimer(time.Hour)
-	defer again.Stop()
-	pause, left, last := initialReloadDelay, 0, ""
-	try := func() {
+// waitForStop waits for a signal to stop or the end of the context. It calls reload on each SIGHUP, and again while that fails.
+func waitForStop(ctx context.Context, signals chan os.Signal, log *slog.Logger, pending func() int, reload func() error) {
+	retryTimer := time.NewTimer(time.Hour)
+	defer retryTimer.Stop()
+	delay, retriesLeft, lastError := initialReloadDelay, 0, ""
+	tryReload := func() {
 		err := reload()
 		if err == nil {
-			left = 0
+			retriesLeft = 0
 			return
 		}
-		// A file that is half written or wrong must not take a sidecar down that serves.
-		if text := yamlfile.OneLine(err); text != last {
-			last = text
-			log.Error("the configuration is not taken, the old one stays", "error", text, "reread", left > 0)
+		// A partly written or invalid file must not end a sidecar that serves.
+		if text := yamlfile.OneLine(err); text != lastError {
+			lastError = text
+			log.Error("the configuration is not taken, the old one stays", "error", text, "reread", retriesLeft > 0)
 		}
-		if left > 0 {
-			again.Reset(pause)
-			pause = min(2*pause, maxReloadDelay)
+		if retriesLeft > 0 {
+			retryTimer.Reset(delay)
+			delay = min(2*delay, maxReloadDelay)
 		}
 	}
 	for {
@@ -145,16 +146,16 @@
 			return
 		case s := <-signals:
 			if s != syscall.SIGHUP {
-				log.Info("stopping", "signal", s.String(), "owed", owed())
+				log.Info("stopping", "signal", s.String(), "owed", pending())
 				return
 			}
-			pause, left, last = initialReloadDelay, maxReloadRetries, ""
-			again.Stop()
-			try()
-		case <-again.C:
-			if left > 0 {
-				left--
-				try()
+			delay, retriesLeft, lastError = initialReloadDelay, maxReloadRetries, ""
+			retryTimer.Stop()
+			tryReload()
+		case <-retryTimer.C:
+			if retriesLeft > 0 {
+				retriesLeft--
+				tryReload()
 			}
 		}
 	}
