--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -1,5 +1,5 @@
-// Package adminsocket shows the state of a process on a unix socket: whoever connects writes a word on a line and gets what it
-// names as JSON, one value or one after another.
+// Package adminsocket serves the state of a process on a unix socket. A client sends one command as a line and receives JSON:
+// a single value or a stream of values.
 package adminsocket
 
 import (
@@ -16,29 +16,30 @@
 	"time"
 )
 
-// timeout is how long whoever asks may take to write its word and to read a value, so that none holds a descriptor for good.
+// timeout bounds the time that a client may take to send its command and to read a value, so that no client holds a descriptor
+// forever.
 const timeout = 2 * time.Second
 
-// atOnce is how many may ask at a time; others are closed.
+// maxClients is the maximum number of concurrent clients; further connections are closed.
 const maxClients = 16
 
-// Answer sends what a word names. It ends with the context, and when sending fails.
+// Handler sends the values of a command. It returns when the context ends or sending fails.
 type Handler func(ctx context.Context, send func(any) error) error
 
-// State is the word of what Ask gets where it names none.
+// StateCommand is the command for the state of the whole process.
 const StateCommand = "state"
 
-// Once is an Answer of one value.
+// SingleValue returns a Handler that sends one value.
 func SingleValue(value func() any) Handler {
 	return func(_ context.Context, send func(any) error) error { return send(value()) }
 }
 
-// Serve answers until the context ends. Only the owner of the process may connect. A socket that an earlier process has left is
-// replaced, one that somebody listens on is an error.
-func Serve(ctx context.Context, path string, log *slog.Logger, answers map[string]Handler) error {
+// Serve handles the given commands on the socket path until the context ends. Only the user of the process may connect. A socket
+// left behind by an earlier process is replaced; it is an error if another process still listens on it.
+func Serve(ctx context.Context, path string, log *slog.Logger, handlers map[string]Handler) error {
 	if c, err := net.DialTimeout("unix", path, timeout); err == nil {
 		c.Close()
-		return errors.New(path + ": another process listens there")
+		return errors.New(path + ": another process listens on this socket")
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		os.Remove(path)
@@ -60,8 +61,8 @@
 				return
 			}
 			if err != nil {
-				log.Error("admin socket", "error", err)
-				time.Sleep(timeout) // a lack of descriptors, say
+				log.Error("cannot accept a connection on the admin socket", "error", err)
+				time.Sleep(timeout) // for example, out of descriptors
 				continue
 			}
 			if open.Add(1) > maxClients {
@@ -71,76 +72,76 @@
 			}
 			go func() {
 				defer open.Add(-1)
-				handleConn(ctx, c, answers)
+				handleConn(ctx, c, handlers)
 			}()
 		}
 	}()
 	return nil
 }
 
-// answer answers one caller.
-func handleConn(ctx context.Context, c net.Conn, answers map[string]Handler) {
+// handleConn serves one client.
+func handleConn(ctx context.Context, c net.Conn, handlers map[string]Handler) {
 	defer c.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	c.SetDeadline(time.Now().Add(timeout))
-	word, err := bufio.NewReaderSize(c, 64).ReadString('\n')
+	command, err := bufio.NewReaderSize(c, 64).ReadString('\n')
 	if err != nil {
 		return
 	}
-	out := json.NewEncoder(c)
+	enc := json.NewEncoder(c)
 	send := func(v any) error {
 		c.SetWriteDeadline(time.Now().Add(timeout))
-		return out.Encode(v)
+		return enc.Encode(v)
 	}
-	a := answers[strings.TrimSpace(word)]
-	if a == nil {
-		send(map[string]string{"error": fmt.Sprintf("there is no %q here", strings.TrimSpace(word))})
+	handler := handlers[strings.TrimSpace(command)]
+	if handler == nil {
+		send(map[string]string{"error": fmt.Sprintf("there is no %q here", strings.TrimSpace(command))})
 		return
 	}
-	go func() { // its end, or anything more from it, ends the answer
+	go func() { // the handler ends when the client closes the connection or sends anything else
 		c.SetReadDeadline(time.Time{})
 		c.Read(make([]byte, 1))
 		cancel()
 	}()
-	a(ctx, send)
+	handler(ctx, send)
 }
 
-// Follow asks for a word and hands each value that comes to take, until that fails, the context ends or there are no more.
-func Stream(ctx context.Context, path, word string, take func(json.RawMessage) error) error {
+// Stream sends a command and passes each received value to receive, until receive fails, the context ends or the stream ends.
+func Stream(ctx context.Context, path, command string, receive func(json.RawMessage) error) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	if _, err := fmt.Fprintln(c, word); err != nil {
+	if _, err := fmt.Fprintln(c, command); err != nil {
 		return err
 	}
-	for in := json.NewDecoder(c); ; {
+	for dec := json.NewDecoder(c); ; {
 		var text json.RawMessage
-		if err := in.Decode(&text); err != nil {
+		if err := dec.Decode(&text); err != nil {
 			return err
 		}
-		var refused struct{ Error string }
-		if json.Unmarshal(text, &refused) == nil && refused.Error != "" {
-			return errors.New(refused.Error)
+		var failure struct{ Error string }
+		if json.Unmarshal(text, &failure) == nil && failure.Error != "" {
+			return errors.New(failure.Error)
 		}
-		if err := take(text); err != nil {
+		if err := receive(text); err != nil {
 			return err
 		}
 	}
 }
 
-// errEnough ends Follow after the first value.
-var errStop = errors.New("enough")
+// errStop ends Stream after the first value.
+var errStop = errors.New("stop after the first value")
 
-// Ask reads the one value that a word names.
-func Query(path, word string, into any) error {
+// Query sends a command and decodes its single value into into.
+func Query(path, command string, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*timeout)
 	defer cancel()
-	err := Stream(ctx, path, word, func(text json.RawMessage) error {
+	err := Stream(ctx, path, command, func(text json.RawMessage) error {
 		if err := json.Unmarshal(text, into); err != nil {
 			return err
 		}
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -14,14 +14,14 @@
 	"kitewood/internal/testkit"
 )
 
-// A word gets what it names, once or until whoever asked is gone; another word is refused by name; a second process is not
-// let in; those who connect and say nothing hold up no more than their number.
+// A command yields one value, or a stream until the client disconnects. An unknown command is rejected by name. A second process
+// cannot listen on the socket. Clients that send no command block others only until their timeout.
 func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	var following atomic.Int32
-	answers := map[string]Handler{StateCommand: SingleValue(func() any { return 7 }), "count": func(ctx context.Context, send func(any) error) error {
-		following.Add(1)
-		defer following.Add(-1)
+	var streams atomic.Int32
+	handlers := map[string]Handler{StateCommand: SingleValue(func() any { return 7 }), "count": func(ctx context.Context, send func(any) error) error {
+		streams.Add(1)
+		defer streams.Add(-1)
 		for n := 0; ; n++ {
 			if err := send(n); err != nil {
 				return err
@@ -32,31 +32,31 @@
 			}
 		}
 	}}
-	quiet := slog.New(slog.DiscardHandler)
-	if err := Serve(t.Context(), path, quiet, answers); err != nil {
+	log := slog.New(slog.DiscardHandler)
+	if err := Serve(t.Context(), path, log, handlers); err != nil {
 		t.Fatal(err)
 	}
-	if err := Serve(t.Context(), path, quiet, answers); err == nil {
-		t.Error("a second process listens")
+	if err := Serve(t.Context(), path, log, handlers); err == nil {
+		t.Error("a second process can listen")
 	}
 	var state int
 	if err := Query(path, StateCommand, &state); err != nil || state != 7 {
-		t.Errorf("%d, %v", state, err)
+		t.Errorf("state %d, %v; want 7", state, err)
 	}
 	if err := Query(path, "other", &state); err == nil || !strings.Contains(err.Error(), `"other"`) {
-		t.Errorf("another word: %v", err)
+		t.Errorf("unknown command: error %v", err)
 	}
-	enough := errors.New("enough")
+	errDone := errors.New("enough")
 	var got []string
 	if err := Stream(t.Context(), path, "count", func(text json.RawMessage) error {
 		if got = append(got, string(text)); len(got) == 3 {
-			return enough
+			return errDone
 		}
 		return nil
-	}); err != enough || strings.Join(got, "") != "012" {
-		t.Errorf("%v, %v", got, err)
+	}); err != errDone || strings.Join(got, "") != "012" {
+		t.Errorf("values %v, error %v", got, err)
 	}
-	testkit.Until(t, "its end is seen", func() bool { return following.Load() == 0 })
+	testkit.Until(t, "the stream has ended", func() bool { return streams.Load() == 0 })
 	for range 3 * maxClients {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -64,5 +64,5 @@
 		}
 		defer c.Close()
 	}
-	testkit.Until(t, "silent ones have had their time", func() bool { return Query(path, StateCommand, &state) == nil })
+	testkit.Until(t, "silent clients have timed out", func() bool { return Query(path, StateCommand, &state) == nil })
 }
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -1,4 +1,4 @@
-// Package release tells which version this is.
+// Package release provides the version of the program.
 package release
 
 import "runtime/debug"
@@ -6,7 +6,7 @@
 // Version is the release that CHANGELOG.md describes.
 const Version = "0.2.0"
 
-// Revision is the commit that the program was built from; "unknown" where the build did not note it.
+// Revision returns the commit that the program was built from, or "unknown" if the build did not record it.
 func Revision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/yamlfile/read.go
+++ b/internal/yamlfile/read.go
@@ -1,4 +1,4 @@
-// Package yamlfile reads YAML files strictly: each error names its file, line, column and key.
+// Package yamlfile reads YAML files strictly: unknown keys are errors, and each error names its file, line, column and key.
 package yamlfile
 
 import (
@@ -12,13 +12,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Problem is what is wrong with a file, and where.
+// Problem is an error in a file, with its position.
 type Problem struct {
 	File         string
 	Line, Column int
-	Text         string // begins with the key
+	Text         string // starts with the key
 }
 
+// Error returns the file, the position if it is known, and the text.
 func (p *Problem) Error() string {
 	if p.Line == 0 {
 		return fmt.Sprintf("%s: %s", p.File, p.Text)
@@ -26,27 +27,27 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
 }
 
-// OneLine is what an error says, of several Problems too, on one line, as logs and supervisors show it.
+// OneLine returns the text of an error, also of several joined Problems, on one line for logs and supervisors.
 func OneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
-// Load reads the file of a path by a function that takes its name and text.
+// Load reads the file at path and parses it with read.
 func Load[T any](path string, read func(name string, text []byte) (T, error)) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	return read(path, text)
 }
 
-// File is a file that was read.
+// File is a parsed file.
 type File struct {
 	name string
 	body ast.Node
 }
 
-// Read reads the text of a file that holds one document into a struct; unknown keys are errors. What it returns finds
-// places of keys, for what is found wrong later.
+// Read decodes the text of a file that holds one document into a struct; unknown keys are errors. The returned File finds the
+// positions of keys for errors that later checks find.
 func Read(name string, text []byte, into any) (*File, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
@@ -57,35 +58,35 @@
 	}
 	if len(tree.Docs) > 1 {
 		t := tree.Docs[1].Start
-		return nil, &Problem{File: name, Line: t.Position.Line, Column: t.Position.Column, Text: "a file holds one document"}
+		return nil, &Problem{File: name, Line: t.Position.Line, Column: t.Position.Column, Text: "the file must hold a single document"}
 	}
-	// From the tree: reading the text a second time took as long as all the rest.
+	// Decoding from the tree avoids parsing the text a second time, which took as long as all the rest.
 	if err := yaml.NodeToValue(tree.Docs[0].Body, into, yaml.Strict()); err != nil {
 		return nil, newProblem(name, err)
 	}
 	return &File{name, tree.Docs[0].Body}, nil
 }
 
-// Wrong collects what is wrong with the figures of a file.
+// ProblemList collects the invalid settings of a file.
 type ProblemList struct {
 	file *File
 	errs []error
 }
 
-// Wrong returns an empty collection.
+// NewProblemList returns an empty list for the file.
 func (f *File) NewProblemList() *ProblemList { return &ProblemList{file: f} }
 
-// Add notes that a key, such as pools[0].name, is wrong.
-func (w *ProblemList) Add(key, format string, args ...any) {
-	p := &Problem{File: w.file.name, Text: key + ": " + fmt.Sprintf(format, args...)}
-	p.Line, p.Column = w.file.position(key)
-	w.errs = append(w.errs, p)
+// Add adds a problem with a key such as pools[0].name.
+func (l *ProblemList) Add(key, format string, args ...any) {
+	p := &Problem{File: l.file.name, Text: key + ": " + fmt.Sprintf(format, args...)}
+	p.Line, p.Column = l.file.position(key)
+	l.errs = append(l.errs, p)
 }
 
-// Err is all that was added, as Problems, or nil.
-func (w *ProblemList) Err() error { return errors.Join(w.errs...) }
+// Err returns all added problems as a joined error, or nil.
+func (l *ProblemList) Err() error { return errors.Join(l.errs...) }
 
-// problem takes the position out of an error of the YAML library.
+// newProblem converts an error of the YAML library to a Problem with its position.
 func newProblem(file string, err error) error {
 	p := &Problem{File: file, Text: err.Error()}
 	var y yaml.Error
@@ -103,7 +104,7 @@
 	return p
 }
 
-// position finds the line of a key; where the file leaves the key out, that of what it would stand in.
+// position returns the position of a key or, if the file does not have the key, that of the closest parent that it has.
 func (f *File) position(key string) (line, column int) {
 	for key != "" {
 		if path, err := yaml.PathString("$." + key); err == nil {
--- a/internal/yamlfile/values.go
+++ b/internal/yamlfile/values.go
@@ -9,13 +9,13 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Duration is a span written as 500ms or 1m30s. A bare number is refused: nobody can tell its unit.
+// Duration is a duration written as 500ms or 1m30s. A number without a unit is rejected as ambiguous.
 type Duration time.Duration
 
-// D is the span as the standard library has it.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// UnmarshalYAML reads a span.
+// UnmarshalYAML parses a duration with its unit.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	v, err := time.ParseDuration(text)
@@ -31,23 +31,23 @@
 	return nil
 }
 
-// MarshalYAML writes it as it is read.
+// MarshalYAML writes the duration in the form that UnmarshalYAML reads.
 func (d Duration) MarshalYAML() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Milliseconds is a span of so many.
+// Milliseconds returns a Duration of n milliseconds.
 func Milliseconds(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 
-// Default gives a value that a file leaves out.
+// Default sets a value that the file leaves out, which is a zero value, to v.
 func Default[T comparable](p *T, v T) {
 	*p = cmp.Or(*p, v)
 }
 
-// At is an error at the place of a node.
+// ErrorAt returns an error with the position of a node.
 func ErrorAt(node ast.Node, message string) error {
 	return &yaml.SyntaxError{Message: message, Token: node.GetToken()}
 }
 
-// Key is where a node stands, as in tiers[0].cold.time.
+// KeyPath returns the key of a node with its parents, such as tiers[0].cold.time.
 func KeyPath(node ast.Node) string {
 	path := node.GetPath()
 	if len(path) > 2 {
