--- a/cmd/kitewood-control/members.go
+++ b/cmd/kitewood-control/members.go
@@ -32,7 +32,7 @@
 		}
 		return err
 	}
-	all, err := control.AskMembers(socket)
+	all, err := control.QueryMembers(socket)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -83,7 +83,7 @@
 }
 
 // AskMembers reads what a process knows of its pools' destinations from its admin socket.
-func AskMembers(path string) ([]MembersStatus, error) {
+func QueryMembers(path string) ([]MembersStatus, error) {
 	var out []MembersStatus
 	return out, adminsocket.Query(path, "members", &out)
 }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -121,7 +121,7 @@
 	until("e f p x-")
 	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
 	until("e f x-")
-	all, err := AskMembers(socket)
+	all, err := QueryMembers(socket)
 	if err != nil || len(all) != 1 || len(all[0].Sources) != 3 || all[0].Watches != 1 {
 		t.Fatalf("%+v, %v", all, err)
 	}
