--- a/cmd/kitewood-control/main.go
+++ b/cmd/kitewood-control/main.go
@@ -1,4 +1,4 @@
-// Command kitewood-control hands the decision module's view of pools to other proxies over xDS.
+// Command kitewood-control serves the decision module's view of pools to other proxies over xDS.
 package main
 
 import (
@@ -26,23 +26,24 @@
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
-		// One line, as supervisors show one.
+		// One line, as supervisors show only one.
 		fmt.Fprintln(os.Stderr, "kitewood-control:", yamlfile.OneLine(err))
 		os.Exit(1)
 	}
 }
 
+// command returns the command line of the program.
 func command() *cli.Command {
-	file := func() cli.Flag {
+	configFlag := func() cli.Flag {
 		return &cli.StringFlag{Name: "config", Required: true, Usage: "YAML configuration (docs/control.md)"}
 	}
 	return &cli.Command{
 		Name:  "kitewood-control",
-		Usage: "a control service that tells proxies over xDS where to send",
+		Usage: "a control service that serves endpoints and routes to proxies over xDS",
 		Commands: []*cli.Command{
 			{
 				Name: "serve", Usage: "serve proxies until SIGTERM",
-				Flags: []cli.Flag{file(), &cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"}},
+				Flags: []cli.Flag{configFlag(), &cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					var level slog.Level
 					if err := level.UnmarshalText([]byte(c.String("log-level"))); err != nil {
@@ -58,8 +59,8 @@
 				},
 			},
 			{
-				Name: "check-config", Usage: "read a configuration as serve would and print the whole of it",
-				Flags: []cli.Flag{file()},
+				Name: "check-config", Usage: "validate a configuration and print it with its defaults",
+				Flags: []cli.Flag{configFlag()},
 				Action: func(_ context.Context, c *cli.Command) error {
 					f, err := control.Load(c.String("config"))
 					if err != nil {
@@ -73,14 +74,14 @@
 				},
 			},
 			{
-				Name: "status", Usage: "show the proxies of the process that serves a configuration, from its admin socket",
-				Flags: []cli.Flag{file(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}},
+				Name: "status", Usage: "show the connected proxies, from the admin socket of the running process",
+				Flags: []cli.Flag{configFlag(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}},
 				Action: func(_ context.Context, c *cli.Command) error {
-					socket, err := adminOf(c)
+					socket, err := adminSocket(c)
 					if err != nil {
 						return err
 					}
-					s, err := control.Ask(socket)
+					s, err := control.QueryStatus(socket)
 					if err != nil {
 						return fmt.Errorf("admin: %w", err)
 					}
@@ -89,18 +90,18 @@
 						e.SetIndent("", "  ")
 						return e.Encode(s)
 					}
-					return table(c.Root().Writer, s)
+					return writeStatus(c.Root().Writer, s)
 				},
 			},
 			{
-				Name: "members", Usage: "show the merged lists of destinations, what each source says of them, and what is held",
-				Flags: []cli.Flag{file(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}, &cli.BoolFlag{Name: "follow", Usage: "go on with each change"}},
+				Name: "members", Usage: "show the merged endpoint lists, what each source reports and which entries are held",
+				Flags: []cli.Flag{configFlag(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}, &cli.BoolFlag{Name: "follow", Usage: "print each change as it happens"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					socket, err := adminOf(c)
+					socket, err := adminSocket(c)
 					if err != nil {
 						return err
 					}
-					return members(ctx, c.Root().Writer, socket, c.Bool("json"), c.Bool("follow"))
+					return writeMembers(ctx, c.Root().Writer, socket, c.Bool("json"), c.Bool("follow"))
 				},
 			},
 			{
@@ -114,20 +115,20 @@
 	}
 }
 
-// adminOf is the admin socket that a command's configuration names.
-func adminOf(c *cli.Command) (string, error) {
+// adminSocket returns the path of the admin socket from the configuration that a command names.
+func adminSocket(c *cli.Command) (string, error) {
 	f, err := control.Load(c.String("config"))
 	if err != nil {
 		return "", err
 	}
 	if f.Admin == "" {
-		return "", errors.New("admin is not set in the configuration: the process shows nothing")
+		return "", errors.New("admin is not set in the configuration: the process has no admin socket")
 	}
 	return f.Admin, nil
 }
 
-// table writes a status for people.
-func table(out io.Writer, s control.Status) error {
+// writeStatus writes a status as tables.
+func writeStatus(out io.Writer, s control.Status) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\t%d streams\tdrains answered\t%d, half within %.1f ms, all within %.1f ms\n\n", s.Name, len(s.Proxies), s.Drains.Count,
 		s.Drains.P50MS, s.Drains.MaxMS)
@@ -140,12 +141,12 @@
 				names = fmt.Sprint(t.Names)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%dms\t%s\n", p.Node, p.Peer, variant, t.Type[strings.LastIndexByte(t.Type, '.')+1:], names, t.Sent,
-				t.Acked, t.WaitingMS, t.Refused)
+				t.Acked, t.WaitingMS, t.NackReason)
 		}
 	}
 	fmt.Fprintln(w, "\nDRAINS AT\tPEER\tLAST ANSWERED AFTER\tUNANSWERED FOR")
 	for _, p := range s.Proxies {
-		fmt.Fprintf(w, "%s\t%s\t%.1fms\t%.1fms\n", p.Node, p.Peer, p.DrainedMS, p.OwesMS)
+		fmt.Fprintf(w, "%s\t%s\t%.1fms\t%.1fms\n", p.Node, p.Peer, p.DrainAckMS, p.DrainPendingMS)
 	}
 	fmt.Fprintln(w, "\nREPORTS OF\tAGE")
 	for _, r := range s.Reports {
--- a/cmd/kitewood-control/main_test.go
+++ b/cmd/kitewood-control/main_test.go
@@ -13,15 +13,15 @@
 	"kitewood/internal/testkit"
 )
 
-// program is the built program, as an operator has it.
-var program string
+// binary is the path of the built program.
+var binary string
 
 func TestMain(m *testing.M) {
-	testkit.WithPrograms(m, func(dir string) { program = filepath.Join(dir, "kitewood-control") }, "kitewood-control")
+	testkit.WithPrograms(m, func(dir string) { binary = filepath.Join(dir, "kitewood-control") }, "kitewood-control")
 }
 
-// A bad configuration ends every command with one line that names the place, and a status that is not 0; a good one is served,
-// shown and stopped.
+// With an invalid configuration every command fails with one line that names the position of the fault. With a valid one the
+// service starts, shows its status and members, and stops on SIGTERM.
 func TestProgram(t *testing.T) {
 	address, dir := testkit.Address(t), t.TempDir()
 	path := filepath.Join(dir, "c.yaml")
@@ -35,41 +35,41 @@
 	}
 	write("c.yaml", strings.Replace(text, "effect: unsafe", "effect: odd", 1))
 	for _, command := range []string{"serve", "check-config", "status"} {
-		out, bad, ok := testkit.Run(t, program, command, "--config", path)
-		if ok || out != "" || strings.Count(bad, "\n") != 1 || !strings.Contains(bad, "c.yaml:6:70: pools[0].classes[0].effect") {
-			t.Errorf("%s: %v, %q, %q", command, ok, out, bad)
+		out, errText, ok := testkit.Run(t, binary, command, "--config", path)
+		if ok || out != "" || strings.Count(errText, "\n") != 1 || !strings.Contains(errText, "c.yaml:6:70: pools[0].classes[0].effect") {
+			t.Errorf("%s: %v, %q, %q", command, ok, out, errText)
 		}
 	}
 	write("c.yaml", text)
-	if _, bad, ok := testkit.Run(t, program, "serve", "--config", path); ok || strings.Count(bad, "\n") != 1 || !strings.Contains(bad, "a.yaml") {
-		t.Errorf("without its list: %v, %q", ok, bad)
+	if _, errText, ok := testkit.Run(t, binary, "serve", "--config", path); ok || strings.Count(errText, "\n") != 1 || !strings.Contains(errText, "a.yaml") {
+		t.Errorf("serve without a list file: %v, %q", ok, errText)
 	}
-	if _, bad, ok := testkit.Run(t, program, "status", "--config", path); ok || !strings.Contains(bad, "admin:") {
-		t.Errorf("status of nothing: %v, %q", ok, bad)
+	if _, errText, ok := testkit.Run(t, binary, "status", "--config", path); ok || !strings.Contains(errText, "admin:") {
+		t.Errorf("status without a running process: %v, %q", ok, errText)
 	}
 	write("a.yaml", "destinations: [{name: x, address: \"127.0.0.1:1\"}]\n")
-	if out, bad, ok := testkit.Run(t, program, "check-config", "--config", path); !ok || !strings.Contains(out, "attempts: 3") {
-		t.Errorf("%v, %q, %q", ok, out, bad)
+	if out, errText, ok := testkit.Run(t, binary, "check-config", "--config", path); !ok || !strings.Contains(out, "attempts: 3") {
+		t.Errorf("check-config: %v, %q, %q", ok, out, errText)
 	}
 	var log bytes.Buffer
-	cmd := exec.Command(program, "serve", "--config", path)
+	cmd := exec.Command(binary, "serve", "--config", path)
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	var out string
-	testkit.Until(t, "it shows its status", func() (ok bool) {
-		out, _, ok = testkit.Run(t, program, "status", "--config", path, "--json")
+	testkit.Until(t, "the process answers with its status", func() (ok bool) {
+		out, _, ok = testkit.Run(t, binary, "status", "--config", path, "--json")
 		return ok
 	})
 	if !strings.Contains(out, `"proxies": []`) {
 		t.Errorf("status: %q", out)
 	}
-	if out, bad, ok := testkit.Run(t, program, "members", "--config", path); !ok || !strings.Contains(out, "x            127.0.0.1:1  ready  file: ready") {
-		t.Errorf("members: %q, %q", out, bad)
+	if out, errText, ok := testkit.Run(t, binary, "members", "--config", path); !ok || !strings.Contains(out, "x            127.0.0.1:1  ready  file: ready") {
+		t.Errorf("members: %q, %q", out, errText)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil || !strings.Contains(log.String(), "stopped") {
-		t.Errorf("%v: %s", err, log.String())
+		t.Errorf("serve ended with %v, log: %s", err, log.String())
 	}
 }
--- a/cmd/kitewood-control/members.go
+++ b/cmd/kitewood-control/members.go
@@ -14,17 +14,18 @@
 	"kitewood/internal/membership"
 )
 
-// members writes the merged lists of the process behind an admin socket, or each change of them until Ctrl-C.
-func members(ctx context.Context, out io.Writer, socket string, asJSON, follow bool) error {
-	lines := json.NewEncoder(out)
+// writeMembers writes the merged endpoint lists of the process behind an admin socket or, with follow, each change until SIGINT or
+// SIGTERM.
+func writeMembers(ctx context.Context, out io.Writer, socket string, asJSON, follow bool) error {
+	encoder := json.NewEncoder(out)
 	if follow {
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
 		err := control.FollowMembers(ctx, socket, func(c control.MemberChange) error {
 			if asJSON {
-				return lines.Encode(c)
+				return encoder.Encode(c)
 			}
-			_, err := fmt.Fprintf(out, "%s  %s  %s  %s  %s\n", c.Pool, c.Now.Name, c.Now.State, c.Now.Address, told(c.Now))
+			_, err := fmt.Fprintf(out, "%s  %s  %s  %s  %s\n", c.Pool, c.Now.Name, c.Now.State, c.Now.Address, describe(c.Now))
 			return err
 		})
 		if ctx.Err() != nil {
@@ -37,8 +38,8 @@
 		return fmt.Errorf("admin: %w", err)
 	}
 	if asJSON {
-		lines.SetIndent("", "  ")
-		return lines.Encode(all)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(all)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, p := range all {
@@ -52,20 +53,20 @@
 		}
 		fmt.Fprintln(w, "\nDESTINATION\tADDRESS\tSTATE\tSAID BY")
 		for _, e := range p.Entries {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Address, e.State, told(e))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Address, e.State, describe(e))
 		}
 		fmt.Fprintln(w)
 	}
 	return w.Flush()
 }
 
-// told is who says what of a destination, and why it is held.
-func told(e membership.EntryView) string {
+// describe returns what each source reports about an endpoint, and why the entry is held.
+func describe(e membership.EntryView) string {
 	var out []string
 	for _, w := range e.Words {
 		text := fmt.Sprintf("%s: %s for %d ms", w.Source, w.State, w.AgeMS)
 		if w.Earlier {
-			text += " (before it was restored)"
+			text += " (before the source was restored)"
 		}
 		if w.Stale {
 			text += " (lost)"
--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -10,50 +10,50 @@
 	"kitewood/internal/membership"
 )
 
-// MembersStatus is what is known of a pool's destinations.
+// MembersStatus is the merged membership of a pool and the state of its sources.
 type MembersStatus struct {
 	Pool    string                  `json:"pool"`
 	Sources []membership.SourceView `json:"sources"`
 	Entries []membership.EntryView  `json:"destinations"`
-	Watches int                     `json:"watches"` // of sidecars, where the list is served
+	Watches int                     `json:"watches"` // watches of sidecars, if the list is served
 }
 
-// Members tells what is known of all pools' destinations.
+// Members returns the membership of each pool, ordered by pool name.
 func (s *Service) Members() []MembersStatus {
 	out := []MembersStatus{}
 	for _, name := range slices.Sorted(maps.Keys(s.pools)) {
 		m := s.pools[name].members
-		x := MembersStatus{Pool: name}
-		x.Entries, x.Sources, _ = m.view()
+		status := MembersStatus{Pool: name}
+		status.Entries, status.Sources, _ = m.view()
 		if m.server != nil {
-			x.Watches = m.server.Watches()
+			status.Watches = m.server.Watches()
 		}
-		out = append(out, x)
+		out = append(out, status)
 	}
 	return out
 }
 
-// MemberChange is a destination of which something has changed.
+// MemberChange is an endpoint whose state, address or hold status has changed.
 type MemberChange struct {
 	Pool string               `json:"pool"`
 	Now  membership.EntryView `json:"now"`
 }
 
-// followMembers sends each change of a destination's state, after all that there are.
+// followMembers sends the current state of every endpoint, then each change, until the context ends.
 func (s *Service) followMembers(ctx context.Context, send func(any) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changes := make(chan MemberChange)
 	for name, p := range s.pools {
 		go func() {
-			shown := map[string]string{}
+			sent := map[string]string{}
 			for {
-				entries, _, more := p.members.view()
-				there := map[string]bool{}
+				entries, _, changed := p.members.view()
+				listed := map[string]bool{}
 				for _, e := range entries {
-					there[e.Name] = true
-					if state := e.State + e.Address + e.Held; shown[e.Name] != state {
-						shown[e.Name] = state
+					listed[e.Name] = true
+					if state := e.State + e.Address + e.Held; sent[e.Name] != state {
+						sent[e.Name] = state
 						select {
 						case changes <- MemberChange{name, e}:
 						case <-ctx.Done():
@@ -61,9 +61,9 @@
 						}
 					}
 				}
-				maps.DeleteFunc(shown, func(n, _ string) bool { return !there[n] })
+				maps.DeleteFunc(sent, func(n, _ string) bool { return !listed[n] })
 				select {
-				case <-more:
+				case <-changed:
 				case <-ctx.Done():
 					return
 				}
@@ -82,19 +82,19 @@
 	}
 }
 
-// AskMembers reads what a process knows of its pools' destinations from its admin socket.
+// QueryMembers reads the membership of each pool of a running process from its admin socket.
 func QueryMembers(path string) ([]MembersStatus, error) {
 	var out []MembersStatus
 	return out, adminsocket.Query(path, "members", &out)
 }
 
-// FollowMembers hands on each change of a destination until the context ends.
-func FollowMembers(ctx context.Context, path string, take func(MemberChange) error) error {
+// FollowMembers passes each membership change to handle until the context ends or handle returns an error.
+func FollowMembers(ctx context.Context, path string, handle func(MemberChange) error) error {
 	return adminsocket.Stream(ctx, path, "members follow", func(text json.RawMessage) error {
 		var c MemberChange
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
-		return take(c)
+		return handle(c)
 	})
 }
--- a/internal/control/checkmembers.go
+++ b/internal/control/checkmembers.go
@@ -11,24 +11,25 @@
 	"kitewood/internal/yamlfile"
 )
 
-// fillMembers fills in what a pool's sources leave out, and names what is wrong with them.
-func fillMembers(folder, at string, m *config.Members, wrong func(key, format string, args ...any)) {
+// completeMembers fills in defaults for a pool's membership sources, makes paths absolute relative to folder and reports
+// configuration problems under keys that start with at.
+func completeMembers(folder, at string, m *config.Members, report func(key, format string, args ...any)) {
 	if m.Serve != "" {
 		if _, err := netip.ParseAddrPort(m.Serve); err != nil {
-			wrong(at+"serve", "an IP and a port are wanted, not %q", m.Serve)
+			report(at+"serve", "must be an IP address and a port, not %q", m.Serve)
 		}
 	}
 	if m.Merge == nil {
 		m.Merge = &config.Merge{}
 	}
-	x, d := m.Merge, membership.Defaults()
-	yamlfile.Default(&x.StaleAfter, config.Duration(d.StaleAfter))
-	yamlfile.Default(&x.HoldBelow, d.HoldBelow)
-	yamlfile.Default(&x.HoldFor, config.Duration(d.HoldFor))
-	yamlfile.Default(&x.FlapMax, d.FlapMost)
-	yamlfile.Default(&x.FlapHold, config.Duration(d.FlapHold))
-	if x.StaleAfter < 0 || x.HoldFor < 0 || x.FlapHold < 0 || x.FlapMax < 1 || !(x.HoldBelow > 0 && x.HoldBelow <= 1) {
-		wrong(at+"merge", "spans that are not negative, a share up to 1 and at least one return are wanted")
+	merge, d := m.Merge, membership.Defaults()
+	yamlfile.Default(&merge.StaleAfter, config.Duration(d.StaleAfter))
+	yamlfile.Default(&merge.HoldBelow, d.HoldBelow)
+	yamlfile.Default(&merge.HoldFor, config.Duration(d.HoldFor))
+	yamlfile.Default(&merge.FlapMax, d.FlapMost)
+	yamlfile.Default(&merge.FlapHold, config.Duration(d.FlapHold))
+	if merge.StaleAfter < 0 || merge.HoldFor < 0 || merge.FlapHold < 0 || merge.FlapMax < 1 || !(merge.HoldBelow > 0 && merge.HoldBelow <= 1) {
+		report(at+"merge", "durations must not be negative, hold_below must be above 0 and at most 1, flap_most must be at least 1")
 	}
 	e := m.Etcd
 	if e == nil {
@@ -36,24 +37,24 @@
 	}
 	yamlfile.Default(&e.Form, etcdsource.Plain)
 	if len(e.Endpoints) == 0 {
-		wrong(at+"etcd.endpoints", "at least one is needed")
+		report(at+"etcd.endpoints", "at least one is needed")
 	}
 	for i, text := range e.Endpoints {
 		if text == "" {
-			wrong(fmt.Sprintf("%setcd.endpoints[%d]", at, i), "is empty")
+			report(fmt.Sprintf("%setcd.endpoints[%d]", at, i), "is empty")
 		}
 	}
 	if e.Prefix == "" {
-		wrong(at+"etcd.prefix", "is missing: without it every key would be a destination")
+		report(at+"etcd.prefix", "is missing: without it every etcd key would be read as an endpoint")
 	}
 	if e.Form != etcdsource.Plain && e.Form != etcdsource.Naming {
-		wrong(at+"etcd.form", "%s or %s, not %q", etcdsource.Plain, etcdsource.Naming, e.Form)
+		report(at+"etcd.form", "must be %s or %s, not %q", etcdsource.Plain, etcdsource.Naming, e.Form)
 	}
 	if (e.User == "") != (e.PasswordFile == "") {
-		wrong(at+"etcd.password_file", "user and password_file go together")
+		report(at+"etcd.password_file", "user and password_file must be set together")
 	}
 	if (e.Certificate == "") != (e.Key == "") || e.Certificate != "" && e.CA == "" {
-		wrong(at+"etcd.certificate", "certificate, key and ca go together")
+		report(at+"etcd.certificate", "certificate, key and ca must be set together")
 	}
 	for _, path := range []*string{&e.PasswordFile, &e.CA, &e.Certificate, &e.Key} {
 		if *path != "" && !filepath.IsAbs(*path) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -37,8 +37,8 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-// Proxies lead every request to the pool that the sidecar's own table leads it to.
-func TestProxiesRouteAsTheSidecarDoes(t *testing.T) {
+// The routes served to proxies select the same pool for every request as the sidecar's own route table.
+func TestProxyRoutesMatchSidecar(t *testing.T) {
 	hosts := rapid.SampledFrom([]string{"a.test", "x.a.test", "y.x.a.test", "B.test", "*", "*.a.test", "*.x.a.test", "*.test"})
 	paths := rapid.SampledFrom([]string{"", "/", "/a", "/a/", "/a/b", "/b"})
 	headers := rapid.SampledFrom([]map[string]string{nil, {"X-One": "1"}, {"x-one": ""}, {"X-One": "1", "X-Two": "2"}})
@@ -59,16 +59,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resource, err := routesOf(f, &xdsserver.Rights{})
+		resource, err := newRouteConfig(f, &xdsserver.Rights{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told routes.RouteConfiguration
-		if err := resource.Body.UnmarshalTo(&told); err != nil {
+		var served routes.RouteConfiguration
+		if err := resource.Body.UnmarshalTo(&served); err != nil {
 			t.Fatal(err)
 		}
 		p := proxy.NewTable()
-		if err := p.SetRoutes(&told); err != nil {
+		if err := p.SetRoutes(&served); err != nil {
 			t.Fatal(err)
 		}
 		h := textproto.MIMEHeader{"Host": {rapid.SampledFrom([]string{"a.test", "x.a.test", "z.y.x.a.test", "b.test:80", "other"}).Draw(t, "host")}}
@@ -88,16 +88,16 @@
 			want = f.Routes[i].Pool
 		}
 		if got := p.Route(h.Get("Host"), target, h.Get); got != want {
-			t.Fatalf("%s%s: the proxy has %q, the sidecar %q, routes %+v", h.Get("Host"), target, got, want, f.Routes)
+			t.Fatalf("%s%s: the proxy selects pool %q, the sidecar %q, routes %+v", h.Get("Host"), target, got, want, f.Routes)
 		}
 	})
 }
 
-// A destination's state is told in the protocol's words, and only what may get new requests is safe.
-func TestEndpoints(t *testing.T) {
-	view := func(state balance.State, held time.Duration, trial bool) routing.View {
+// An endpoint's state maps to the xDS health status, and the safety hash covers only endpoints that may get new requests.
+func TestLoadAssignment(t *testing.T) {
+	view := func(state balance.State, ejectedFor time.Duration, probation bool) routing.View {
 		return routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
-			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: held, Probation: trial}}}}
+			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: ejectedFor, Probation: probation}}}}
 	}
 	p := &config.Pool{Name: "p"}
 	safety := map[uint64]bool{}
@@ -111,7 +111,7 @@
 		{view(balance.Ready, time.Second, false), core.HealthStatus_UNHEALTHY, 150},
 		{view(balance.Draining, 0, false), core.HealthStatus_DRAINING, 150},
 	} {
-		r, err := endpointsOf(p, c.v, 0)
+		r, err := newLoadAssignment(p, c.v, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,31 +127,32 @@
 		safety[r.Safety] = true
 	}
 	if len(safety) != 2 {
-		t.Errorf("%d kinds of safety, want those that may get requests and those that may not", len(safety))
+		t.Errorf("got %d safety hashes, want 2: one with the endpoint accepting requests and one without", len(safety))
 	}
 }
 
-// The share of refusals follows what the module wants over about a second, leaves some to pass, and is told in the protocol's form.
-func TestRefusals(t *testing.T) {
-	var r refusal
+// The reject share approaches the wanted share over about a second, never reaches 1, expires without reports, and is served as a
+// drop overload policy.
+func TestRejectShare(t *testing.T) {
+	var r rejection
 	start := time.Duration(time.Now().UnixNano())
 	now := start
 	for n := range 100 {
 		now = start + time.Duration(n)*100*time.Millisecond
-		r.take(now, 1)
+		r.update(now, 1)
 		if n == 3 && (r.percent(now) < 10 || r.percent(now) > 50) {
-			t.Errorf("%d%% after 0.3 s", r.percent(now))
+			t.Errorf("reject share is %d%% after 0.3 s, want 10%% to 50%%", r.percent(now))
 		}
 	}
-	if r.percent(now) != 100*refusalMost {
-		t.Errorf("%d%% in the end", r.percent(now))
+	if r.percent(now) != 100*maxRejectShare {
+		t.Errorf("reject share is %d%% after 10 s, want its maximum", r.percent(now))
 	}
-	if silent := now + refusalKept + 1; r.percent(silent) != 0 {
-		t.Errorf("%d%% though nobody reports", r.percent(silent))
+	if expired := now + rejectShareTTL + 1; r.percent(expired) != 0 {
+		t.Errorf("reject share is %d%% though no report has come, want 0", r.percent(expired))
 	}
 	v := routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", EndpointView: balance.EndpointView{State: balance.Ready, Weight: 1}}}}
 	for _, percent := range []uint32{0, 40} {
-		x, err := endpointsOf(&config.Pool{Name: "p"}, v, percent)
+		x, err := newLoadAssignment(&config.Pool{Name: "p"}, v, percent)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,12 +161,13 @@
 			t.Fatal(err)
 		}
 		if drops := a.GetPolicy().GetDropOverloads(); percent == 0 && drops != nil || percent > 0 && drops[0].DropPercentage.Numerator != percent {
-			t.Errorf("%d%%: %v", percent, drops)
+			t.Errorf("reject share %d%%: drop overloads %v", percent, drops)
 		}
 	}
 }
 
-func watch(t *testing.T) *filewatch.Watcher {
+// newWatcher returns a file watcher that ends with the test.
+func newWatcher(t *testing.T) *filewatch.Watcher {
 	t.Helper()
 	w, err := filewatch.New(t.Context(), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -174,7 +176,8 @@
 	return w
 }
 
-const good = `name: c
+// validConfig is a minimal configuration that passes validation.
+const validConfig = `name: c
 plaintext: true
 listeners: [{address: "127.0.0.1:9901"}]
 pools:
@@ -184,29 +187,30 @@
 `
 
 func TestConfiguration(t *testing.T) {
-	if _, err := Read("c.yaml", []byte(good)); err != nil {
+	if _, err := Read("c.yaml", []byte(validConfig)); err != nil {
 		t.Fatal(err)
 	}
 	for from, c := range map[string][2]string{
 		"plaintext: true": {"plaintext: false", "c.yaml:1:1: tls: is missing"},
-		"127.0.0.1:9901":  {"10.0.0.1:9901", "c.yaml:3:23: listeners[0].address: plain text is for loopback only"},
+		"127.0.0.1:9901":  {"10.0.0.1:9901", "c.yaml:3:23: listeners[0].address: plaintext is allowed on loopback addresses only"},
 		"plaintext":       {"plain", "c.yaml:2:1: plain: unknown field"},
 		"a.test]":         {`"a.test:80"]`, "routes[0].hosts[0]: a host with a port"},
-		"pool: a}":        {"pool: a, as: any}", "routes[0].as: proxies know no classes"},
+		"pool: a}":        {"pool: a, as: any}", "routes[0].as: proxies do not support classes"},
 		"name: a,":        {"name: kitewood,", "pools[0].name"},
 		"[{name: any":     {"[{name: any, aim: 2", "c.yaml:5:"},
 		"file: a.yaml}":   {"etcd: {endpoints: [], prefix: \"\", form: odd, user: u}, serve: x}", "etcd.endpoints: at least one is needed"},
 		"{file: a.yaml}":  {"{file: a.yaml, merge: {hold_below: 2}}", "pools[0].members.merge"},
-		"members: {file":  {"reports: {via: probes, fields: [util], every: -1s}, members: {file", "pools[0].reports.every: is negative"},
+		"members: {file":  {"reports: {via: probes, fields: [util], every: -1s}, members: {file", "pools[0].reports.every: must not be negative"},
 	} {
-		if _, err := Read("c.yaml", []byte(strings.Replace(good, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := Read("c.yaml", []byte(strings.Replace(validConfig, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", c[0], err)
 		}
 	}
 }
 
-// From a file to a proxy: a drain is told, a new list does not empty it, and nothing is told before all lists are known.
-func TestServiceTellsAProxy(t *testing.T) {
+// Changes of a list file reach a proxy: draining and removed endpoints get no requests, new ones do, and the proxy's list is never
+// empty in between.
+func TestServiceUpdatesProxy(t *testing.T) {
 	dir := t.TempDir()
 	list := func(text string) {
 		t.Helper()
@@ -215,7 +219,7 @@
 		}
 	}
 	list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(good))
+	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +229,7 @@
 	hub := xdsserver.NewHub(clock.Now)
 	g := grpc.NewServer()
 	ln := bufconn.Listen(1 << 20)
-	service, err := Start(ctx, f, watch(t), hub, clock, quiet)
+	service, err := Start(ctx, f, newWatcher(t), hub, clock, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,8 +240,8 @@
 		table := proxy.NewTable()
 		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
 		go client.Run(ctx)
-		testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
-		picked := func() map[string]bool {
+		testkit.Until(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
+		pickedAddrs := func() map[string]bool {
 			out := map[string]bool{}
 			for range 20 {
 				if at, err := table.Pick("a.test", "/", func(string) string { return "" }); err == nil {
@@ -246,39 +250,40 @@
 			}
 			return out
 		}
-		if p := picked(); len(p) != 2 {
-			t.Errorf("it picks %v", p)
+		if p := pickedAddrs(); len(p) != 2 {
+			t.Errorf("the proxy picks %v, want both endpoints", p)
 		}
 		list("  - {name: x, address: \"127.0.0.1:1\", state: draining}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the draining one gets nothing", func() bool { p := picked(); return len(p) == 1 && p["127.0.0.1:2"] })
+		testkit.Until(t, "the draining endpoint gets no requests", func() bool { p := pickedAddrs(); return len(p) == 1 && p["127.0.0.1:2"] })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n  - {name: z, address: \"127.0.0.1:3\"}\n")
-		testkit.Until(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
+		testkit.Until(t, "the new endpoint gets requests", func() bool { return len(pickedAddrs()) == 3 })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
+		testkit.Until(t, "the removed endpoint gets no requests", func() bool { return len(pickedAddrs()) == 2 })
 		if table.Emptied() != 0 {
-			t.Error("the list was empty for a moment")
+			t.Error("the proxy's endpoint list was empty at some time")
 		}
 	}
-	// A proxy acts on the last word before the service has read its answer to it: until then it owes that, and no longer.
-	testkit.Until(t, "both proxies and their drains are shown, and none owes an answer", func() bool {
+	// A proxy applies the last update before the service has read its acknowledgement. Until then the drain is pending.
+	testkit.Until(t, "the status shows both proxies and their drains, and no drain is pending", func() bool {
 		s := service.Status()
-		return len(s.Proxies) == 2 && s.Drains.Count >= 2 && s.Proxies[0].OwesMS == 0 && s.Proxies[1].OwesMS == 0
+		return len(s.Proxies) == 2 && s.Drains.Count >= 2 && s.Proxies[0].DrainPendingMS == 0 && s.Proxies[1].DrainPendingMS == 0
 	})
 	s := service.Status()
 	for _, p := range s.Proxies {
-		if p.DrainedMS <= 0 || p.DrainedMS > 500 || p.OwesMS != 0 {
-			t.Errorf("drains of %s: %g ms, owes %g", p.Node, p.DrainedMS, p.OwesMS)
+		if p.DrainAckMS <= 0 || p.DrainAckMS > 500 || p.DrainPendingMS != 0 {
+			t.Errorf("drain of %s: acknowledged after %g ms, pending for %g ms", p.Node, p.DrainAckMS, p.DrainPendingMS)
 		}
 		for _, x := range p.Types {
-			if x.Type == xds.TypeEndpoint && (x.Names != 1 || x.Refused != "") {
-				t.Errorf("%+v", p)
+			if x.Type == xds.TypeEndpoint && (x.Names != 1 || x.NackReason != "") {
+				t.Errorf("endpoint type of %+v: want one name and no rejection", p)
 			}
 		}
 	}
 }
 
-// Weights follow what proxies report: the busier of two endpoints gets less, and one that fails is held off.
-func TestWeightsFollowReports(t *testing.T) {
+// Weights follow the load reports of proxies: the more utilised of two endpoints gets fewer requests, and one that fails all of
+// its requests is ejected.
+func TestWeightsFollowProxyReports(t *testing.T) {
 	dir := t.TempDir()
 	text := "destinations:\n"
 	for i, name := range []string{"x", "y", "z", "w"} {
@@ -287,13 +292,13 @@
 	if err := os.WriteFile(filepath.Join(dir, "a.yaml"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(good, "classes:", "reports: {via: answers, fields: [util, inflight]}, classes:", 1)))
+	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(validConfig, "classes:", "reports: {via: answers, fields: [util, inflight]}, classes:", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock, quiet := routing.NewClock(), slog.New(slog.DiscardHandler)
 	hub := xdsserver.NewHub(clock.Now)
-	service, err := Start(t.Context(), f, watch(t), hub, clock, quiet)
+	service, err := Start(t.Context(), f, newWatcher(t), hub, clock, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,10 +310,10 @@
 	table, loads := proxy.NewTable(), proxy.NewTracker()
 	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: quiet, Dial: ln.DialContext}
 	go client.Run(t.Context())
-	testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
+	testkit.Until(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
 	n := 0
-	testkit.Until(t, "weights follow", func() bool {
+	testkit.Until(t, "weights follow the load reports", func() bool {
 		clear(picks)
 		for range 100 {
 			at, err := table.Pick("a.test", "/", func(string) string { return "" })
@@ -317,18 +322,18 @@
 			}
 			picks[at]++
 			n++
-			busy := map[string]float64{"127.0.0.1:1": 0.9, "127.0.0.1:2": 0.3, "127.0.0.1:3": 0.5, "127.0.0.1:4": 0.5}[at] + float64(n%7)/100
-			loads.Begin("a", at)(at != "127.0.0.1:4", map[string]float64{"cpu_utilization": busy})
+			util := map[string]float64{"127.0.0.1:1": 0.9, "127.0.0.1:2": 0.3, "127.0.0.1:3": 0.5, "127.0.0.1:4": 0.5}[at] + float64(n%7)/100
+			loads.Begin("a", at)(at != "127.0.0.1:4", map[string]float64{"cpu_utilization": util})
 		}
 		return picks["127.0.0.1:4"] == 0 && picks["127.0.0.1:2"] > picks["127.0.0.1:1"]*3/2
 	})
 	if len(service.Status().Reports) != 1 {
-		t.Errorf("ages of reports: %v", service.Status().Reports)
+		t.Errorf("reports in the status: %v, want one", service.Status().Reports)
 	}
 }
 
-// A service that has not the lists of all pools tells nothing: proxies keep what they have.
-func TestNothingIsToldBeforeAllListsAreKnown(t *testing.T) {
+// A service publishes nothing before it has the lists of all pools, so that proxies keep what they have.
+func TestNoSnapshotBeforeAllLists(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a.yaml"), []byte("destinations: [{name: x, address: \"127.0.0.1:1\"}]\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -338,63 +343,63 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(good, "routes:", fmt.Sprintf(
+	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(validConfig, "routes:", fmt.Sprintf(
 		"  - {name: b, members: {discovery: %q}, classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\nroutes:", closed.Addr()), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := routing.NewClock()
 	hub := xdsserver.NewHub(clock.Now)
-	service, err := Start(t.Context(), f, watch(t), hub, clock, slog.New(slog.DiscardHandler))
+	service, err := Start(t.Context(), f, newWatcher(t), hub, clock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := func() (n int, open bool) {
+	state := func() (lists int, published bool) {
 		service.mu.Lock()
 		defer service.mu.Unlock()
-		return len(service.endpoints), service.open
+		return len(service.endpoints), service.published
 	}
-	testkit.Until(t, "one list is known", func() bool { n, _ := known(); return n == 1 })
-	if _, open := known(); open {
-		t.Error("one of two lists is known, and it was published")
+	testkit.Until(t, "one list is known", func() bool { lists, _ := state(); return lists == 1 })
+	if _, published := state(); published {
+		t.Error("a snapshot was published with one of two lists known")
 	}
-	service.pools["b"].loop.UpdateEndpoints(balance.Full, 1, nil) // a list that names nobody is one
-	testkit.Until(t, "all is published", func() bool { _, open := known(); return open })
+	service.pools["b"].loop.UpdateEndpoints(balance.Full, 1, nil) // an empty list counts as known
+	testkit.Until(t, "a snapshot is published", func() bool { _, published := state(); return published })
 }
 
-// Where no proxy reports, weights follow what destinations tell of themselves: out of band, or when they are asked.
-func TestWeightsFollowDestinationsOwnWord(t *testing.T) {
-	for _, via := range []string{"orca, fields: [util]}", "probes, fields: [util], every: 100ms}, probes: true"} {
+// Where no proxy reports, weights follow the endpoints' own load reports, over out-of-band ORCA or probes.
+func TestWeightsFollowEndpointReports(t *testing.T) {
+	for _, source := range []string{"orca, fields: [util]}", "probes, fields: [util], every: 100ms}, probes: true"} {
 		dir := t.TempDir()
 		text := "destinations:\n"
-		for i, busy := range []float64{0.9, 0.3, 0.5} {
+		for i, util := range []float64{0.9, 0.3, 0.5} {
 			n := 0
 			address := ""
-			if strings.HasPrefix(via, "orca") {
-				x, err := instances.New(func() *data.OrcaLoadReport {
+			if strings.HasPrefix(source, "orca") {
+				instance, err := instances.New(func() *data.OrcaLoadReport {
 					n++
-					return &data.OrcaLoadReport{ApplicationUtilization: busy + float64(n%7)/100}
+					return &data.OrcaLoadReport{ApplicationUtilization: util + float64(n%7)/100}
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer x.Stop()
-				address = x.Address
+				defer instance.Stop()
+				address = instance.Address
 			} else {
-				var asked atomic.Int64
-				x := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					fmt.Fprintf(w, "util=%g", busy+float64(asked.Add(1)%7)/100)
+				var probes atomic.Int64
+				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					fmt.Fprintf(w, "util=%g", util+float64(probes.Add(1)%7)/100)
 				}))
-				defer x.Close()
-				address = x.Listener.Addr().String()
+				defer server.Close()
+				address = server.Listener.Addr().String()
 			}
 			text += fmt.Sprintf("  - {name: d%d, address: %q}\n", i, address)
 		}
 		if err := os.WriteFile(filepath.Join(dir, "a.yaml"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c := strings.Replace(good, "classes:", "reports: {via: "+via+", classes:", 1)
-		if strings.HasPrefix(via, "orca") {
+		c := strings.Replace(validConfig, "classes:", "reports: {via: "+source+", classes:", 1)
+		if strings.HasPrefix(source, "orca") {
 			c = strings.Replace(c, "fields: [util]}", "fields: [util], every: 100ms}", 1)
 		}
 		f, err := Read(filepath.Join(dir, "c.yaml"), []byte(c))
@@ -403,16 +408,16 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		clock, quiet := routing.NewClock(), slog.New(slog.DiscardHandler)
-		service, err := Start(ctx, f, watch(t), xdsserver.NewHub(clock.Now), clock, quiet)
+		service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "weights follow, "+via, func() bool {
+		testkit.Until(t, "weights follow the load reports, source "+source, func() bool {
 			v, ok := service.pools["a"].loop.View(time.Second)
 			return ok && len(v.Endpoints) == 3 && v.Endpoints[1].Weight > 1.5*v.Endpoints[0].Weight
 		})
-		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Told != 3 {
-			t.Errorf("%+v", service.Status().OutOfBand)
+		if strings.HasPrefix(source, "orca") && service.Status().OutOfBand["a"].Told != 3 {
+			t.Errorf("out-of-band counts %+v, want reports of 3 endpoints", service.Status().OutOfBand)
 		}
 		cancel()
 	}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -26,23 +26,27 @@
 	"kitewood/internal/transport"
 )
 
-// The sources, by precedence where their words are equal in rank: what an operator writes, then what is quickest.
+// Names of membership sources, in the order of precedence between reports of equal rank: first the file an operator writes,
+// then the fastest source.
 const (
-	fromFile      = "file"
-	fromEtcd      = "etcd"
-	fromDiscovery = "discovery"
+	sourceFile      = "file"
+	sourceEtcd      = "etcd"
+	sourceDiscovery = "discovery"
 )
 
-// burst is how long changes are gathered after one was told. The first is told at once.
-const burst = 10 * time.Millisecond
+// batchInterval is the minimum time between two published updates: changes in between are batched. The first change after a
+// pause is published at once.
+const batchInterval = 10 * time.Millisecond
 
-// Between two watches of discovery, so that services which lost it together do not ask together.
+// Bounds of the random delay before a lost discovery watch is reopened. The jitter keeps control services that lost discovery
+// at the same time from reconnecting at the same time.
 const (
-	leastAgain = 300 * time.Millisecond
-	mostAgain  = 1900 * time.Millisecond
+	minRewatchDelay = 300 * time.Millisecond
+	maxRewatchDelay = 1900 * time.Millisecond
 )
 
-// members merges a pool's sources and tells its Loop, and sidecars where the configuration says so.
+// members merges a pool's membership sources and publishes the result to the pool's event loop and, if configured, to sidecars
+// over the discovery protocol.
 type members struct {
 	ctx    context.Context
 	conf   *config.Pool
@@ -52,43 +56,44 @@
 	server *directory.Server // nil if the list is not served
 	rng    *rand.Rand
 
-	mu      sync.Mutex
-	merger  *membership.Merger
-	version int64         // of what the Loop was told
-	told    time.Duration // when the Loop was last told
-	alarm   *time.Timer
-	changed chan struct{} // closed at the next change
+	mu          sync.Mutex
+	merger      *membership.Merger
+	version     int64         // of the last update sent to the event loop
+	publishedAt time.Duration // when the event loop was last updated
+	timer       *time.Timer
+	changed     chan struct{} // closed and replaced at each change
 }
 
 var _ routing.Discovery = (*members)(nil)
 
-// Follow has nothing to do: sources are followed by themselves. It implements routing.Directory.
+// Watch does nothing, as start has begun to watch the sources. It implements routing.Discovery.
 func (m *members) Watch(int64) {}
 
+// newMembers returns the members of a pool; start starts its sources.
 func newMembers(ctx context.Context, conf *config.Pool, seed uint64, clock routing.Clock, loop *routing.Loop, log *slog.Logger) *members {
 	var names []string
 	for _, s := range []struct {
 		name string
-		is   bool
-	}{{fromFile, conf.Members.File != ""}, {fromEtcd, conf.Members.Etcd != nil}, {fromDiscovery, conf.Members.Discovery != ""}} {
-		if s.is {
+		set  bool
+	}{{sourceFile, conf.Members.File != ""}, {sourceEtcd, conf.Members.Etcd != nil}, {sourceDiscovery, conf.Members.Discovery != ""}} {
+		if s.set {
 			names = append(names, s.name)
 		}
 	}
-	c := membership.Defaults(names...)
+	mergeConf := membership.Defaults(names...)
 	if x := conf.Members.Merge; x != nil {
-		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
+		mergeConf.StaleAfter, mergeConf.HoldBelow, mergeConf.HoldFor, mergeConf.FlapMost, mergeConf.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
 	}
-	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(c),
+	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(mergeConf),
 		changed: make(chan struct{})}
-	if conf.Members.Serve != "" { // a run of the service is known by the moment of its start
+	if conf.Members.Serve != "" { // the start time distinguishes runs of the service
 		m.server = directory.NewServer(uint64(clock.Now())^seed, log)
 	}
 	return m
 }
 
-// open starts the sources. A file that cannot be read is an error; the others are tried until they answer.
-func (m *members) open(watcher *filewatch.Watcher) error {
+// start starts the configured sources. A file that cannot be read is an error; the other sources are retried until they answer.
+func (m *members) start(watcher *filewatch.Watcher) error {
 	if m.server != nil {
 		ln, err := net.Listen("tcp", m.conf.Members.Serve)
 		if err != nil {
@@ -104,24 +109,24 @@
 		o.Seed, o.Log = m.rng.Uint64(), m.log
 		go func() {
 			if err := etcdsource.Follow(m.ctx, o, &etcdFeed{m}); err != nil {
-				m.log.Error("etcd cannot be followed", "error", err)
+				m.log.Error("cannot watch etcd", "error", err)
 			}
 		}()
 	}
 	if at := m.conf.Members.Discovery; at != "" {
-		f := &feed{m: m, name: fromDiscovery, history: at}
-		f.again = transport.NewDiscoveryClient(m.ctx, at, f, m.log)
-		f.again.Watch(0)
+		f := &feed{m: m, name: sourceDiscovery, history: at}
+		f.discovery = transport.NewDiscoveryClient(m.ctx, at, f, m.log)
+		f.discovery.Watch(0)
 	}
 	if path := m.conf.Members.File; path != "" {
-		if _, err := listfile.Open(m.ctx, watcher, path, &feed{m: m, name: fromFile, history: path}, m.log); err != nil {
+		if _, err := listfile.Open(m.ctx, watcher, path, &feed{m: m, name: sourceFile, history: path}, m.log); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// etcdOptions reads what the configuration names.
+// etcdOptions returns the options of the etcd source. It reads the password and certificate files that the configuration names.
 func etcdOptions(e *config.Etcd) (etcdsource.Options, error) {
 	o := etcdsource.Options{Endpoints: e.Endpoints, Prefix: e.Prefix, Form: e.Form, User: e.User}
 	if e.PasswordFile != "" {
@@ -138,7 +143,7 @@
 		}
 		o.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: x509.NewCertPool()}
 		if !o.TLS.RootCAs.AppendCertsFromPEM(text) {
-			return o, errors.New("etcd: " + e.CA + " holds no certificate")
+			return o, errors.New("etcd: " + e.CA + " contains no certificate")
 		}
 	}
 	if e.Certificate != "" {
@@ -151,53 +156,54 @@
 	return o, nil
 }
 
-// do lets a source say something and tells what follows from it.
-func (m *members) do(say func(now time.Duration)) {
+// update applies a change from a source to the merger and publishes what follows from it.
+func (m *members) update(apply func(now time.Duration)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	say(now)
-	m.tell(now)
+	apply(now)
+	m.publish(now)
 }
 
-// tell tells what has changed, and comes again when something is due. The lock is held.
-func (m *members) tell(now time.Duration) {
+// publish sends merged changes to the event loop and the discovery server, and schedules the next run when one is due.
+// The caller holds m.mu.
+func (m *members) publish(now time.Duration) {
 	if m.ctx.Err() != nil || !m.merger.Known() {
 		return
 	}
-	if wait := m.told + burst - now; wait > 0 { // more may come: telling the Loop costs a look at the whole list
-		m.wake(wait)
+	if wait := m.publishedAt + batchInterval - now; wait > 0 { // more may follow: each update has the event loop go through the whole list
+		m.schedule(wait)
 		return
 	}
 	changed := m.merger.Merge(now)
 	if m.version == 0 || len(changed) > 0 {
 		m.version++
-		m.told = now
+		m.publishedAt = now
 		kind := balance.Delta
 		if m.version == 1 {
 			kind, changed = balance.Full, m.merger.List()
 		}
 		if m.server != nil {
-			m.server.Publish(time.Now(), destinations(changed))
+			m.server.Publish(time.Now(), protocolEndpoints(changed))
 		}
 		close(m.changed)
 		m.changed = make(chan struct{})
 		m.loop.UpdateEndpoints(kind, m.version, changed)
 	}
 	if at, any := m.merger.Next(now); any {
-		m.wake(max(at-now, time.Millisecond))
+		m.schedule(max(at-now, time.Millisecond))
 	}
 }
 
-// wake has tell called again after a time. The lock is held.
-func (m *members) wake(after time.Duration) {
-	if m.alarm != nil {
-		m.alarm.Stop()
+// schedule calls publish after a delay, replacing an earlier schedule. The caller holds m.mu.
+func (m *members) schedule(after time.Duration) {
+	if m.timer != nil {
+		m.timer.Stop()
 	}
-	m.alarm = time.AfterFunc(after, func() { m.do(func(time.Duration) {}) })
+	m.timer = time.AfterFunc(after, func() { m.update(func(time.Duration) {}) })
 }
 
-// view is what is known, and a channel that closes at the next change.
+// view returns the merged entries, the state of the sources and a channel that is closed at the next change.
 func (m *members) view() ([]membership.EntryView, []membership.SourceView, chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -205,78 +211,80 @@
 	return entries, sources, m.changed
 }
 
-var states = map[balance.State]protocol.State{balance.Ready: protocol.Ready, balance.Draining: protocol.Draining, balance.Gone: protocol.Gone}
+// protocolStates maps states of the decision module to states of the discovery protocol.
+var protocolStates = map[balance.State]protocol.State{balance.Ready: protocol.Ready, balance.Draining: protocol.Draining, balance.Gone: protocol.Gone}
 
-// destinations are members in discovery's words.
-func destinations(all []routing.Member) []protocol.Endpoint {
-	out := make([]protocol.Endpoint, 0, len(all))
-	for _, d := range all {
-		out = append(out, protocol.Endpoint{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Cell, State: states[d.State],
-			Weight: d.Weight, SinceMS: d.StartedAt.Milliseconds()})
+// protocolEndpoints converts members to endpoints of the discovery protocol.
+func protocolEndpoints(list []routing.Member) []protocol.Endpoint {
+	out := make([]protocol.Endpoint, 0, len(list))
+	for _, m := range list {
+		out = append(out, protocol.Endpoint{Name: m.Name, Address: m.Address, Zone: m.Zone, Kind: m.Kind, Group: m.Cell, State: protocolStates[m.State],
+			Weight: m.Weight, SinceMS: m.StartedAt.Milliseconds()})
 	}
 	return out
 }
 
-// feed is a source that tells endpoint lists with versions of its own. It implements routing.Lists.
+// feed passes endpoint lists of a source that has versions of its own to the merger. It implements
+// routing.EndpointListReceiver.
 type feed struct {
-	m       *members
-	name    string
-	history string
-	again   *transport.DiscoveryClient // asked again where it is lost; nil for a source that is not lost
+	m         *members
+	name      string
+	history   string
+	discovery *transport.DiscoveryClient // watched again after a loss; nil for a source that cannot be lost
 
-	// Of the members' lock.
-	spoken bool
-	last   int64
-	fallen int // times that its version fell back: each is another history
+	// Guarded by m.mu.
+	hasList   bool
+	lastIndex int64
+	resets    int // times its version went backwards: each starts another history
 }
 
-// Pool takes an endpoint list.
+// UpdateEndpoints passes an endpoint list or a delta to the merger.
 func (f *feed) UpdateEndpoints(kind balance.ListKind, index int64, list []routing.Member) {
-	f.m.do(func(now time.Duration) {
-		if kind != balance.Delta && f.spoken && index < f.last {
-			f.fallen++
+	f.m.update(func(now time.Duration) {
+		if kind != balance.Delta && f.hasList && index < f.lastIndex {
+			f.resets++
 		}
-		at := membership.At{History: fmt.Sprintf("%s#%d", f.history, f.fallen), Revision: index}
+		at := membership.At{History: fmt.Sprintf("%s#%d", f.history, f.resets), Revision: index}
 		if kind == balance.Delta {
 			if !f.m.merger.Changed(now, f.name, at, list) {
-				f.m.merger.Alive(now, f.name) // nothing has changed since its version
+				f.m.merger.Alive(now, f.name) // nothing has changed since that version
 				return
 			}
 		} else {
 			f.m.merger.Whole(now, f.name, at, list)
 		}
-		f.spoken, f.last = true, index
+		f.hasList, f.lastIndex = true, index
 	})
 }
 
-// Lost has the source asked again.
+// SourceLost marks the source as lost and schedules another watch.
 func (f *feed) SourceLost() {
-	f.m.do(func(now time.Duration) {
+	f.m.update(func(now time.Duration) {
 		f.m.merger.Lost(now, f.name)
-		if f.again != nil && f.m.ctx.Err() == nil {
-			last := f.last
-			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Watch(last) })
+		if f.discovery != nil && f.m.ctx.Err() == nil {
+			last := f.lastIndex
+			time.AfterFunc(minRewatchDelay+time.Duration(f.m.rng.Int64N(int64(maxRewatchDelay-minRewatchDelay))), func() { f.discovery.Watch(last) })
 		}
 	})
 }
 
-// etcdFeed hands on what etcd says. It implements etcdsource.Taker.
+// etcdFeed passes lists and changes from etcd to the merger. It implements etcdsource.Taker.
 type etcdFeed struct{ m *members }
 
-// Whole takes a whole list.
-func (f *etcdFeed) Whole(at membership.At, list []routing.Member, written map[string]int64) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.WholeWritten(now, fromEtcd, at, list, written) })
-	return taken
+// Whole passes a complete list to the merger and reports whether it was accepted.
+func (f *etcdFeed) Whole(at membership.At, list []routing.Member, written map[string]int64) (accepted bool) {
+	f.m.update(func(now time.Duration) { accepted = f.m.merger.WholeWritten(now, sourceEtcd, at, list, written) })
+	return accepted
 }
 
-// Changed takes changes.
-func (f *etcdFeed) Changed(at membership.At, changes []routing.Member) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.Changed(now, fromEtcd, at, changes) })
-	return taken
+// Changed passes changes to the merger and reports whether they were accepted.
+func (f *etcdFeed) Changed(at membership.At, changes []routing.Member) (accepted bool) {
+	f.m.update(func(now time.Duration) { accepted = f.m.merger.Changed(now, sourceEtcd, at, changes) })
+	return accepted
 }
 
-// Alive notes that the watch answers.
-func (f *etcdFeed) Alive() { f.m.do(func(now time.Duration) { f.m.merger.Alive(now, fromEtcd) }) }
+// Alive records that the watch is alive.
+func (f *etcdFeed) Alive() { f.m.update(func(now time.Duration) { f.m.merger.Alive(now, sourceEtcd) }) }
 
-// Lost notes that it does not.
-func (f *etcdFeed) Lost() { f.m.do(func(now time.Duration) { f.m.merger.Lost(now, fromEtcd) }) }
+// Lost records that the watch is lost.
+func (f *etcdFeed) Lost() { f.m.update(func(now time.Duration) { f.m.merger.Lost(now, sourceEtcd) }) }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -27,9 +27,9 @@
 	"kitewood/internal/xdsserver"
 )
 
-// A file, etcd and discovery name one pool together: a bad word of any of them counts for proxies and sidecars, a newer start takes
-// it back, and whoever asks is shown who said what.
-func TestSourcesTogether(t *testing.T) {
+// A file, etcd and discovery together list the endpoints of a pool. A report of draining or gone by any source takes effect for
+// proxies and sidecars, a report of a newer start overrides it, and the admin socket shows which source reported what.
+func TestMergedSources(t *testing.T) {
 	cluster, err := etcd.New(etcd.Options{User: "u", Password: "p"})
 	if err != nil {
 		t.Fatal(err)
@@ -38,18 +38,18 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	quiet := slog.New(slog.DiscardHandler)
-	platform := directory.NewServer(1, quiet)
+	discovery := directory.NewServer(1, quiet)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go platform.Serve(ctx, ln)
-	at := func(name string) string { return fmt.Sprintf("10.0.0.%d:1", name[0]) } // two names at one address would be one destination
-	said := func(name string, state protocol.State, since int64) protocol.Endpoint {
-		return protocol.Endpoint{Name: name, Address: at(name), State: state, SinceMS: since, Weight: 1}
+	go discovery.Serve(ctx, ln)
+	address := func(name string) string { return fmt.Sprintf("10.0.0.%d:1", name[0]) } // two names at one address would be one endpoint
+	entry := func(name string, state protocol.State, startMS int64) protocol.Endpoint {
+		return protocol.Endpoint{Name: name, Address: address(name), State: state, SinceMS: startMS, Weight: 1}
 	}
 	put := func(name, state, started string) {
-		text, _ := json.Marshal(map[string]string{"address": at(name), "state": state, "started": started})
+		text, _ := json.Marshal(map[string]string{"address": address(name), "state": state, "started": started})
 		cluster.Put("/a/"+name, string(text))
 	}
 	dir := t.TempDir()
@@ -57,49 +57,49 @@
 		t.Helper()
 		text := "destinations:\n"
 		for _, name := range names {
-			text += fmt.Sprintf("  - {name: %s, address: %q, started: \"1970-01-01T00:00:05Z\"}\n", name, at(name))
+			text += fmt.Sprintf("  - {name: %s, address: %q, started: \"1970-01-01T00:00:05Z\"}\n", name, address(name))
 		}
 		if err := filewatch.Replace(filepath.Join(dir, "a.yaml"), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Ready, 0)})
+	discovery.Publish(time.Now(), []protocol.Endpoint{entry("x", protocol.Ready, 5000), entry("p", protocol.Ready, 0)})
 	put("x", "ready", "1970-01-01T00:00:05Z")
 	put("e", "", "")
 	list("x", "f")
 	if err := filewatch.Replace(filepath.Join(dir, "secret"), []byte("p\n")); err != nil {
 		t.Fatal(err)
 	}
-	served, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	served.Close()
-	text := strings.Replace(good, "members: {file: a.yaml}", fmt.Sprintf("members: {file: a.yaml, discovery: %q, serve: %q, etcd: {endpoints: [%q], prefix: /a/, user: u, password_file: secret}}",
-		ln.Addr(), served.Addr(), cluster.Members[0].Address), 1)
+	unused.Close()
+	text := strings.Replace(validConfig, "members: {file: a.yaml}", fmt.Sprintf("members: {file: a.yaml, discovery: %q, serve: %q, etcd: {endpoints: [%q], prefix: /a/, user: u, password_file: secret}}",
+		ln.Addr(), unused.Addr(), cluster.Members[0].Address), 1)
 	f, err := Read(filepath.Join(dir, "c.yaml"), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := routing.NewClock()
-	service, err := Start(ctx, f, watch(t), xdsserver.NewHub(clock.Now), clock, quiet)
+	service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	socket := filepath.Join(dir, "s")
-	if err := admin(ctx, socket, service, quiet); err != nil {
+	if err := serveAdmin(ctx, socket, service, quiet); err != nil {
 		t.Fatal(err)
 	}
-	set := service.pools["a"].set
-	set.PollDiscovery = true // as a sidecar with a discovery does, whose first call comes before the list is known
+	set := service.pools["a"].settings
+	set.PollDiscovery = true // as in a sidecar with discovery, whose first call comes before the list is known
 	sidecar, err := routing.New(set, routing.Names{}, clock, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	follower := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
-	follower.Watch(0)
-	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: quiet}), follower)
-	shows := func(l *routing.Loop) string {
+	client := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
+	client.Watch(0)
+	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: quiet}), client)
+	endpointsOf := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
 		if !ok {
 			return "no answer"
@@ -113,39 +113,40 @@
 	until := func(want string) {
 		t.Helper()
 		for who, l := range map[string]*routing.Loop{"the service": service.pools["a"].loop, "a sidecar": sidecar} {
-			testkit.Until(t, who+" has "+want, func() bool { return shows(l) == want })
+			testkit.Until(t, who+" has endpoints "+want, func() bool { return endpointsOf(l) == want })
 		}
 	}
 	until("e f p x")
 	put("x", "draining", "1970-01-01T00:00:05Z")
 	until("e f p x-")
-	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
+	discovery.Publish(time.Now(), []protocol.Endpoint{entry("x", protocol.Ready, 5000), entry("p", protocol.Gone, 0)})
 	until("e f x-")
 	all, err := QueryMembers(socket)
 	if err != nil || len(all) != 1 || len(all[0].Sources) != 3 || all[0].Watches != 1 {
-		t.Fatalf("%+v, %v", all, err)
+		t.Fatalf("members: %+v, %v; want one pool with 3 sources and a watch", all, err)
 	}
 	for _, e := range all[0].Entries {
 		if e.Name == "x" && (e.State != "draining" || len(e.Words) != 3) {
-			t.Errorf("%+v", e)
+			t.Errorf("entry %+v: want it draining, with reports of 3 sources", e)
 		}
 	}
-	seen := make(chan string, 100)
-	go FollowMembers(ctx, socket, func(c MemberChange) error { seen <- c.Now.Name + " " + c.Now.State; return nil })
-	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 6000)})
+	changes := make(chan string, 100)
+	go FollowMembers(ctx, socket, func(c MemberChange) error { changes <- c.Now.Name + " " + c.Now.State; return nil })
+	discovery.Publish(time.Now(), []protocol.Endpoint{entry("x", protocol.Ready, 6000)})
 	until("e f x")
 	list("x")
 	until("e x")
 	cluster.Delete("/a/e")
 	until("x")
-	testkit.Until(t, "the end of e is followed", func() bool { return <-seen == "e gone" })
+	testkit.Until(t, "the removal of e is reported", func() bool { return <-changes == "e gone" })
 }
 
-// Over TLS a service with a certificate of the right authority follows etcd, and one without gets nothing.
+// Over TLS a service whose certificate is signed by the authority that etcd trusts receives the list; one with another certificate
+// receives nothing.
 func TestEtcdOverTLS(t *testing.T) {
-	ca, stranger := newAuthority(t), newAuthority(t)
+	ca, untrusted := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
-	cert, key := ca.named("localhost")
+	cert, key := ca.issue("localhost")
 	pair, err := tls.X509KeyPair(cert, key)
 	if err != nil {
 		t.Fatal(err)
@@ -159,30 +160,30 @@
 	}
 	defer cluster.Stop()
 	cluster.Put("/a/x", `{"address":"10.0.0.1:1"}`)
-	for who, own := range map[string]*authority{"known": ca, "stranger": stranger} {
-		cert, key := own.named("service")
+	for who, signer := range map[string]*authority{"known": ca, "stranger": untrusted} {
+		cert, key := signer.issue("service")
 		for name, text := range map[string][]byte{"ca.pem": ca.pem, "cert.pem": cert, "key.pem": key} {
 			if err := filewatch.Replace(filepath.Join(dir, name), text); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(good, "file: a.yaml", fmt.Sprintf(
+		f, err := Read(filepath.Join(dir, "c.yaml"), []byte(strings.Replace(validConfig, "file: a.yaml", fmt.Sprintf(
 			"etcd: {endpoints: [%q], prefix: /a/, ca: ca.pem, certificate: cert.pem, key: key.pem}", strings.Replace(cluster.Members[0].Address, "127.0.0.1", "localhost", 1)), 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		clock := routing.NewClock()
-		service, err := Start(ctx, f, watch(t), xdsserver.NewHub(clock.Now), clock, slog.New(slog.DiscardHandler))
+		service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if who == "known" {
-			testkit.Until(t, "the list comes", func() bool { return service.Members()[0].Sources[0].Named == 1 })
+			testkit.Until(t, "the list is received", func() bool { return service.Members()[0].Sources[0].Named == 1 })
 		} else {
 			testkit.Until(t, "the source is lost", func() bool { return service.Members()[0].Sources[0].Lost })
 			if s := service.Members()[0].Sources[0]; s.Named != 0 {
-				t.Errorf("a stranger is told %d destinations", s.Named)
+				t.Errorf("received %d endpoints with a certificate that etcd does not trust", s.Named)
 			}
 		}
 		cancel()
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -9,16 +9,16 @@
 	"kitewood/internal/routing"
 )
 
-// reports merges what proxies report and feeds the pools. It implements xdsserver.Reports.
+// reports merges load reports of proxies and endpoints and passes the result to the pools. It implements xdsserver.Reports.
 type reports struct {
 	service *Service
 
 	mu      sync.Mutex
 	loads   *loads.Loads
-	waiting map[*pool]map[string]bool // destinations that told of themselves and that the pool has not learnt of
+	pending map[*pool]map[string]bool // addresses whose own reports have not been passed to the pool yet
 }
 
-// Take takes a proxy's report and has the pool learn what all proxies together saw.
+// Take stores a proxy's load report and passes the merged readings of the reported endpoints to the pool.
 func (r *reports) Take(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats) {
 	p := r.service.pools[cluster]
 	if p == nil {
@@ -28,63 +28,64 @@
 	now := r.service.clock.Now()
 	r.loads.Take(now, proxy, cluster, interval, stats)
 	r.mu.Unlock()
-	merged := r.merged(p)
-	open, served := 0.0, 0.0
+	merged := r.merge(p)
+	inflight, qps := 0.0, 0.0
 	for _, x := range merged {
-		open, served = open+x.Inflight, served+x.QPS
+		inflight, qps = inflight+x.Inflight, qps+x.QPS
 	}
-	p.refusal.take(now, p.set.RejectShare(open, served)) // before the event, after which it is looked at
+	p.rejection.update(now, p.settings.RejectShare(inflight, qps)) // before observe, after which the share is read
 	observe(p, stats, merged)
 }
 
-// observe has a pool learn the readings of some of its destinations; the others have been told already.
-func observe[V any](p *pool, some map[string]V, merged map[string]loads.Reading) {
-	all := make([]routing.Observation, 0, len(some))
-	for address := range some {
-		if x, there := merged[address]; there {
-			all = append(all, observationOf(p.set, address, x))
+// observe passes the merged readings of the endpoints in reported to a pool; those of the others have been passed before.
+func observe[V any](p *pool, reported map[string]V, merged map[string]loads.Reading) {
+	observations := make([]routing.Observation, 0, len(reported))
+	for address := range reported {
+		if x, ok := merged[address]; ok {
+			observations = append(observations, newObservation(p.settings, address, x))
 		}
 	}
-	p.loop.Observe(all)
+	p.loop.Observe(observations)
 }
 
-// Leave forgets a proxy.
+// Leave removes a proxy's reports.
 func (r *reports) Leave(proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loads.Leave(proxy)
 }
 
-// ages tells how old each proxy's newest report is.
-func (r *reports) ages() map[string]time.Duration {
+// reportAges returns the age of each proxy's newest report.
+func (r *reports) reportAges() map[string]time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loads.Age(r.service.clock.Now())
 }
 
-// The names of metrics under which instances tell their utilisation, in the order of trust: ORCA's own, then the
-// platform's word.
-var utilNames = []string{"application_utilization", "cpu_utilization", "util"}
+// utilisationMetrics are the names of metrics under which endpoints report their utilisation, most trusted first: ORCA's own,
+// then the platform's.
+var utilisationMetrics = []string{"application_utilization", "cpu_utilization", "util"}
 
-// observationOf is a reading in the order of a pool's report fields. Without utilisation it is no report.
-func observationOf(set balance.Settings, address string, x loads.Reading) routing.Observation {
+// newObservation converts a reading to an observation whose load has the order of the pool's report fields. Where the fields
+// include utilisation and the reading has none, the observation carries no load.
+func newObservation(set balance.Settings, address string, reading loads.Reading) routing.Observation {
 	o := routing.Observation{Address: address, FailureShare: -1}
-	if x.Outcomes > 0 {
-		o.FailureShare = x.Failed
+	if reading.Outcomes > 0 {
+		o.FailureShare = reading.Failed
 	}
 	load := make([]float32, len(set.Report.Fields))
 	for i, f := range set.Report.Fields {
 		switch f {
 		case balance.Inflight:
-			load[i] = float32(x.Inflight)
+			load[i] = float32(reading.Inflight)
 		case balance.QPS:
-			load[i] = float32(x.QPS)
+			load[i] = float32(reading.QPS)
 		case balance.EPS:
-			load[i] = float32(x.EPS)
+			load[i] = float32(reading.EPS)
 		case balance.Util:
 			known := false
-			for _, name := range utilNames {
-				if v, there := x.Metrics[name]; there && !known {
+			for _, name := range utilisationMetrics {
+				if v, ok := reading.Metrics[name]; ok && !known {
 					load[i], known = float32(v), true
 				}
 			}
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -1,4 +1,5 @@
-// Package control turns the decision module's view of pools into resources for other proxies, and keeps them fresh.
+// Package control implements the xDS control service: it turns the decision module's view of pools into xDS resources for
+// other proxies and keeps them up to date.
 package control
 
 import (
@@ -34,77 +35,79 @@
 	"kitewood/internal/xdsserver"
 )
 
-// RouteName is the name of the route configuration, and of the listener that every proxy may ask for.
+// RouteName is the name of the route configuration, and of the listener that every proxy may request.
 const RouteName = "kitewood"
 
-// evenWeight is the weight of an endpoint that gets an even share. Weights move by hundredths: smaller moves are not worth
-// a response to every proxy.
-const evenWeight = 100
+// baseWeight is the weight of an endpoint that gets an even share. It sets the resolution of weights to 1%: smaller changes are
+// not worth a response to every proxy.
+const baseWeight = 100
 
-// ads has a resource come over the stream that the proxy has.
-func ads() *core.ConfigSource {
+// adsSource has the proxy fetch a resource over its existing aggregated stream.
+func adsSource() *core.ConfigSource {
 	return &core.ConfigSource{ResourceApiVersion: core.ApiVersion_V3,
 		ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}
 }
 
-// activeBias is the power to which least request raises the requests that are out, and one, before it divides the weight by
-// them. By the first power alone a dozen proxies go on filling a queue that has stopped.
-const activeBias = 3
+// activeRequestBias is the exponent of the least request policy: it divides an endpoint's weight by the number
+// of requests in flight plus one, raised to this power. With an exponent of 1 a dozen proxies keep filling the queue of an endpoint
+// that has stalled.
+const activeRequestBias = 3
 
-// policies are the ways of choosing, the best first: a proxy takes the first that it knows. Weights go by what was reported a
-// second ago; own requests that are out at an endpoint tell at once that it has slowed down, so least request, which divides
-// the weight by them, comes first.
-func policies() (*cluster.LoadBalancingPolicy, error) {
-	in := func(name string, m proto.Message) (*cluster.LoadBalancingPolicy_Policy, error) {
+// loadBalancingPolicies returns the policies in order of preference: a proxy uses the first that it supports. Weights are based on
+// reports that are a second old, whereas a proxy's own requests in flight show at once that an endpoint has slowed down. So least
+// request, which divides the weight by them, comes first.
+func loadBalancingPolicies() (*cluster.LoadBalancingPolicy, error) {
+	wrap := func(name string, m proto.Message) (*cluster.LoadBalancingPolicy_Policy, error) {
 		body, err := anypb.New(m)
 		return &cluster.LoadBalancingPolicy_Policy{TypedExtensionConfig: &core.TypedExtensionConfig{Name: name, TypedConfig: body}}, err
 	}
-	least, err1 := in("envoy.load_balancing_policies.least_request", &leastrequest.LeastRequest{
-		ActiveRequestBias: &core.RuntimeDouble{DefaultValue: activeBias, RuntimeKey: "kitewood.active_request_bias"}})
-	even, err2 := in("envoy.load_balancing_policies.round_robin", &roundrobin.RoundRobin{})
-	zones, err3 := in("envoy.load_balancing_policies.wrr_locality", &wrrlocality.WrrLocality{
-		EndpointPickingPolicy: &cluster.LoadBalancingPolicy{Policies: []*cluster.LoadBalancingPolicy_Policy{even}}})
-	return &cluster.LoadBalancingPolicy{Policies: []*cluster.LoadBalancingPolicy_Policy{least, zones}}, errors.Join(err1, err2, err3)
+	leastRequest, err1 := wrap("envoy.load_balancing_policies.least_request", &leastrequest.LeastRequest{
+		ActiveRequestBias: &core.RuntimeDouble{DefaultValue: activeRequestBias, RuntimeKey: "kitewood.active_request_bias"}})
+	roundRobin, err2 := wrap("envoy.load_balancing_policies.round_robin", &roundrobin.RoundRobin{})
+	byLocality, err3 := wrap("envoy.load_balancing_policies.wrr_locality", &wrrlocality.WrrLocality{
+		EndpointPickingPolicy: &cluster.LoadBalancingPolicy{Policies: []*cluster.LoadBalancingPolicy_Policy{roundRobin}}})
+	return &cluster.LoadBalancingPolicy{Policies: []*cluster.LoadBalancingPolicy_Policy{leastRequest, byLocality}}, errors.Join(err1, err2, err3)
 }
 
-// clusterOf is the cluster of a pool.
-func clusterOf(p *config.Pool) (*xds.Resource, error) {
-	choose, err := policies()
+// newCluster returns the cluster resource of a pool.
+func newCluster(p *config.Pool) (*xds.Resource, error) {
+	policies, err := loadBalancingPolicies()
 	if err != nil {
 		return nil, err
 	}
 	return xds.NewResource(p.Name, 0, &cluster.Cluster{
 		Name:                 p.Name,
 		ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
-		EdsClusterConfig:     &cluster.Cluster_EdsClusterConfig{EdsConfig: ads()},
+		EdsClusterConfig:     &cluster.Cluster_EdsClusterConfig{EdsConfig: adsSource()},
 		ConnectTimeout:       durationpb.New(p.Connections.Timeout.D()),
-		LbPolicy:             cluster.Cluster_ROUND_ROBIN, // for proxies that do not know the next field
-		LoadBalancingPolicy:  choose,
+		LbPolicy:             cluster.Cluster_ROUND_ROBIN, // for proxies that do not support the next field
+		LoadBalancingPolicy:  policies,
 		LrsServer: &core.ConfigSource{ResourceApiVersion: core.ApiVersion_V3,
 			ConfigSourceSpecifier: &core.ConfigSource_Self{Self: &core.SelfConfigSource{TransportApiVersion: core.ApiVersion_V3}}},
 	})
 }
 
-// endpointsOf are the endpoints of a pool as its module sees them. Those that take nothing new stay named until they are
-// gone, with a status that says so: a proxy that only sees them missing may break off what is out there.
-func endpointsOf(p *config.Pool, v routing.View, refused uint32) (*xds.Resource, error) {
+// newLoadAssignment returns the endpoints of a pool as its decision module sees them. Endpoints that accept no new requests stay
+// listed with a matching health status until they are gone: a proxy may abort its requests in flight to an endpoint that
+// disappears. rejectPercent is the share of requests that proxies are to reject.
+func newLoadAssignment(p *config.Pool, v routing.View, rejectPercent uint32) (*xds.Resource, error) {
 	zones := map[string]*endpoint.LocalityLbEndpoints{}
 	safety := xxhash.New()
-	for _, d := range v.Endpoints { // by name
-		at, err := netip.ParseAddrPort(d.Address)
-		if err != nil || d.State == balance.Gone {
+	for _, view := range v.Endpoints { // ordered by name
+		at, err := netip.ParseAddrPort(view.Address)
+		if err != nil || view.State == balance.Gone {
 			continue
 		}
-		status, weight := statusOf(d)
+		status, weight := healthAndWeight(view)
 		if status == core.HealthStatus_HEALTHY {
-			safety.WriteString(d.Address + "\n")
+			safety.WriteString(view.Address + "\n")
 		}
-		z := zones[d.Zone]
-		if z == nil {
-			z = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: d.Zone}}
-			zones[d.Zone] = z
+		locality := zones[view.Zone]
+		if locality == nil {
+			locality = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: view.Zone}}
+			zones[view.Zone] = locality
 		}
-		z.LbEndpoints = append(z.LbEndpoints, &endpoint.LbEndpoint{
+		locality.LbEndpoints = append(locality.LbEndpoints, &endpoint.LbEndpoint{
 			HealthStatus:        status,
 			LoadBalancingWeight: wrapperspb.UInt32(weight),
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{
@@ -112,51 +115,51 @@
 					PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(at.Port())}}}}}},
 		})
 	}
-	a := &endpoint.ClusterLoadAssignment{ClusterName: p.Name}
-	if refused > 0 {
-		a.Policy = &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
-			Category: "kitewood", DropPercentage: &typev3.FractionalPercent{Numerator: refused, Denominator: typev3.FractionalPercent_HUNDRED}}}}
+	assignment := &endpoint.ClusterLoadAssignment{ClusterName: p.Name}
+	if rejectPercent > 0 {
+		assignment.Policy = &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
+			Category: "kitewood", DropPercentage: &typev3.FractionalPercent{Numerator: rejectPercent, Denominator: typev3.FractionalPercent_HUNDRED}}}}
 	}
-	for _, z := range zones {
+	for _, locality := range zones {
 		sum := uint32(0)
-		for _, e := range z.LbEndpoints {
+		for _, e := range locality.LbEndpoints {
 			if e.HealthStatus == core.HealthStatus_HEALTHY {
 				sum += e.LoadBalancingWeight.Value
 			}
 		}
-		// A locality without a weight gets nothing, by the protocol.
-		z.LoadBalancingWeight = wrapperspb.UInt32(max(sum, 1))
-		a.Endpoints = append(a.Endpoints, z)
+		// By the protocol a locality without a weight gets no requests.
+		locality.LoadBalancingWeight = wrapperspb.UInt32(max(sum, 1))
+		assignment.Endpoints = append(assignment.Endpoints, locality)
 	}
-	slices.SortFunc(a.Endpoints, func(x, y *endpoint.LocalityLbEndpoints) int { return cmp.Compare(x.Locality.Zone, y.Locality.Zone) })
-	return xds.NewResource(p.Name, safety.Sum64(), a)
+	slices.SortFunc(assignment.Endpoints, func(x, y *endpoint.LocalityLbEndpoints) int { return cmp.Compare(x.Locality.Zone, y.Locality.Zone) })
+	return xds.NewResource(p.Name, safety.Sum64(), assignment)
 }
 
-// statusOf is what a proxy is told of a destination.
-func statusOf(d routing.EndpointView) (core.HealthStatus, uint32) {
-	weight := uint32(max(1, math.Round(d.Weight*evenWeight)))
+// healthAndWeight returns the health status and the weight under which an endpoint is served to proxies.
+func healthAndWeight(e routing.EndpointView) (core.HealthStatus, uint32) {
+	weight := uint32(max(1, math.Round(e.Weight*baseWeight)))
 	switch {
-	case d.State == balance.Draining:
+	case e.State == balance.Draining:
 		return core.HealthStatus_DRAINING, weight
-	case d.EjectedFor > 0:
+	case e.EjectedFor > 0:
 		return core.HealthStatus_UNHEALTHY, weight
-	case d.Probation: // readmitted, not yet trusted
+	case e.Probation: // readmitted after an ejection, not yet proven healthy
 		return core.HealthStatus_HEALTHY, max(1, weight/10)
 	}
 	return core.HealthStatus_HEALTHY, weight
 }
 
-// listenerOf is a listener for proxies that ask for their routes by a name, as gRPC clients do.
-func listenerOf(name string) (*xds.Resource, error) {
-	last, err := anypb.New(&router.Router{})
+// newListener returns an API listener, for proxies that look up their routes by listener name, as gRPC clients do.
+func newListener(name string) (*xds.Resource, error) {
+	routerFilter, err := anypb.New(&router.Router{})
 	if err != nil {
 		return nil, err
 	}
 	manager, err := anypb.New(&hcm.HttpConnectionManager{
 		StatPrefix:     "kitewood",
-		RouteSpecifier: &hcm.HttpConnectionManager_Rds{Rds: &hcm.Rds{ConfigSource: ads(), RouteConfigName: RouteName}},
+		RouteSpecifier: &hcm.HttpConnectionManager_Rds{Rds: &hcm.Rds{ConfigSource: adsSource(), RouteConfigName: RouteName}},
 		HttpFilters: []*hcm.HttpFilter{{Name: "envoy.filters.http.router",
-			ConfigType: &hcm.HttpFilter_TypedConfig{TypedConfig: last}}},
+			ConfigType: &hcm.HttpFilter_TypedConfig{TypedConfig: routerFilter}}},
 	})
 	if err != nil {
 		return nil, err
@@ -164,9 +167,9 @@
 	return xds.NewResource(name, 0, &listener.Listener{Name: name, ApiListener: &listener.ApiListener{ApiListener: manager}})
 }
 
-// routesOf are the routes of a configuration in the order that proxies try them: a virtual host for each host, with the
-// routes of the hosts that cover it behind its own, as proxies never look at a second one.
-func routesOf(f *config.File, rights *xdsserver.Rights) (*xds.Resource, error) {
+// newRouteConfig returns the routes of a configuration in the order in which proxies try them. Each host has a virtual host of its
+// own, with the routes of the wildcards that match it after its own, as proxies never look at a second virtual host.
+func newRouteConfig(f *config.File, rights *xdsserver.Rights) (*xds.Resource, error) {
 	type rule struct {
 		*config.Route
 		order int
@@ -183,29 +186,29 @@
 			byHost[h] = append(byHost[h], r)
 		}
 	}
-	c := &routes.RouteConfiguration{Name: RouteName, IgnorePortInHostMatching: true}
+	routeConfig := &routes.RouteConfiguration{Name: RouteName, IgnorePortInHostMatching: true}
 	for host := range byHost {
 		v := &routes.VirtualHost{Name: host, Domains: []string{host}}
-		for _, h := range covering(host) {
+		for _, h := range hostPatterns(host) {
 			rules := byHost[h]
-			slices.SortStableFunc(rules, func(a, b rule) int { return precedence(a.Route, b.Route) })
+			slices.SortStableFunc(rules, func(a, b rule) int { return compareRoutes(a.Route, b.Route) })
 			for _, r := range rules {
-				v.Routes = append(v.Routes, routeOf(r.Route, may(rights, r.Pool))...)
+				v.Routes = append(v.Routes, newRoutes(r.Route, allowed(rights, r.Pool))...)
 			}
 		}
-		c.VirtualHosts = append(c.VirtualHosts, v)
+		routeConfig.VirtualHosts = append(routeConfig.VirtualHosts, v)
 	}
-	slices.SortFunc(c.VirtualHosts, func(a, b *routes.VirtualHost) int { return cmp.Compare(a.Name, b.Name) })
-	return xds.NewResource(RouteName, 0, c)
+	slices.SortFunc(routeConfig.VirtualHosts, func(a, b *routes.VirtualHost) int { return cmp.Compare(a.Name, b.Name) })
+	return xds.NewResource(RouteName, 0, routeConfig)
 }
 
-// covering are a host, the wildcards that cover it from the longest to the shortest, and "*".
-func covering(host string) []string {
+// hostPatterns returns a host, the wildcards that match it from the longest to the shortest, and "*".
+func hostPatterns(host string) []string {
 	out := []string{host}
 	rest := strings.TrimPrefix(host, "*.")
 	for host != "*" {
-		_, parent, more := strings.Cut(rest, ".")
-		if !more {
+		_, parent, ok := strings.Cut(rest, ".")
+		if !ok {
 			out = append(out, "*."+rest)
 			break
 		}
@@ -218,37 +221,38 @@
 	return slices.Compact(out)
 }
 
-// precedence orders routes of one host as package route does.
-func precedence(a, b *config.Route) int {
-	has := func(s string) int { return min(len(s), 1) }
-	return cmp.Or(cmp.Compare(has(b.Exact), has(a.Exact)), cmp.Compare(segments(b.Path), segments(a.Path)),
-		cmp.Compare(has(b.Class), has(a.Class)), cmp.Compare(len(b.Headers), len(a.Headers)))
+// compareRoutes orders the routes of one host as package route does.
+func compareRoutes(a, b *config.Route) int {
+	isSet := func(s string) int { return min(len(s), 1) }
+	return cmp.Or(cmp.Compare(isSet(b.Exact), isSet(a.Exact)), cmp.Compare(countSegments(b.Path), countSegments(a.Path)),
+		cmp.Compare(isSet(b.Class), isSet(a.Class)), cmp.Compare(len(b.Headers), len(a.Headers)))
 }
 
-func segments(path string) int { return strings.Count(strings.TrimSuffix(path, "/"), "/") }
+// countSegments returns the number of segments of a path.
+func countSegments(path string) int { return strings.Count(strings.TrimSuffix(path, "/"), "/") }
 
-// routeOf is a route as proxies have it. A prefix of whole segments is two of theirs. To a proxy that may not have the pool it
-// is a 404: left out, its requests would fall to a route behind it, and reach another pool.
-func routeOf(r *config.Route, may bool) []*routes.Route {
+// newRoutes converts a route to xDS routes. A prefix of whole segments needs two of them. For a proxy without access to the pool
+// the route answers 404: if it were left out, its requests would match a later route and reach another pool.
+func newRoutes(r *config.Route, hasAccess bool) []*routes.Route {
 	var headers []*routes.HeaderMatcher
-	exact := func(name, value string) {
-		h := &routes.HeaderMatcher{Name: strings.ToLower(name), HeaderMatchSpecifier: &routes.HeaderMatcher_PresentMatch{PresentMatch: true}}
+	matchHeader := func(name, value string) {
+		header := &routes.HeaderMatcher{Name: strings.ToLower(name), HeaderMatchSpecifier: &routes.HeaderMatcher_PresentMatch{PresentMatch: true}}
 		if value != "" {
-			h.HeaderMatchSpecifier = &routes.HeaderMatcher_StringMatch{StringMatch: &matcher.StringMatcher{
+			header.HeaderMatchSpecifier = &routes.HeaderMatcher_StringMatch{StringMatch: &matcher.StringMatcher{
 				MatchPattern: &matcher.StringMatcher_Exact{Exact: value}}}
 		}
-		headers = append(headers, h)
+		headers = append(headers, header)
 	}
 	if r.Class != "" {
-		exact("x-service-class", r.Class)
+		matchHeader("x-service-class", r.Class)
 	}
 	for name, value := range r.Headers {
-		exact(name, value)
+		matchHeader(name, value)
 	}
 	slices.SortFunc(headers, func(a, b *routes.HeaderMatcher) int { return cmp.Compare(a.Name, b.Name) })
 	route := func(m *routes.RouteMatch) *routes.Route {
 		m.Headers = headers
-		if !may {
+		if !hasAccess {
 			return &routes.Route{Match: m, Action: &routes.Route_DirectResponse{DirectResponse: &routes.DirectResponseAction{Status: 404}}}
 		}
 		return &routes.Route{Match: m, Action: &routes.Route_Route{Route: &routes.RouteAction{
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -21,123 +21,125 @@
 	"kitewood/internal/xdsserver"
 )
 
-// rest is the least time between two looks at a pool. A burst of readings or of list lines is one look.
-const rest = 10 * time.Millisecond
+// minViewInterval is the minimum time between two evaluations of a pool, so that a burst of load readings or list updates causes
+// one evaluation.
+const minViewInterval = 10 * time.Millisecond
 
-// together is how long new weights of one pool wait for those of others.
-const together = 25 * time.Millisecond
+// weightBatchDelay is how long new weights of one pool wait for those of other pools.
+const weightBatchDelay = 25 * time.Millisecond
 
-// wholeWithin is how long after its start the service waits for the lists of all pools before it tells proxies anything:
-// a service that starts must not empty the lists that they have.
-const wholeWithin = 10 * time.Second
+// initialListTimeout is how long after its start the service waits for the lists of all pools before it publishes anything to
+// proxies: a starting service must not empty the lists that they have.
+const initialListTimeout = 10 * time.Second
 
-// Service runs a Balancer for each pool and publishes what they decide.
+// Service runs a balancer for each pool and publishes the resulting xDS resources.
 type Service struct {
-	log   *slog.Logger
-	ctx   context.Context
-	clock routing.Clock
-	hub   *xdsserver.Hub
-	file  *config.File
-	views map[string]*xdsserver.Rights
-	pools map[string]*pool
+	log          *slog.Logger
+	ctx          context.Context
+	clock        routing.Clock
+	hub          *xdsserver.Hub
+	file         *config.File
+	rightsByView map[string]*xdsserver.Rights
+	pools        map[string]*pool
 
 	reports *reports
 
-	mu        sync.Mutex
-	fixed     map[string]map[string][]*xds.Resource // listeners, routes, clusters, by view
-	endpoints map[string]*xds.Resource              // by pool; nil before its first list
-	open      bool                                  // something was published
-	due       bool                                  // a publication is under way that waits for more
+	mu              sync.Mutex
+	staticResources map[string]map[string][]*xds.Resource // listeners, routes and clusters, by view and type
+	endpoints       map[string]*xds.Resource              // by pool; nil before its first list
+	published       bool                                  // whether anything has been published
+	publishPending  bool                                  // whether a delayed publication is scheduled
 }
 
-// pool is a Balancer with its list and its probes, and no operations: proxies carry those.
+// pool is a balancer with its membership and load probes. It sends no requests: proxies do.
 type pool struct {
-	conf    *config.Pool
-	set     balance.Settings
-	loop    *routing.Loop
-	members *members
-	carrier *transport.ConnectionPool
-	dirty   chan struct{}
-	refusal refusal
-	orca    *orca.Watcher            // nil if destinations are not asked out of band
-	open    atomic.Pointer[[]string] // addresses of the destinations that take new requests
+	conf        *config.Pool
+	settings    balance.Settings
+	loop        *routing.Loop
+	members     *members
+	connections *transport.ConnectionPool
+	dirty       chan struct{}
+	rejection   rejection
+	orca        *orca.Watcher            // nil if endpoints are not queried out of band
+	readyAddrs  atomic.Pointer[[]string] // addresses of the endpoints that accept new requests
 }
 
-// Start reads lists, starts the pools of a configuration and publishes to a hub until the context ends. On an error, too,
-// the context ends what was started.
+// Start reads the endpoint lists, starts the pools of a configuration and publishes their resources to a hub until the context
+// ends. After an error, too, what was started runs until the context ends.
 func Start(ctx context.Context, file *File, watcher *filewatch.Watcher, hub *xdsserver.Hub, clock routing.Clock, log *slog.Logger) (*Service, error) {
 	f := &file.File
-	s := &Service{log: log, ctx: ctx, clock: clock, hub: hub, file: f, views: map[string]*xdsserver.Rights{}, pools: map[string]*pool{},
-		fixed: map[string]map[string][]*xds.Resource{}, endpoints: map[string]*xds.Resource{}}
+	s := &Service{log: log, ctx: ctx, clock: clock, hub: hub, file: f, rightsByView: map[string]*xdsserver.Rights{}, pools: map[string]*pool{},
+		staticResources: map[string]map[string][]*xds.Resource{}, endpoints: map[string]*xds.Resource{}}
 	if file.TLS == nil {
-		s.views[""] = &xdsserver.Rights{}
+		s.rightsByView[""] = &xdsserver.Rights{}
 	} else {
 		for i := range file.TLS.Proxies {
 			r := file.TLS.Proxies[i].rights()
-			s.views[r.View] = r
+			s.rightsByView[r.View] = r
 		}
 	}
-	s.reports = &reports{service: s, loads: loads.New(), waiting: map[*pool]map[string]bool{}}
-	if err := s.fix(); err != nil {
+	s.reports = &reports{service: s, loads: loads.New(), pending: map[*pool]map[string]bool{}}
+	if err := s.buildStaticResources(); err != nil {
 		return nil, err
 	}
 	for i := range f.Pools {
 		conf := &f.Pools[i]
 		log := log.With("pool", conf.Name)
-		set := module(f, conf)
-		loop, err := routing.New(set, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, clock, log)
+		settings := balancerSettings(f, conf)
+		loop, err := routing.New(settings, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, clock, log)
 		if err != nil {
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
 		}
-		p := &pool{conf: conf, set: set, loop: loop, dirty: make(chan struct{}, 1)}
-		loop.OnChange(p.changed)
-		p.carrier = transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
+		p := &pool{conf: conf, settings: settings, loop: loop, dirty: make(chan struct{}, 1)}
+		loop.OnChange(p.markChanged)
+		p.connections = transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
 			IdleTimeout: conf.Connections.Idle.D() / 2, ConnectionLimiter: transport.NewConnLimiter(f.Budget().UpstreamConns / len(f.Pools)),
 			LoadFields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
-		p.members = newMembers(ctx, conf, set.Seed, clock, loop, log)
-		if err := p.members.open(watcher); err != nil {
+		p.members = newMembers(ctx, conf, settings.Seed, clock, loop, log)
+		if err := p.members.start(watcher); err != nil {
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
 		}
 		s.pools[conf.Name] = p
 	}
 	for _, p := range s.pools {
-		p.open.Store(new([]string))
-		s.asks(p)
-		go p.loop.Run(ctx, p.carrier, p.members)
-		go s.follow(ctx, p)
+		p.readyAddrs.Store(new([]string))
+		s.startLoadQueries(p)
+		go p.loop.Run(ctx, p.connections, p.members)
+		go s.watchPool(ctx, p)
 	}
-	time.AfterFunc(wholeWithin, func() {
+	time.AfterFunc(initialListTimeout, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !s.open && ctx.Err() == nil {
-			s.log.Warn("some pools have no list yet; what is known is published", "known", len(s.endpoints), "pools", len(s.pools))
+		if !s.published && ctx.Err() == nil {
+			s.log.Warn("not all pools have an endpoint list; publishing those that do", "known", len(s.endpoints), "pools", len(s.pools))
 			s.publish()
 		}
 	})
 	return s, nil
 }
 
-// Reports takes what proxies report.
+// Reports returns the receiver of proxies' load reports.
 func (s *Service) Reports() xdsserver.Reports { return s.reports }
 
-// module is a pool's settings for the module. The proxies together are one balancer, which tracks every destination.
-func module(f *config.File, p *config.Pool) balance.Settings {
-	set := p.BalancerSettings(f.SeedOf(p.Name))
-	set.Index, set.Balancers = 0, 1
-	set.PollDiscovery = false // news come by themselves, from package membership's sources
-	return set
+// balancerSettings returns a pool's settings for the decision module. All proxies together act as one balancer, which tracks every
+// endpoint.
+func balancerSettings(f *config.File, p *config.Pool) balance.Settings {
+	settings := p.BalancerSettings(f.SeedOf(p.Name))
+	settings.Index, settings.Balancers = 0, 1
+	settings.PollDiscovery = false // the sources of package membership push updates
+	return settings
 }
 
-// changed notes that the pool may have changed. It does not block.
-func (p *pool) changed() {
+// markChanged records that the pool may have changed. It does not block.
+func (p *pool) markChanged() {
 	select {
 	case p.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// follow looks at a pool after each burst of changes.
-func (s *Service) follow(ctx context.Context, p *pool) {
+// watchPool evaluates a pool after each burst of changes until the context ends.
+func (s *Service) watchPool(ctx context.Context, p *pool) {
 	for {
 		select {
 		case <-p.dirty:
@@ -145,34 +147,34 @@
 			return
 		}
 		if v, ok := p.loop.View(time.Second); ok {
-			s.take(p, v)
+			s.updatePool(p, v)
 		} else if ctx.Err() == nil {
-			s.log.Error("a pool does not answer", "pool", p.conf.Name)
+			s.log.Error("event loop of pool does not answer", "pool", p.conf.Name)
 		}
 		select {
-		case <-time.After(rest):
+		case <-time.After(minViewInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// take publishes a pool's endpoints if they have changed.
-func (s *Service) take(p *pool, v routing.View) {
+// updatePool publishes a pool's endpoints if they have changed.
+func (s *Service) updatePool(p *pool, v routing.View) {
 	if v.Index == 0 && len(v.Endpoints) == 0 {
-		return // no list has come
+		return // no list received yet
 	}
-	var open []string
-	for _, d := range v.Endpoints {
-		if d.State == balance.Ready {
-			open = append(open, d.Address)
+	var ready []string
+	for _, e := range v.Endpoints {
+		if e.State == balance.Ready {
+			ready = append(ready, e.Address)
 		}
 	}
-	p.open.Store(&open)
+	p.readyAddrs.Store(&ready)
 	if p.orca != nil {
-		p.orca.Follow(open)
+		p.orca.Follow(ready)
 	}
-	r, err := endpointsOf(p.conf, v, p.refusal.percent(s.clock.Now()))
+	r, err := newLoadAssignment(p.conf, v, p.rejection.percent(s.clock.Now()))
 	if err != nil {
 		s.log.Error("endpoints", "pool", p.conf.Name, "error", err)
 		return
@@ -185,50 +187,50 @@
 	}
 	s.endpoints[p.conf.Name] = r
 	switch {
-	case !s.open && len(s.endpoints) < len(s.pools): // not yet whole
-	case !s.open || old == nil || old.Safety != r.Safety:
+	case !s.published && len(s.endpoints) < len(s.pools): // some pools have no list yet
+	case !s.published || old == nil || old.Safety != r.Safety:
 		s.publish()
-	case !s.due: // weights: a publication wakes every stream, so several pools share one
-		s.due = true
-		time.AfterFunc(together, func() {
+	case !s.publishPending: // only weights changed: a publication wakes every stream, so several pools share one
+		s.publishPending = true
+		time.AfterFunc(weightBatchDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.due && s.ctx.Err() == nil {
+			if s.publishPending && s.ctx.Err() == nil {
 				s.publish()
 			}
 		})
 	}
 }
 
-// fix makes the resources that follow from the configuration alone, for each view.
-func (s *Service) fix() error {
-	for view, rights := range s.views {
-		fixed := map[string][]*xds.Resource{}
-		s.fixed[view] = fixed
+// buildStaticResources builds the resources that depend on the configuration alone, for each view.
+func (s *Service) buildStaticResources() error {
+	for view, rights := range s.rightsByView {
+		resources := map[string][]*xds.Resource{}
+		s.staticResources[view] = resources
 		add := func(t string, r *xds.Resource, err error) error {
 			if err == nil {
-				fixed[t] = append(fixed[t], r)
+				resources[t] = append(resources[t], r)
 			}
 			return err
 		}
-		r, err := routesOf(s.file, rights)
+		r, err := newRouteConfig(s.file, rights)
 		if err := add(xds.TypeRoute, r, err); err != nil {
 			return err
 		}
 		names := []string{RouteName}
 		for i := range s.file.Pools {
 			p := &s.file.Pools[i]
-			if !may(rights, p.Name) {
+			if !allowed(rights, p.Name) {
 				continue
 			}
 			names = append(names, p.Name)
-			r, err := clusterOf(p)
+			r, err := newCluster(p)
 			if err := add(xds.TypeCluster, r, err); err != nil {
 				return err
 			}
 		}
 		for _, name := range names {
-			r, err := listenerOf(name)
+			r, err := newListener(name)
 			if err := add(xds.TypeListener, r, err); err != nil {
 				return err
 			}
@@ -237,18 +239,18 @@
 	return nil
 }
 
-// may tells whether a proxy with some rights is told of a pool.
-func may(rights *xdsserver.Rights, pool string) bool {
+// allowed reports whether a proxy with the given rights has access to a pool.
+func allowed(rights *xdsserver.Rights, pool string) bool {
 	return len(rights.Pools) == 0 || slices.Contains(rights.Pools, pool)
 }
 
-// publish hands the hub a snapshot for each view. s.mu is held.
+// publish passes a snapshot for each view to the hub. The caller holds s.mu.
 func (s *Service) publish() {
-	all := map[string]*xds.Snapshot{}
-	for view, rights := range s.views {
-		types := maps.Clone(s.fixed[view])
+	snapshots := map[string]*xds.Snapshot{}
+	for view, rights := range s.rightsByView {
+		types := maps.Clone(s.staticResources[view])
 		for name, r := range s.endpoints {
-			if may(rights, name) {
+			if allowed(rights, name) {
 				types[xds.TypeEndpoint] = append(types[xds.TypeEndpoint], r)
 			}
 		}
@@ -257,8 +259,8 @@
 			s.log.Error("snapshot", "error", err)
 			return
 		}
-		all[view] = snapshot
+		snapshots[view] = snapshot
 	}
-	s.open, s.due = true, false
-	s.hub.Publish(all)
+	s.published, s.publishPending = true, false
+	s.hub.Publish(snapshots)
 }
--- a/internal/control/tls_test.go
+++ b/internal/control/tls_test.go
@@ -39,13 +39,14 @@
 	pem  []byte
 }
 
+// newAuthority returns an authority with a self-signed certificate.
 func newAuthority(t *testing.T) *authority {
 	a := &authority{t: t}
 	a.cert, a.key, a.pem, _ = a.sign(&x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign})
 	return a
 }
 
-// sign makes a certificate, by itself where the authority has none yet.
+// sign issues a certificate, self-signed if the authority has no certificate yet.
 func (a *authority) sign(c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey, []byte, []byte) {
 	a.t.Helper()
 	must := func(err error) {
@@ -70,16 +71,16 @@
 	return out, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text})
 }
 
-// named makes a certificate for a name, for both sides of a connection.
-func (a *authority) named(name string) (cert, key []byte) {
+// issue creates a certificate for a DNS name, valid for servers and clients.
+func (a *authority) issue(name string) (cert, key []byte) {
 	_, _, cert, key = a.sign(&x509.Certificate{DNSNames: []string{name}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
 	return
 }
 
-// Only a proxy whose certificate is signed and named gets anything, and then what it may have; certificates that are
-// replaced are taken while the service runs.
-func TestOnlyNamedProxiesAreLetIn(t *testing.T) {
+// Only a proxy whose certificate is signed by the authority and whose name is listed gets resources, and only those of its pools.
+// Replaced certificates are loaded while the service runs.
+func TestProxyAuthorization(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name string, text []byte) {
 		t.Helper()
@@ -87,20 +88,20 @@
 			t.Fatal(err)
 		}
 	}
-	ca, stranger := newAuthority(t), newAuthority(t)
-	cert, key := ca.named("control")
+	ca, untrusted := newAuthority(t), newAuthority(t)
+	cert, key := ca.issue("control")
 	write("ca.pem", ca.pem)
 	write("cert.pem", cert)
 	write("key.pem", key)
 	for _, pool := range []string{"a", "b"} {
 		write(pool+".yaml", []byte("destinations: [{name: x, address: \"127.0.0.1:1\"}]\n"))
 	}
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := free.Addr().String()
-	free.Close()
+	address := unused.Addr().String()
+	unused.Close()
 	const class = "classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]"
 	text := fmt.Sprintf(`name: c
 listeners: [{address: %q}]
@@ -120,22 +121,23 @@
 	}
 	var log testkit.Log
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, f, slog.New(slog.NewTextHandler(&log, nil))) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- Serve(ctx, f, slog.New(slog.NewTextHandler(&log, nil))) }()
 	defer func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-serveErr; err != nil {
 			t.Error(err)
 		}
 	}()
 
-	// ask connects with a certificate and gives the names of the clusters, and the server's certificate.
-	ask := func(by *authority, name string, most uint16) (clusters []string, own []byte, err error) {
-		config := &tls.Config{RootCAs: x509.NewCertPool(), ServerName: "control", MaxVersion: most}
+	// query connects with a certificate issued for name, or with none, and returns the clusters that it is served and the server's
+	// certificate.
+	query := func(signer *authority, name string, maxVersion uint16) (clusters []string, serverCert []byte, err error) {
+		config := &tls.Config{RootCAs: x509.NewCertPool(), ServerName: "control", MaxVersion: maxVersion}
 		config.RootCAs.AppendCertsFromPEM(ca.pem)
-		config.VerifyConnection = func(s tls.ConnectionState) error { own = s.PeerCertificates[0].Raw; return nil }
-		if by != nil {
-			pair, err := tls.X509KeyPair(by.named(name))
+		config.VerifyConnection = func(s tls.ConnectionState) error { serverCert = s.PeerCertificates[0].Raw; return nil }
+		if signer != nil {
+			pair, err := tls.X509KeyPair(signer.issue(name))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -146,73 +148,73 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		call, stop := context.WithTimeout(ctx, 20*time.Second)
-		defer stop()
-		s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(call)
+		callCtx, cancelCall := context.WithTimeout(ctx, 20*time.Second)
+		defer cancelCall()
+		stream, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(callCtx)
 		if err != nil {
-			return nil, own, err
+			return nil, serverCert, err
 		}
-		s.Send(&discovery.DiscoveryRequest{TypeUrl: xds.TypeCluster})
-		r, err := s.Recv()
+		stream.Send(&discovery.DiscoveryRequest{TypeUrl: xds.TypeCluster})
+		r, err := stream.Recv()
 		if err != nil {
-			return nil, own, err
+			return nil, serverCert, err
 		}
 		for _, x := range r.Resources {
 			clusters = append(clusters, string(x.Value))
 		}
-		s.Send(&discovery.DiscoveryRequest{TypeUrl: xds.TypeRoute, ResourceNames: []string{RouteName}})
-		if r, err = s.Recv(); err != nil {
-			return nil, own, err
+		stream.Send(&discovery.DiscoveryRequest{TypeUrl: xds.TypeRoute, ResourceNames: []string{RouteName}})
+		if r, err = stream.Recv(); err != nil {
+			return nil, serverCert, err
 		}
-		var told routes.RouteConfiguration
-		if err := r.Resources[0].UnmarshalTo(&told); err != nil {
+		var served routes.RouteConfiguration
+		if err := r.Resources[0].UnmarshalTo(&served); err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range told.VirtualHosts[0].Routes {
+		for _, x := range served.VirtualHosts[0].Routes {
 			if c := x.GetRoute().GetCluster(); c == "b" && len(clusters) == 1 {
-				t.Error("a route leads to a pool that the proxy may not have")
+				t.Error("a route leads to a pool that the proxy has no access to")
 			}
 		}
-		return clusters, own, nil
+		return clusters, serverCert, nil
 	}
-	testkit.Until(t, "it listens", func() bool { c, err := net.Dial("tcp", address); return err == nil && c.Close() == nil })
-	clusters, own, err := ask(ca, "one", 0)
+	testkit.Until(t, "the service listens", func() bool { c, err := net.Dial("tcp", address); return err == nil && c.Close() == nil })
+	clusters, serverCert, err := query(ca, "one", 0)
 	if err != nil || len(clusters) != 1 || !strings.Contains(clusters[0], "a") {
-		t.Errorf("one is told of %q, %v", clusters, err)
+		t.Errorf("proxy one is served clusters %q, %v", clusters, err)
 	}
-	if clusters, _, err := ask(ca, "all", 0); err != nil || len(clusters) != 2 {
-		t.Errorf("all is told of %q, %v", clusters, err)
+	if clusters, _, err := query(ca, "all", 0); err != nil || len(clusters) != 2 {
+		t.Errorf("proxy all is served clusters %q, %v", clusters, err)
 	}
-	if _, _, err := ask(ca, "other", 0); status.Code(err) != codes.PermissionDenied {
-		t.Errorf("a name that is not listed: %v", err)
+	if _, _, err := query(ca, "other", 0); status.Code(err) != codes.PermissionDenied {
+		t.Errorf("certificate with a name that is not listed: %v", err)
 	}
-	for what, by := range map[string]*authority{"of another authority": stranger, "none": nil} {
-		if _, _, err := ask(by, "one", 0); status.Code(err) != codes.Unavailable {
-			t.Errorf("a certificate %s: %v", what, err)
+	for what, signer := range map[string]*authority{"of another authority": untrusted, "none": nil} {
+		if _, _, err := query(signer, "one", 0); status.Code(err) != codes.Unavailable {
+			t.Errorf("client certificate %s: %v", what, err)
 		}
 	}
-	if _, _, err := ask(ca, "one", tls.VersionTLS12); status.Code(err) != codes.Unavailable {
+	if _, _, err := query(ca, "one", tls.VersionTLS12); status.Code(err) != codes.Unavailable {
 		t.Errorf("TLS 1.2: %v", err)
 	}
-	testkit.Until(t, "those that are not let in are logged", func() bool { return log.Count("a proxy is not let in") >= 4 })
+	testkit.Until(t, "rejected proxies are logged", func() bool { return log.Count("a proxy is not let in") >= 4 })
 
-	cert, key = ca.named("control")
-	write("cert.pem", cert) // does not fit the key for a moment
+	cert, key = ca.issue("control")
+	write("cert.pem", cert) // does not match the key until the next write
 	write("key.pem", key)
-	testkit.Until(t, "the new certificate is served", func() bool { _, now, err := ask(ca, "one", 0); return err == nil && !bytes.Equal(now, own) })
+	testkit.Until(t, "the new certificate is served", func() bool { _, c, err := query(ca, "one", 0); return err == nil && !bytes.Equal(c, serverCert) })
 }
 
 func TestTLSConfiguration(t *testing.T) {
-	text := strings.Replace(good, "plaintext: true", "tls: {certificate: c, key: k, client_ca: a, proxies: [{name: p, pools: [a]}]}", 1)
+	text := strings.Replace(validConfig, "plaintext: true", "tls: {certificate: c, key: k, client_ca: a, proxies: [{name: p, pools: [a]}]}", 1)
 	if f, err := Read("/etc/c.yaml", []byte(text)); err != nil || f.TLS.Key != "/etc/k" {
 		t.Fatal(f, err)
 	}
 	for from, c := range map[string][2]string{
 		"certificate: c, ":        {"", "c.yaml:2:6: tls.certificate: is missing"},
-		"pools: [a]":              {"pools: [z]", `tls.proxies[0].pools[0]: there is no pool "z"`},
-		"{name: p,":               {"{name: p}, {name: p,", "tls.proxies[1].name: a proxy has a name of its own"},
+		"pools: [a]":              {"pools: [z]", `tls.proxies[0].pools[0]: unknown pool "z"`},
+		"{name: p,":               {"{name: p}, {name: p,", "tls.proxies[1].name: must be set and unique"},
 		"[{name: p, pools: [a]}]": {"[]", "tls.proxies: at least one is needed"},
-		"tls:":                    {"plaintext: true\ntls:", "plaintext: tls is given, too"},
+		"tls:":                    {"plaintext: true\ntls:", "plaintext: cannot be combined with tls"},
 	} {
 		if _, err := Read("c.yaml", []byte(strings.Replace(text, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", c[0], err)
