--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -74,11 +74,11 @@
 		out.Reports = append(out.Reports, ReportStatus{proxy, ages[proxy].Milliseconds()})
 	}
 	for _, p := range proxies {
-		x := ProxyStatus{Node: p.Node, Peer: p.Peer, Delta: p.Delta, SinceMS: p.Since.Milliseconds(), Unknown: p.Unknown,
-			DrainedMS: ms(p.Drained), OwesMS: ms(p.Owes)}
+		x := ProxyStatus{Node: p.Node, Peer: p.Peer, Delta: p.Delta, SinceMS: p.ConnectedFor.Milliseconds(), Unknown: p.UnknownTypes,
+			DrainedMS: ms(p.LastDrainAck), OwesMS: ms(p.DrainAckPending)}
 		for _, t := range p.Types {
-			x.Types = append(x.Types, TypeStatus{Type: t.TypeURL, Names: t.Names, Sent: t.Sent, Acked: t.Acked,
-				WaitingMS: t.Waiting.Milliseconds(), Refused: t.Refused})
+			x.Types = append(x.Types, TypeStatus{Type: t.TypeURL, Names: t.Names, Sent: t.SentVersion, Acked: t.AckedVersion,
+				WaitingMS: t.AckPending.Milliseconds(), Refused: t.NackReason})
 		}
 		out.Proxies = append(out.Proxies, x)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -124,7 +124,7 @@
 			a.Endpoints[0].LoadBalancingWeight.Value == 0 {
 			t.Errorf("%+v: %v", c.v, &a)
 		}
-		safety[r.Safety] = true
+		safety[r.UrgentHash] = true
 	}
 	if len(safety) != 2 {
 		t.Errorf("%d kinds of safety, want those that may get requests and those that may not", len(safety))
@@ -229,7 +229,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.Anybody, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
 	go g.Serve(ln)
 	defer g.Stop()
 	for _, delta := range []bool{false, true} {
@@ -299,7 +299,7 @@
 	}
 	ln := bufconn.Listen(1 << 20)
 	g := grpc.NewServer()
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.Anybody, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
 	go g.Serve(ln)
 	defer g.Stop()
 	table, loads := proxy.NewTable(), proxy.NewTracker()
@@ -411,7 +411,7 @@
 			v, ok := service.pools["a"].loop.View(time.Second)
 			return ok && len(v.Endpoints) == 3 && v.Endpoints[1].Weight > 1.5*v.Endpoints[0].Weight
 		})
-		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Told != 3 {
+		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Reporting != 3 {
 			t.Errorf("%+v", service.Status().OutOfBand)
 		}
 		cancel()
--- a/internal/control/program.go
+++ b/internal/control/program.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	transport, identify := insecure.NewCredentials(), xdsserver.Identify(xdsserver.Anybody)
+	transport, identify := insecure.NewCredentials(), xdsserver.Authorize(xdsserver.AllowAll)
 	if f.TLS != nil {
 		certificates, err := watchCertificates(ctx, watcher, f.TLS, log)
 		if err != nil {
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -19,7 +19,7 @@
 }
 
 // Take takes a proxy's report and has the pool learn what all proxies together saw.
-func (r *reports) Take(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats) {
+func (r *reports) OnReport(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats) {
 	p := r.service.pools[cluster]
 	if p == nil {
 		return
@@ -49,7 +49,7 @@
 }
 
 // Leave forgets a proxy.
-func (r *reports) Leave(proxy string) {
+func (r *reports) OnDisconnect(proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loads.Leave(proxy)
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -118,7 +118,7 @@
 }
 
 // Reports takes what proxies report.
-func (s *Service) Reports() xdsserver.Reports { return s.reports }
+func (s *Service) Reports() xdsserver.LoadReportHandler { return s.reports }
 
 // module is a pool's settings for the module. The proxies together are one balancer, which tracks every destination.
 func module(f *config.File, p *config.Pool) balance.Settings {
@@ -170,7 +170,7 @@
 	}
 	p.open.Store(&open)
 	if p.orca != nil {
-		p.orca.Follow(open)
+		p.orca.SetAddresses(open)
 	}
 	r, err := endpointsOf(p.conf, v, p.refusal.percent(s.clock.Now()))
 	if err != nil {
@@ -186,7 +186,7 @@
 	s.endpoints[p.conf.Name] = r
 	switch {
 	case !s.open && len(s.endpoints) < len(s.pools): // not yet whole
-	case !s.open || old == nil || old.Safety != r.Safety:
+	case !s.open || old == nil || old.UrgentHash != r.UrgentHash:
 		s.publish()
 	case !s.due: // weights: a publication wakes every stream, so several pools share one
 		s.due = true
--- a/internal/xdsserver/server_test.go
+++ b/internal/xdsserver/server_test.go
@@ -30,7 +30,7 @@
 	began := time.Now()
 	hub, log := NewHub(func() time.Duration { return time.Since(began) }), &testkit.Log{}
 	g := grpc.NewServer()
-	Register(g, hub, nil, Anybody, slog.New(slog.NewTextHandler(log, nil)))
+	Register(g, hub, nil, AllowAll, slog.New(slog.NewTextHandler(log, nil)))
 	ln := bufconn.Listen(1 << 16)
 	go g.Serve(ln)
 	t.Cleanup(g.Stop)
@@ -117,7 +117,7 @@
 		}
 		testkit.Until(t, "it is shown", func() bool {
 			p, _ := hub.Status()
-			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].Refused == "odd"
+			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].NackReason == "odd"
 		})
 		publish(t, hub, n+1, 0)
 	}
