--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -27,13 +27,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-func entry(name string, state protocol.State) protocol.Endpoint {
+func newEndpoint(name string, state protocol.State) protocol.Endpoint {
 	return protocol.Endpoint{Name: name, Address: "10.0.0.1:1", State: state, Weight: 1, SinceMS: 5}
 }
 
 // Whoever comes back with a version gets to the same list by what he is told, whether or not the version is known; versions
 // only grow, also where the clock falls back, and over a restart with a later clock.
-func TestHistoryLeadsToTheList(t *testing.T) {
+func TestHistoryLeadsToCurrentList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHistory(rapid.Uint64().Draw(t, "tag"))
 		now, last := int64(1e12), int64(0)
@@ -53,7 +53,7 @@
 			now += rapid.Int64Range(-5, 5).Draw(t, "clock")
 			var changed []protocol.Endpoint
 			for range rapid.IntRange(0, 3).Draw(t, "entries") {
-				changed = append(changed, entry(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"),
+				changed = append(changed, newEndpoint(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"),
 					rapid.SampledFrom([]protocol.State{protocol.Ready, protocol.Draining, protocol.Gone}).Draw(t, "state")))
 			}
 			if err := h.Publish(now, changed); err != nil {
@@ -93,18 +93,18 @@
 	})
 	h := NewHistory(7)
 	h.Publish(1000, nil)
-	for i := range kept + 5 {
-		h.Publish(1000+int64(i), []protocol.Endpoint{entry(fmt.Sprint(i), protocol.Ready)})
+	for i := range maxChanges + 5 {
+		h.Publish(1000+int64(i), []protocol.Endpoint{newEndpoint(fmt.Sprint(i), protocol.Ready)})
 	}
 	if lines, _ := h.Since(1000<<tagBits | 7); len(lines) != 1 {
 		t.Errorf("%d lines after more than are kept", len(lines))
 	}
-	if lines, _ := h.Since(h.first); len(lines) != kept {
+	if lines, _ := h.Since(h.firstIndex); len(lines) != maxChanges {
 		t.Errorf("%d lines from the first that is kept", len(lines))
 	}
 }
 
-func serve(t *testing.T) (*Server, string) {
+func startTestServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,8 +123,8 @@
 }
 
 // What is not the protocol's gets an answer that says so, and a connection may ask again.
-func TestCalls(t *testing.T) {
-	s, at := serve(t)
+func TestRequests(t *testing.T) {
+	s, at := startTestServer(t)
 	ask := func(text string) string {
 		t.Helper()
 		conn, err := net.Dial("tcp", at)
@@ -140,17 +140,17 @@
 	get := func(target string) string {
 		return ask("GET " + target + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	}
-	if out := get(path); !strings.HasPrefix(out, "HTTP/1.1 503 ") || !strings.Contains(out, "Retry-After: 1\r\n") {
+	if out := get(listPath); !strings.HasPrefix(out, "HTTP/1.1 503 ") || !strings.Contains(out, "Retry-After: 1\r\n") {
 		t.Errorf("before a list is known: %q", out)
 	}
-	s.Publish(time.Now(), []protocol.Endpoint{entry("a", protocol.Ready)})
+	s.Publish(time.Now(), []protocol.Endpoint{newEndpoint("a", protocol.Ready)})
 	for _, c := range []struct{ text, want string }{
 		{"GET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 404 "},
-		{"POST " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 "},
-		{"GET " + path + "?since=x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 400 "},
+		{"POST " + listPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 "},
+		{"GET " + listPath + "?since=x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 400 "},
 		{"\x16\x03\x01 noise\r\n\r\n", "HTTP/1.1 400 "},
-		{"GET " + path + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", `"name":"a"`},
-		{"GET " + path + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 404 "},
+		{"GET " + listPath + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", `"name":"a"`},
+		{"GET " + listPath + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 404 "},
 	} {
 		if out := ask(c.text); !strings.Contains(out, c.want) {
 			t.Errorf("%q: %q", c.text, out)
@@ -159,18 +159,18 @@
 }
 
 // list is a Loop's part for a watch that is looked at.
-type list struct {
-	mu    sync.Mutex
-	state map[string]balance.State
-	whole int
-	lost  int
+type testReceiver struct {
+	mu        sync.Mutex
+	state     map[string]balance.State
+	snapshots int
+	lost      int
 }
 
-func (l *list) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
+func (l *testReceiver) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if kind == balance.Full {
-		l.whole++
+		l.snapshots++
 		l.state = map[string]balance.State{}
 	}
 	for _, m := range members {
@@ -178,24 +178,24 @@
 	}
 }
 
-func (l *list) SourceLost() {
+func (l *testReceiver) SourceLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost++
 }
 
-func (l *list) is(name string, state balance.State) bool {
+func (l *testReceiver) hasState(name string, state balance.State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state[name] == state
 }
 
 // The sidecar's own watch follows the server, and goes on from its version after a break; one that reads nothing holds it up not.
-func TestSidecarsWatchFollows(t *testing.T) {
-	s, at := serve(t)
-	all := []protocol.Endpoint{entry("x", protocol.Ready)}
+func TestSidecarWatchFollowsServer(t *testing.T) {
+	s, at := startTestServer(t)
+	all := []protocol.Endpoint{newEndpoint("x", protocol.Ready)}
 	for i := range 2000 {
-		all = append(all, entry(fmt.Sprintf("filler-%04d-%s", i, strings.Repeat("f", 200)), protocol.Ready))
+		all = append(all, newEndpoint(fmt.Sprintf("filler-%04d-%s", i, strings.Repeat("f", 200)), protocol.Ready))
 	}
 	s.Publish(time.Now(), all)
 	slow, err := net.Dial("tcp", at)
@@ -203,23 +203,23 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	fmt.Fprintf(slow, "GET %s?follow=1 HTTP/1.1\r\nHost: x\r\n\r\n", path)
+	fmt.Fprintf(slow, "GET %s?follow=1 HTTP/1.1\r\nHost: x\r\n\r\n", listPath)
 	bufio.NewReaderSize(slow, 16).ReadString('\n')
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &list{}
+	l := &testReceiver{}
 	d := transport.NewDiscoveryClient(ctx, at, l, slog.New(slog.DiscardHandler))
 	d.Watch(0)
-	testkit.Until(t, "the list", func() bool { return l.is("x", balance.Ready) })
+	testkit.Until(t, "the list", func() bool { return l.hasState("x", balance.Ready) })
 	for i := range 50 {
 		state, told := protocol.Draining, balance.Draining
 		if i%2 > 0 {
 			state, told = protocol.Ready, balance.Ready
 		}
-		s.Publish(time.Now(), []protocol.Endpoint{entry("x", state)})
-		testkit.Until(t, "the change", func() bool { return l.is("x", told) })
+		s.Publish(time.Now(), []protocol.Endpoint{newEndpoint("x", state)})
+		testkit.Until(t, "the change", func() bool { return l.hasState("x", told) })
 	}
-	if l.whole != 1 || s.Watches() != 2 {
-		t.Errorf("%d whole lists, %d watches", l.whole, s.Watches())
+	if l.snapshots != 1 || s.Watches() != 2 {
+		t.Errorf("%d whole lists, %d watches", l.snapshots, s.Watches())
 	}
 	cancel()
 	testkit.Until(t, "the watch ends", func() bool { return s.Watches() == 1 })
--- a/internal/directory/history.go
+++ b/internal/directory/history.go
@@ -11,7 +11,7 @@
 )
 
 // kept is how many changes are kept for those who come back. Whoever was away for longer gets the whole list.
-const kept = 1024
+const maxChanges = 1024
 
 // An index is a time in milliseconds, moved left by tagBits, and the tag of this run of this service: it grows over restarts as
 // the clock does, and no other service or run gives out the same, so that a sidecar which comes from another gets the whole
@@ -26,12 +26,12 @@
 
 // History is a list with its last changes: a core without a socket or a clock. It is not safe for concurrent use.
 type History struct {
-	tag     int64
-	index   int64 // 0 before the first list
-	first   int64 // index from which on all changes are kept
-	members map[string]protocol.Endpoint
-	changes []change
-	whole   []byte // of index; nil if it has not been asked for
+	tag        int64
+	index      int64 // 0 before the first list
+	firstIndex int64 // index from which on all changes are kept
+	members    map[string]protocol.Endpoint
+	changes    []change
+	snapshot   []byte // of index; nil if it has not been asked for
 }
 
 // NewHistory returns a History without a list. tag tells this run of this service from others.
@@ -54,11 +54,11 @@
 			h.members[d.Name] = d
 		}
 	}
-	if h.whole = nil; h.index == 0 {
-		h.first, h.whole = index, line
+	if h.snapshot = nil; h.index == 0 {
+		h.firstIndex, h.snapshot = index, line
 	} else {
-		if len(h.changes) == kept {
-			h.first = h.changes[0].index
+		if len(h.changes) == maxChanges {
+			h.firstIndex = h.changes[0].index
 			h.changes = slices.Delete(h.changes, 0, 1)
 		}
 		h.changes = append(h.changes, change{index, line})
@@ -71,33 +71,33 @@
 func (h *History) Index() int64 { return h.index }
 
 // Whole is the whole list on one line.
-func (h *History) Whole() ([]byte, error) {
-	if h.whole == nil {
+func (h *History) Snapshot() ([]byte, error) {
+	if h.snapshot == nil {
 		list := protocol.EndpointList{Index: h.index, Snapshot: true}
 		list.Endpoints = slices.SortedFunc(maps.Values(h.members), func(a, b protocol.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 		var err error
-		if h.whole, err = list.Encode(); err != nil {
+		if h.snapshot, err = list.Encode(); err != nil {
 			return nil, err
 		}
 	}
-	return h.whole, nil
+	return h.snapshot, nil
 }
 
 // Since are the lines that lead from an index to the newest: those of the changes if the index was given out by this History and
 // they are kept, else the whole list.
 func (h *History) Since(index int64) ([][]byte, error) {
-	if index != h.first {
+	if index != h.firstIndex {
 		at, found := slices.BinarySearchFunc(h.changes, index, func(c change, i int64) int { return cmp.Compare(c.index, i) })
 		if !found {
-			line, err := h.Whole()
+			line, err := h.Snapshot()
 			return [][]byte{line}, err
 		}
-		return lines(h.changes[at+1:]), nil
+		return changeLines(h.changes[at+1:]), nil
 	}
-	return lines(h.changes), nil
+	return changeLines(h.changes), nil
 }
 
-func lines(all []change) [][]byte {
+func changeLines(all []change) [][]byte {
 	out := make([][]byte, len(all))
 	for i, c := range all {
 		out[i] = c.line
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	beat      = 2 * time.Second // a watch gets an empty line this often while nothing changes: the protocol's figure
-	writing   = 5 * time.Second // a reader that takes a line in no more than this stays
-	resting   = time.Minute     // a connection without a call is closed after this
-	most      = 4096            // connections at a time
-	path      = "/registry/instances"
-	comeAgain = time.Second // advice to who asks before the list is known
+	heartbeatInterval = 2 * time.Second // a watch gets an empty line this often while nothing changes: the protocol's figure
+	writeTimeout      = 5 * time.Second // a reader that takes a line in no more than this stays
+	idleTimeout       = time.Minute     // a connection without a call is closed after this
+	maxConns          = 4096            // connections at a time
+	listPath          = "/registry/instances"
+	retryAfter        = time.Second // advice to who asks before the list is known
 )
 
 // Server offers one list. Any goroutine may call it.
@@ -76,14 +76,14 @@
 			}
 			continue
 		}
-		if !s.enter() {
-			conn.SetWriteDeadline(time.Now().Add(writing))
-			conn.Write(protocol.LocalReply{Status: 503, RetryAfter: comeAgain, Reason: "too many connections"}.Encode(true))
+		if !s.acquireConn() {
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			conn.Write(protocol.LocalReply{Status: 503, RetryAfter: retryAfter, Reason: "too many connections"}.Encode(true))
 			conn.Close()
 			continue
 		}
 		go func() {
-			defer s.leave()
+			defer s.releaseConn()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			defer func() { // a panic ends the connection alone
@@ -91,34 +91,34 @@
 					s.log.Error("panic at a watcher", "panic", fmt.Sprint(p))
 				}
 			}()
-			s.converse(conn)
+			s.serveConn(conn)
 		}()
 	}
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conns >= most {
+	if s.conns >= maxConns {
 		return false
 	}
 	s.conns++
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns--
 }
 
 // converse answers one call after another.
-func (s *Server) converse(conn net.Conn) {
+func (s *Server) serveConn(conn net.Conn) {
 	var machine protocol.Parser
 	buf := make([]byte, 4<<10)
 	var rest []byte
 	for {
-		conn.SetReadDeadline(time.Now().Add(resting))
+		conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		if len(rest) == 0 {
 			n, err := conn.Read(buf)
 			if err != nil {
@@ -138,10 +138,10 @@
 		case m == nil:
 			continue
 		}
-		reply, since, follow := s.answer(m)
+		reply, since, follow := s.respond(m)
 		switch {
 		case follow:
-			s.watch(conn, since)
+			s.serveWatch(conn, since)
 			return
 		case !s.write(conn, reply) || m.Close:
 			return
@@ -150,18 +150,18 @@
 }
 
 func (s *Server) write(conn net.Conn, text []byte) bool {
-	conn.SetWriteDeadline(time.Now().Add(writing))
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := conn.Write(text)
 	return err == nil
 }
 
 // answer is the answer to a call, or the version from which on a watch is asked for.
-func (s *Server) answer(m *protocol.Message) (reply []byte, since int64, follow bool) {
+func (s *Server) respond(m *protocol.Message) (reply []byte, since int64, follow bool) {
 	refuse := func(r protocol.LocalReply) ([]byte, int64, bool) { return r.Encode(m.Close), 0, false }
 	m.ToOriginForm()
 	at, err := url.ParseRequestURI(m.StartLine[1])
-	if err != nil || at.Path != path {
-		return refuse(protocol.LocalReply{Status: 404, Reason: "here is " + path})
+	if err != nil || at.Path != listPath {
+		return refuse(protocol.LocalReply{Status: 404, Reason: "here is " + listPath})
 	}
 	if m.StartLine[0] != "GET" {
 		return refuse(protocol.LocalReply{Status: 405, Allow: "GET", Reason: "the list is read by GET"})
@@ -175,12 +175,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.history.Index() == 0 {
-		return refuse(protocol.LocalReply{Status: 503, RetryAfter: comeAgain, Reason: "the list is not known yet"})
+		return refuse(protocol.LocalReply{Status: 503, RetryAfter: retryAfter, Reason: "the list is not known yet"})
 	}
 	if q.Get("follow") != "" {
 		return nil, since, true
 	}
-	line, err := s.history.Whole()
+	line, err := s.history.Snapshot()
 	if err != nil {
 		return refuse(protocol.LocalReply{Status: 500, Reason: "the list cannot be written"})
 	}
@@ -192,7 +192,7 @@
 }
 
 // lines are what leads from a version to the newest, the newest, and a channel that closes when there is more.
-func (s *Server) lines(since int64) (text [][]byte, index int64, more chan struct{}, err error) {
+func (s *Server) linesSince(since int64) (text [][]byte, index int64, more chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text, err = s.history.Since(since)
@@ -200,13 +200,13 @@
 }
 
 // chunk appends a line as a chunk of the answer. The line is not copied: a thousand watchers share one of megabytes.
-func chunk(out net.Buffers, line []byte) net.Buffers {
+func appendChunk(out net.Buffers, line []byte) net.Buffers {
 	return append(out, fmt.Appendf(nil, "%x\r\n", len(line)+1), line, []byte("\n\r\n"))
 }
 
 // watch writes what changes until its connection ends. It holds nobody else up: each watch reads the lines, which all share, at
 // its own pace, and one that is too slow for its connection is closed.
-func (s *Server) watch(conn net.Conn, since int64) {
+func (s *Server) serveWatch(conn net.Conn, since int64) {
 	s.mu.Lock()
 	s.watches++
 	s.mu.Unlock()
@@ -222,10 +222,10 @@
 		conn.Read(make([]byte, 1))
 	}()
 	out := net.Buffers{[]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")}
-	timer := time.NewTimer(beat)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for first := true; ; first = false {
-		text, index, more, err := s.lines(since)
+		text, index, more, err := s.linesSince(since)
 		if err != nil {
 			return
 		}
@@ -235,19 +235,19 @@
 			}
 		}
 		for _, line := range text {
-			out = chunk(out, line)
+			out = appendChunk(out, line)
 		}
 		since = index
-		conn.SetWriteDeadline(time.Now().Add(writing))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := out.WriteTo(conn); err != nil {
 			return
 		}
 		out = nil
-		timer.Reset(beat)
+		timer.Reset(heartbeatInterval)
 		select {
 		case <-more:
 		case <-timer.C:
-			out = chunk(out, nil)
+			out = appendChunk(out, nil)
 		case <-ended:
 			return
 		}
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -30,19 +30,19 @@
 }
 
 const (
-	leastPause = time.Second      // before a stream that broke is opened again, at the least; it doubles
-	mostPause  = 30 * time.Second // up to this
-	without    = 5 * time.Minute  // before a destination that does not offer the service is asked again
-	maxReport  = 64 << 10         // bytes
+	minBackoff       = time.Second      // before a stream that broke is opened again, at the least; it doubles
+	maxBackoff       = 30 * time.Second // up to this
+	unsupportedRetry = 5 * time.Minute  // before a destination that does not offer the service is asked again
+	maxReportBytes   = 64 << 10         // bytes
 )
 
 // Watcher holds the streams of one pool. Any goroutine may call it.
 type Watcher struct {
-	ctx   context.Context
-	every time.Duration
-	seed  uint64
-	take  func(address string, r Report)
-	log   *slog.Logger
+	ctx      context.Context
+	interval time.Duration
+	seed     uint64
+	onReport func(address string, r Report)
+	log      *slog.Logger
 
 	mu      sync.Mutex
 	streams map[string]*stream // by address
@@ -50,9 +50,9 @@
 
 // stream is that of one destination.
 type stream struct {
-	end     context.CancelFunc
-	told    uint64 // reports
-	without bool   // it does not offer the service
+	cancel      context.CancelFunc
+	reports     uint64 // reports
+	unsupported bool   // it does not offer the service
 }
 
 // Counts tell how the streams of a Watcher stand.
@@ -65,7 +65,7 @@
 // New returns a Watcher that asks for a report at every interval until the context ends, and hands each to take, which may
 // be called from several goroutines. The spread of its attempts comes from the seed.
 func New(ctx context.Context, every time.Duration, seed uint64, take func(address string, r Report), log *slog.Logger) *Watcher {
-	return &Watcher{ctx: ctx, every: every, seed: seed, take: take, log: log, streams: map[string]*stream{}}
+	return &Watcher{ctx: ctx, interval: every, seed: seed, onReport: take, log: log, streams: map[string]*stream{}}
 }
 
 // Follow asks exactly these addresses from now on. Streams to those that were asked already stay.
@@ -77,14 +77,14 @@
 		wanted[a] = true
 		if w.streams[a] == nil {
 			ctx, cancel := context.WithCancel(w.ctx)
-			s := &stream{end: cancel}
+			s := &stream{cancel: cancel}
 			w.streams[a] = s
 			go w.run(ctx, a, s)
 		}
 	}
 	for a, s := range w.streams {
 		if !wanted[a] {
-			s.end()
+			s.cancel()
 			delete(w.streams, a)
 		}
 	}
@@ -96,10 +96,10 @@
 	defer w.mu.Unlock()
 	c := Counts{Watched: len(w.streams)}
 	for _, s := range w.streams {
-		if s.told > 0 {
+		if s.reports > 0 {
 			c.Reporting++
 		}
-		if s.without {
+		if s.unsupported {
 			c.Unsupported++
 		}
 	}
@@ -110,27 +110,27 @@
 func (w *Watcher) run(ctx context.Context, address string, s *stream) {
 	rng := rand.New(rand.NewPCG(w.seed, xxhash.Sum64String(address)))
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReport)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReportBytes)))
 	if err != nil {
 		w.log.Error("load out of band", "address", address, "error", err)
 		return
 	}
 	defer conn.Close()
-	for pause := leastPause; ; {
-		told, err := w.listen(ctx, conn, address, s)
+	for pause := minBackoff; ; {
+		told, err := w.readStream(ctx, conn, address, s)
 		if ctx.Err() != nil {
 			return
 		}
 		wait := pause
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxBackoff)
 		switch {
 		case told:
-			wait, pause = leastPause, leastPause
+			wait, pause = minBackoff, minBackoff
 		case status.Code(err) == codes.Unimplemented:
 			w.mu.Lock()
-			s.without = true
+			s.unsupported = true
 			w.mu.Unlock()
-			wait = without
+			wait = unsupportedRetry
 		}
 		w.log.Debug("the stream of load reports has ended", "address", address, "error", err, "again_in", wait)
 		select {
@@ -142,19 +142,19 @@
 }
 
 // errSilent ends a stream on which nothing comes.
-var errSilent = errors.New("nothing came on the stream of load reports")
+var errNoReport = errors.New("nothing came on the stream of load reports")
 
 // silence is after how long a stream without a report is dead. Servers may have a least interval of their own, whatever
 // they are asked for: gRPC's is 30 s.
-func (w *Watcher) silence() time.Duration { return max(3*w.every, 65*time.Second) }
+func (w *Watcher) silenceTimeout() time.Duration { return max(3*w.interval, 65*time.Second) }
 
 // listen reads one stream to its end and tells whether it brought anything.
-func (w *Watcher) listen(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (told bool, err error) {
+func (w *Watcher) readStream(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (told bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dead := time.AfterFunc(w.silence(), func() { cancel(errSilent) })
+	dead := time.AfterFunc(w.silenceTimeout(), func() { cancel(errNoReport) })
 	defer dead.Stop()
-	in, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx, &service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.every)})
+	in, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx, &service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.interval)})
 	if err != nil {
 		return false, err
 	}
@@ -166,21 +166,21 @@
 			}
 			return told, err
 		}
-		dead.Reset(w.silence())
+		dead.Reset(w.silenceTimeout())
 		w.mu.Lock()
-		s.told++
-		s.without = false
+		s.reports++
+		s.unsupported = false
 		w.mu.Unlock()
 		told = true
-		w.take(address, reportOf(r))
+		w.onReport(address, parseReport(r))
 	}
 }
 
 // reportOf reads a report of the protocol.
-func reportOf(r *data.OrcaLoadReport) Report {
-	out := Report{QPS: sound(r.GetRpsFractional()), EPS: sound(r.GetEps()), Metrics: map[string]float64{}}
+func parseReport(r *data.OrcaLoadReport) Report {
+	out := Report{QPS: finiteOrZero(r.GetRpsFractional()), EPS: finiteOrZero(r.GetEps()), Metrics: map[string]float64{}}
 	add := func(name string, v float64) {
-		if v = sound(v); v > 0 {
+		if v = finiteOrZero(v); v > 0 {
 			out.Metrics[name] = v
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // sound is a figure, 0 if it is none.
-func sound(v float64) float64 {
+func finiteOrZero(v float64) float64 {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -20,34 +20,34 @@
 func TestMain(m *testing.M) { testkit.Main(m) }
 
 // book keeps the last report of each address.
-type book struct {
-	mu   sync.Mutex
-	last map[string]Report
-	n    map[string]int
+type reportRecorder struct {
+	mu     sync.Mutex
+	last   map[string]Report
+	counts map[string]int
 }
 
-func (b *book) take(address string, r Report) {
+func (b *reportRecorder) onReport(address string, r Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.last[address] = r
-	b.n[address]++
+	b.counts[address]++
 }
 
-func (b *book) count(address string) int {
+func (b *reportRecorder) count(address string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.n[address]
+	return b.counts[address]
 }
 
-func watcher(t *testing.T) (*Watcher, *book) {
-	b := &book{last: map[string]Report{}, n: map[string]int{}}
-	return New(t.Context(), 20*time.Millisecond, 1, b.take, slog.New(slog.DiscardHandler)), b
+func newTestWatcher(t *testing.T) (*Watcher, *reportRecorder) {
+	b := &reportRecorder{last: map[string]Report{}, counts: map[string]int{}}
+	return New(t.Context(), 20*time.Millisecond, 1, b.onReport, slog.New(slog.DiscardHandler)), b
 }
 
 // Reports come at the interval asked for, from those that offer the service; one that does not is left alone, one whose stream
 // breaks is asked again, and one that is no longer followed is not.
 func TestStreams(t *testing.T) {
-	w, b := watcher(t)
+	w, b := newTestWatcher(t)
 	loaded, err := instances.New(func() *data.OrcaLoadReport {
 		return &data.OrcaLoadReport{ApplicationUtilization: 0.5, RpsFractional: 7}
 	})
@@ -74,8 +74,8 @@
 }
 
 // gRPC's own service, which we did not write, is understood: its first report comes at once.
-func TestGRPCsOwnService(t *testing.T) {
-	w, b := watcher(t)
+func TestGRPCLibraryServer(t *testing.T) {
+	w, b := newTestWatcher(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 }
 
 // Numbers that are none are not told, and a named metric does not pass for one of the protocol's own.
-func TestReportOf(t *testing.T) {
-	r := reportOf(&data.OrcaLoadReport{CpuUtilization: math.NaN(), ApplicationUtilization: -1, Eps: math.Inf(1),
+func TestParseReport(t *testing.T) {
+	r := parseReport(&data.OrcaLoadReport{CpuUtilization: math.NaN(), ApplicationUtilization: -1, Eps: math.Inf(1),
 		NamedMetrics: map[string]float64{"cpu_utilization": 0.9, "inflight": 3}, Utilization: map[string]float64{"disk": math.Inf(-1)}})
 	if r.EPS != 0 || len(r.Metrics) != 1 || r.Metrics["inflight"] != 3 {
 		t.Errorf("%+v", r)
@@ -106,7 +106,7 @@
 }
 
 // A Watcher whose context has ended holds nothing open.
-func TestEnd(t *testing.T) {
+func TestContextEndClosesStreams(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	x, err := instances.New(func() *data.OrcaLoadReport { return &data.OrcaLoadReport{CpuUtilization: 1} })
 	if err != nil {
--- a/internal/xds/snapshot.go
+++ b/internal/xds/snapshot.go
@@ -1,6 +1,6 @@
-// Package xds is the core of the discovery service that hands kitewood's decisions to other proxies, by the xDS transport
-// protocol, version 3: what a stream has asked for, what it was sent, and what it is to be sent next. It knows no socket
-// and no clock.
+// Package xds implements the protocol state of the xDS server, version 3 of the transport protocol, through which other
+// proxies receive kitewood's decisions. For each stream it tracks what the proxy subscribes to and what it was sent, and
+// computes the next response. It uses neither sockets nor a clock.
 package xds
 
 import (
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// The type URLs of the resources that are served.
+// Type URLs of the supported resource types.
 const (
 	TypeListener = "type.googleapis.com/envoy.config.listener.v3.Listener"
 	TypeRoute    = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
@@ -22,48 +22,50 @@
 	TypeEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-// order is that in which updates go out, so that whatever a resource names is there before it: make before break.
-var order = []string{TypeCluster, TypeEndpoint, TypeListener, TypeRoute}
+// updateOrder is the order in which updates are sent. A resource is sent after the resources that it refers to (make before
+// break).
+var updateOrder = []string{TypeCluster, TypeEndpoint, TypeListener, TypeRoute}
 
-// Resource is one resource at one version.
+// Resource is one version of an xDS resource.
 type Resource struct {
 	Name    string
-	Version string // follows from the content, so that two services over one source agree
-	// Safety is a hash of the part that must not wait: which endpoints take new requests. A resource whose safety has
-	// changed goes out at once; other changes are weights, which are gathered.
+	Version string // derived from the content, so that two services with the same source agree
+	// UrgentHash is a hash of the part whose changes must not be delayed: which endpoints accept new requests. A resource
+	// whose UrgentHash has changed is sent at once; other changes concern weights and are batched.
 	UrgentHash uint64
 	Body       *anypb.Any
 }
 
-// NewResource packs a message. Its version is a hash of its deterministic encoding.
-func NewResource(name string, safety uint64, m proto.Message) (*Resource, error) {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+// NewResource returns a resource that contains m. Its version is a hash of the deterministic encoding of m.
+func NewResource(name string, urgentHash uint64, m proto.Message) (*Resource, error) {
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("resource %q: %w", name, err)
 	}
-	return &Resource{Name: name, Version: strconv.FormatUint(xxhash.Sum64(text), 16), UrgentHash: safety,
-		Body: &anypb.Any{TypeUrl: "type.googleapis.com/" + string(m.ProtoReflect().Descriptor().FullName()), Value: text}}, nil
+	return &Resource{Name: name, Version: strconv.FormatUint(xxhash.Sum64(encoded), 16), UrgentHash: urgentHash,
+		Body: &anypb.Any{TypeUrl: "type.googleapis.com/" + string(m.ProtoReflect().Descriptor().FullName()), Value: encoded}}, nil
 }
 
-// Snapshot is all resources at a moment. It never changes.
+// Snapshot is the immutable set of all resources at one point in time.
 type Snapshot struct {
-	types map[string]map[string]*Resource // by type URL and name
+	byType map[string]map[string]*Resource // by type URL and name
 }
 
-// NewSnapshot returns a snapshot of resources by type URL. Names are unique within a type.
-func NewSnapshot(all map[string][]*Resource) (*Snapshot, error) {
-	s := &Snapshot{types: map[string]map[string]*Resource{}}
-	for _, t := range order {
-		s.types[t] = map[string]*Resource{}
+// NewSnapshot returns a snapshot of the given resources, keyed by type URL. It returns an error for an unsupported type and
+// for two resources of one type with the same name.
+func NewSnapshot(resources map[string][]*Resource) (*Snapshot, error) {
+	s := &Snapshot{byType: map[string]map[string]*Resource{}}
+	for _, typeURL := range updateOrder {
+		s.byType[typeURL] = map[string]*Resource{}
 	}
-	for t, list := range all {
-		byName, served := s.types[t]
-		if !served {
-			return nil, fmt.Errorf("type %q is not served", t)
+	for typeURL, list := range resources {
+		byName, supported := s.byType[typeURL]
+		if !supported {
+			return nil, fmt.Errorf("unsupported resource type %q", typeURL)
 		}
 		for _, r := range list {
 			if byName[r.Name] != nil {
-				return nil, fmt.Errorf("%s %q stands twice", t, r.Name)
+				return nil, fmt.Errorf("%s: duplicate resource %q", typeURL, r.Name)
 			}
 			byName[r.Name] = r
 		}
@@ -71,28 +73,28 @@
 	return s, nil
 }
 
-// Resource finds a resource, nil if there is none.
-func (s *Snapshot) Resource(typeURL, name string) *Resource { return s.types[typeURL][name] }
+// Resource returns the named resource, or nil if there is none.
+func (s *Snapshot) Resource(typeURL, name string) *Resource { return s.byType[typeURL][name] }
 
-// Names are the resources of a type, sorted.
+// Names returns the sorted names of the resources of a type.
 func (s *Snapshot) Names(typeURL string) []string {
-	out := make([]string, 0, len(s.types[typeURL]))
-	for name := range s.types[typeURL] {
-		out = append(out, name)
+	names := make([]string, 0, len(s.byType[typeURL]))
+	for name := range s.byType[typeURL] {
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// versionOf is the version of a set of resources, sorted by name.
-func versionOf(list []*Resource) string {
-	d := xxhash.New()
-	var n [8]byte
+// combinedVersion returns the version of a set of resources, which has to be sorted by name.
+func combinedVersion(list []*Resource) string {
+	digest := xxhash.New()
+	var length [8]byte
 	for _, r := range list {
-		binary.LittleEndian.PutUint64(n[:], uint64(len(r.Name)))
-		d.Write(n[:])
-		d.WriteString(r.Name)
-		d.WriteString(r.Version)
+		binary.LittleEndian.PutUint64(length[:], uint64(len(r.Name)))
+		digest.Write(length[:])
+		digest.WriteString(r.Name)
+		digest.WriteString(r.Version)
 	}
-	return strconv.FormatUint(d.Sum64(), 16)
+	return strconv.FormatUint(digest.Sum64(), 16)
 }
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -9,190 +9,194 @@
 	"time"
 )
 
-// The bounds of what a stream may ask for. A proxy that asks for more is cut off: it is broken, and others are unhurt.
+// Limits on the requests of a stream. The stream of a proxy that exceeds them is ended, so that a faulty proxy does not affect
+// others.
 const (
-	MaxNames   = 20_000 // resources of one type
-	MaxName    = 1024   // bytes of a name
-	MaxNode    = 256    // bytes of a node id
-	maxUnknown = 16     // type URLs that are not served, passed over
-	maxText    = 512    // bytes kept of why a proxy refused
+	MaxNames        = 20_000 // resources of one type
+	MaxNameBytes    = 1024   // length of a resource name
+	MaxNodeIDBytes  = 256    // length of a node ID
+	maxUnknownTypes = 16     // unsupported type URLs, which are ignored
+	maxTextBytes    = 512    // bytes kept of a NACK's error message or of an unsupported type URL
 )
 
-// gather is the least time between two responses of a type that hold no more than new weights.
-const gather = 100 * time.Millisecond
+// minWeightInterval is the minimum time between two endpoint responses that contain only new weights.
+const minWeightInterval = 100 * time.Millisecond
 
-// Request is what a proxy sends, of either variant.
+// Request is a discovery request of either protocol variant, state of the world or delta.
 type Request struct {
-	Node    string // its id; only the first request of a stream needs it
-	TypeURL string
-	Nonce   string // of the response that this answers, "" for none
-	Refused string // why that response was refused, "" if it was accepted
+	NodeID     string // required only in the first request of a stream
+	TypeURL    string
+	Nonce      string // of the response that this request acknowledges, "" for none
+	NackReason string // error message for that response, "" if it was accepted
 
-	// State of the world: all names that are subscribed to, and the version that the proxy has.
+	// State of the world: all subscribed names, and the version that the proxy has.
 	Names   []string
 	Version string
-	// Delta: what changes, and the versions of the resources that the proxy has from an earlier stream.
+	// Delta: changes of the subscription, and the versions of the resources that the proxy has from an earlier stream.
 	Subscribe, Unsubscribe []string
-	Initial                map[string]string
+	InitialVersions        map[string]string
 }
 
-// Response is what goes to a proxy.
+// Response is a discovery response of either protocol variant.
 type Response struct {
 	TypeURL   string
 	Version   string
 	Nonce     string
 	Resources []*Resource
 	Removed   []string // delta only
-	Urgent    bool     // it says that endpoints take nothing new
+	Urgent    bool     // the set of endpoints that accept new requests has changed
 }
 
-// Stream is one stream of a proxy. It is not safe for concurrent use.
+// Stream is the protocol state of one stream of a proxy. It is not safe for concurrent use.
 type Stream struct {
-	delta bool
-	only  string // the type of a stream that is not aggregated, "" for all
+	delta    bool
+	onlyType string // type URL of a stream that is not aggregated, "" for all types
 
-	Node     string
-	Unknown  []string // type URLs that it asked for and that are not served
-	snapshot *Snapshot
-	subs     map[string]*subscription
-	nonces   uint64
+	NodeID        string
+	UnknownTypes  []string // unsupported type URLs that the proxy requested
+	snapshot      *Snapshot
+	subscriptions map[string]*subscription
+	lastNonce     uint64
 }
 
-// subscription is what a stream has of one type.
+// subscription is the state of a stream for one resource type.
 type subscription struct {
-	wildcard bool
-	names    map[string]bool      // asked for by name
-	sent     map[string]*Resource // what the proxy was sent last, nil for told that it is not there
-	has      map[string]string    // versions that it has from an earlier stream, until they are compared
-	version  string               // state of the world: of the last response, or that it came with
-	asked    bool                 // names were added since the last response: an answer is owed, also without a change
-	nonce    string               // of the last response
-	waiting  bool                 // for its ACK
-	at       time.Duration        // when it went out
-	urgent   time.Duration        // when the first urgent response went out that has no ACK; 0 for none
-	refused  string               // why the last response was, "" if it was not
-	acked    string               // version of the last response that was accepted
-	drains   []time.Duration
+	wildcard        bool
+	names           map[string]bool      // subscribed by name
+	sent            map[string]*Resource // last version sent of each resource, nil if sent as removed
+	initialVersions map[string]string    // versions that the proxy has from an earlier stream, until they are compared
+	version         string               // state of the world: version of the last response, or the initial version of the proxy
+	responseDue     bool                 // names were added since the last response: a response is due even without a change
+	nonce           string               // of the last response
+	awaitingAck     bool                 // the last response has neither ACK nor NACK
+	sentAt          time.Duration        // when the last response was sent
+	urgentSince     time.Duration        // when the first unacknowledged urgent response was sent, 0 for none
+	nackReason      string               // error message of the NACK of the last response, "" if there was none
+	ackedVersion    string               // version of the last accepted response
+	drainAcks       []time.Duration      // times from urgent response to ACK
 }
 
-// NewStream returns a stream: delta or state of the world, for one type or, with "", for all that are served.
-func NewStream(delta bool, only string) *Stream {
-	return &Stream{delta: delta, only: only, subs: map[string]*subscription{}}
+// NewStream returns a stream of the delta or state-of-the-world variant. It serves only type onlyType, or all supported types
+// if onlyType is "".
+func NewStream(delta bool, onlyType string) *Stream {
+	return &Stream{delta: delta, onlyType: onlyType, subscriptions: map[string]*subscription{}}
 }
 
-// ProtocolError ends a stream: what came is none of the protocol, or beyond its bounds.
-type ProtocolError struct{ Why string }
+// ProtocolError reports a request that violates the protocol or exceeds its limits. It ends the stream.
+type ProtocolError struct{ Reason string }
 
-func (e *ProtocolError) Error() string { return e.Why }
+func (e *ProtocolError) Error() string { return e.Reason }
 
-func broken(format string, args ...any) error { return &ProtocolError{fmt.Sprintf(format, args...)} }
+// errorf returns a ProtocolError with a formatted reason.
+func errorf(format string, args ...any) error { return &ProtocolError{fmt.Sprintf(format, args...)} }
 
-// Update gives the stream another snapshot. What it holds goes out by Next.
-func (s *Stream) Update(snapshot *Snapshot) { s.snapshot = snapshot }
+// SetSnapshot replaces the snapshot. Next returns the resulting responses.
+func (s *Stream) SetSnapshot(snapshot *Snapshot) { s.snapshot = snapshot }
 
-// Take takes a request. An error is a *ProtocolError and ends the stream.
-func (s *Stream) Take(now time.Duration, q *Request) error {
-	if len(q.Node) > MaxNode {
-		return broken("the node id is over %d bytes", MaxNode)
-	}
-	if s.Node == "" {
-		s.Node = q.Node
-	}
-	t := q.TypeURL
-	if s.only != "" {
-		if t == "" {
-			t = s.only
+// HandleRequest processes a request. An error is a *ProtocolError and ends the stream.
+func (s *Stream) HandleRequest(now time.Duration, r *Request) error {
+	if len(r.NodeID) > MaxNodeIDBytes {
+		return errorf("the node id is over %d bytes", MaxNodeIDBytes)
+	}
+	if s.NodeID == "" {
+		s.NodeID = r.NodeID
+	}
+	typeURL := r.TypeURL
+	if s.onlyType != "" {
+		if typeURL == "" {
+			typeURL = s.onlyType
 		}
-		if t != s.only {
-			return broken("this service has no %q", clip(t))
+		if typeURL != s.onlyType {
+			return errorf("this service has no %q", truncate(typeURL))
 		}
 	}
-	if !slices.Contains(order, t) {
-		// A proxy may know types that came later; it must not lose the others over them.
-		if t = clip(t); !slices.Contains(s.Unknown, t) {
-			if len(s.Unknown) >= maxUnknown {
-				return broken("over %d types that are not served", maxUnknown)
+	if !slices.Contains(updateOrder, typeURL) {
+		// The proxy may support newer resource types; requests for them must not end the stream.
+		if typeURL = truncate(typeURL); !slices.Contains(s.UnknownTypes, typeURL) {
+			if len(s.UnknownTypes) >= maxUnknownTypes {
+				return errorf("over %d types that are not served", maxUnknownTypes)
 			}
-			s.Unknown = append(s.Unknown, t)
+			s.UnknownTypes = append(s.UnknownTypes, typeURL)
 		}
 		return nil
 	}
-	for _, list := range [][]string{q.Names, q.Subscribe, q.Unsubscribe} {
+	for _, list := range [][]string{r.Names, r.Subscribe, r.Unsubscribe} {
 		if len(list) > MaxNames {
-			return broken("over %d names", MaxNames)
+			return errorf("over %d names", MaxNames)
 		}
 		for _, name := range list {
-			if len(name) > MaxName {
-				return broken("a name is over %d bytes", MaxName)
+			if len(name) > MaxNameBytes {
+				return errorf("a name is over %d bytes", MaxNameBytes)
 			}
 		}
 	}
-	if len(q.Initial) > MaxNames {
-		return broken("over %d initial versions", MaxNames)
+	if len(r.InitialVersions) > MaxNames {
+		return errorf("over %d initial versions", MaxNames)
 	}
-	sub := s.subs[t]
+	sub := s.subscriptions[typeURL]
 	first := sub == nil
 	if first {
-		sub = &subscription{names: map[string]bool{}, sent: map[string]*Resource{}, has: map[string]string{}}
-		s.subs[t] = sub
+		sub = &subscription{names: map[string]bool{}, sent: map[string]*Resource{}, initialVersions: map[string]string{}}
+		s.subscriptions[typeURL] = sub
 	}
-	if !first && q.Nonce != "" && q.Nonce != sub.nonce {
-		// The answer to an earlier response. State of the world has the names again with the answer to the last one.
+	if !first && r.Nonce != "" && r.Nonce != sub.nonce {
+		// A stale nonce: this acknowledges an earlier response. In state of the world, the ACK of the last response repeats the
+		// names.
 		if s.delta {
-			return s.change(sub, q, false)
+			return s.changeNames(sub, r, false)
 		}
 		return nil
 	}
-	if !first && q.Nonce != "" {
-		sub.answered(now, q)
+	if !first && r.Nonce != "" {
+		sub.recordAck(now, r)
 	}
 	if s.delta {
-		return s.change(sub, q, first)
+		return s.changeNames(sub, r, first)
 	}
-	s.replace(sub, q, first)
+	s.setNames(sub, r, first)
 	return nil
 }
 
-// answered takes an ACK or a NACK of the last response.
-func (sub *subscription) answered(now time.Duration, q *Request) {
-	if !sub.waiting {
+// recordAck processes an ACK or a NACK of the last response.
+func (s *subscription) recordAck(now time.Duration, r *Request) {
+	if !s.awaitingAck {
 		return
 	}
-	sub.waiting = false
-	if q.Refused != "" {
-		// It counts as sent: what was refused is not sent again before it changes.
-		sub.refused = clip(q.Refused)
+	s.awaitingAck = false
+	if r.NackReason != "" {
+		// The resources count as sent: a rejected resource is not sent again before it changes.
+		s.nackReason = truncate(r.NackReason)
 		return
 	}
-	sub.refused, sub.acked = "", sub.version
-	if sub.urgent != 0 {
-		sub.drains = append(sub.drains, now-sub.urgent)
-		sub.urgent = 0
+	s.nackReason, s.ackedVersion = "", s.version
+	if s.urgentSince != 0 {
+		s.drainAcks = append(s.drainAcks, now-s.urgentSince)
+		s.urgentSince = 0
 	}
 }
 
-// replace takes the names of a state-of-the-world request.
-func (s *Stream) replace(sub *subscription, q *Request, first bool) {
+// setNames replaces the subscribed names with those of a state-of-the-world request.
+func (s *Stream) setNames(sub *subscription, r *Request, first bool) {
 	names := map[string]bool{}
-	for _, name := range q.Names {
+	for _, name := range r.Names {
 		names[name] = true
 	}
-	// Without names all are meant, unless some were named before: then none is.
+	// A request without names subscribes to all resources, unless names were given before: then it subscribes to none.
 	wildcard := names["*"] || len(names) == 0 && (first || sub.wildcard && len(sub.names) == 0)
-	if q.TypeURL != TypeListener && q.TypeURL != TypeCluster && len(names) == 0 {
-		wildcard = false // the others are asked for by name
+	if r.TypeURL != TypeListener && r.TypeURL != TypeCluster && len(names) == 0 {
+		wildcard = false // other types are subscribed to by name only
 	}
 	delete(names, "*")
 	for name := range names {
 		if !sub.names[name] {
-			sub.asked = true
+			sub.responseDue = true
 		}
 	}
 	if wildcard != sub.wildcard || first {
-		sub.asked = true
+		sub.responseDue = true
 	}
-	if first && q.Version != "" {
-		sub.version, sub.acked = q.Version, q.Version // from an earlier stream: what is the same is not sent again
+	if first && r.Version != "" {
+		sub.version, sub.ackedVersion = r.Version, r.Version // from an earlier stream: an unchanged version is not sent again
 	}
 	for name := range sub.sent {
 		if !wildcard && !names[name] {
@@ -202,25 +206,25 @@
 	sub.names, sub.wildcard = names, wildcard
 }
 
-// change takes the names of a delta request.
-func (s *Stream) change(sub *subscription, q *Request, first bool) error {
-	for name, version := range q.Initial {
-		if first && len(name) <= MaxName {
-			sub.has[name] = version
+// changeNames applies the names that a delta request adds and removes.
+func (s *Stream) changeNames(sub *subscription, r *Request, first bool) error {
+	for name, version := range r.InitialVersions {
+		if first && len(name) <= MaxNameBytes {
+			sub.initialVersions[name] = version
 		}
 	}
-	if first && len(q.Subscribe) == 0 && (q.TypeURL == TypeListener || q.TypeURL == TypeCluster) {
+	if first && len(r.Subscribe) == 0 && (r.TypeURL == TypeListener || r.TypeURL == TypeCluster) {
 		sub.wildcard = true
 	}
-	for _, name := range q.Subscribe {
+	for _, name := range r.Subscribe {
 		if name == "*" {
 			sub.wildcard = true
 			continue
 		}
 		sub.names[name] = true
-		delete(sub.sent, name) // asked for again: it is sent again, as the proxy may have dropped it
+		delete(sub.sent, name) // subscribed again: sent again, as the proxy may have dropped it
 	}
-	for _, name := range q.Unsubscribe {
+	for _, name := range r.Unsubscribe {
 		if name == "*" {
 			sub.wildcard = false
 			continue
@@ -231,173 +235,174 @@
 		}
 	}
 	if len(sub.names) > MaxNames {
-		return broken("over %d names", MaxNames)
+		return errorf("over %d names", MaxNames)
 	}
 	return nil
 }
 
-// Next makes the next response that is due, if there is one; wait tells when one may be due that is held back, 0 for
-// never. It is called when a response can be written: a proxy that is slow to read gets the newest state, not all between.
+// Next returns the next response that is due, or nil, and the time after which a delayed response may be due, 0 for none. It is
+// to be called when a response can be written, so that a proxy that reads slowly receives the newest state without the states
+// in between.
 func (s *Stream) Next(now time.Duration) (r *Response, wait time.Duration) {
 	if s.snapshot == nil {
 		return nil, 0
 	}
-	// Word that endpoints take nothing new goes before everything, and does not wait for the answer to anything.
+	// An urgent endpoint update, such as a drain, is sent before all other types and does not wait for an ACK.
 	var endpoints *Response
-	if sub := s.subs[TypeEndpoint]; sub != nil {
-		if endpoints = s.response(TypeEndpoint, sub); endpoints != nil && endpoints.Urgent {
-			return s.send(now, sub, endpoints), 0
+	if sub := s.subscriptions[TypeEndpoint]; sub != nil {
+		if endpoints = s.pendingResponse(TypeEndpoint, sub); endpoints != nil && endpoints.Urgent {
+			return s.recordSent(now, sub, endpoints), 0
 		}
 	}
-	for _, t := range order {
-		sub := s.subs[t]
-		if sub == nil || sub.waiting {
-			continue // one response of a type at a time: changes meanwhile are gathered
+	for _, typeURL := range updateOrder {
+		sub := s.subscriptions[typeURL]
+		if sub == nil || sub.awaitingAck {
+			continue // at most one unacknowledged response per type; later changes are batched
 		}
 		r := endpoints
-		if t != TypeEndpoint {
-			r = s.response(t, sub)
+		if typeURL != TypeEndpoint {
+			r = s.pendingResponse(typeURL, sub)
 		}
 		if r == nil {
 			continue
 		}
-		if t == TypeEndpoint && !sub.asked && len(sub.sent) > 0 {
-			if due := sub.at + gather; now < due {
+		if typeURL == TypeEndpoint && !sub.responseDue && len(sub.sent) > 0 {
+			if due := sub.sentAt + minWeightInterval; now < due {
 				if wait == 0 || due-now < wait {
 					wait = due - now
 				}
 				continue
 			}
 		}
-		return s.send(now, sub, r), 0
+		return s.recordSent(now, sub, r), 0
 	}
 	return nil, wait
 }
 
-// wanted are the resources that a subscription covers, by name; nil for one that is not there.
-func (s *Stream) wanted(t string, sub *subscription) map[string]*Resource {
-	out := map[string]*Resource{}
+// subscribed returns the resources that a subscription covers, by name; nil stands for a resource that does not exist.
+func (s *Stream) subscribed(typeURL string, sub *subscription) map[string]*Resource {
+	resources := map[string]*Resource{}
 	if sub.wildcard {
-		maps.Copy(out, s.snapshot.types[t])
+		maps.Copy(resources, s.snapshot.byType[typeURL])
 	}
 	for name := range sub.names {
-		out[name] = s.snapshot.types[t][name]
+		resources[name] = s.snapshot.byType[typeURL][name]
 	}
-	return out
+	return resources
 }
 
-// response is what a subscription lacks, nil if that is nothing.
-func (s *Stream) response(t string, sub *subscription) *Response {
-	wanted := s.wanted(t, sub)
-	s.keep(t, sub, wanted)
-	changed, safety := []*Resource{}, false
-	for name, r := range wanted {
-		old, known := sub.sent[name]
-		if r == nil || known && old != nil && old.Version == r.Version {
+// pendingResponse returns the response that brings a subscription up to date, or nil if it is.
+func (s *Stream) pendingResponse(typeURL string, sub *subscription) *Response {
+	subscribed := s.subscribed(typeURL, sub)
+	s.retainRoutedClusters(typeURL, sub, subscribed)
+	changed, urgent := []*Resource{}, false
+	for name, r := range subscribed {
+		old, wasSent := sub.sent[name]
+		if r == nil || wasSent && old != nil && old.Version == r.Version {
 			continue
 		}
-		if known && old != nil && old.UrgentHash != r.UrgentHash {
-			safety = true
+		if wasSent && old != nil && old.UrgentHash != r.UrgentHash {
+			urgent = true
 		}
 		changed = append(changed, r)
 	}
 	if s.delta {
-		return s.deltaOf(t, sub, wanted, changed, safety)
+		return s.pendingDelta(typeURL, sub, subscribed, changed, urgent)
 	}
-	all := []*Resource{}
-	for _, r := range wanted {
+	existing := []*Resource{}
+	for _, r := range subscribed {
 		if r != nil {
-			all = append(all, r)
+			existing = append(existing, r)
 		}
 	}
-	byName(all)
-	version := versionOf(all)
-	gone := false // a listener or cluster that was sent is no longer there; of the others that cannot be told
+	sortByName(existing)
+	version := combinedVersion(existing)
+	removed := false // a listener or cluster that was sent no longer exists; removal of other types cannot be expressed
 	for name := range sub.sent {
-		gone = gone || wanted[name] == nil && (t == TypeListener || t == TypeCluster)
+		removed = removed || subscribed[name] == nil && (typeURL == TypeListener || typeURL == TypeCluster)
 	}
-	// A proxy that comes with the version it would be sent has all of it.
+	// A proxy that reconnects with the version that it would be sent is up to date.
 	if len(changed) > 0 && len(sub.sent) == 0 && sub.nonce == "" && sub.version == version {
-		for _, r := range all {
+		for _, r := range existing {
 			sub.sent[r.Name] = r
 		}
-		sub.asked = false
+		sub.responseDue = false
 		return nil
 	}
-	full := t == TypeListener || t == TypeCluster
+	complete := typeURL == TypeListener || typeURL == TypeCluster
 	switch {
-	case len(changed) == 0 && !gone && !sub.asked:
+	case len(changed) == 0 && !removed && !sub.responseDue:
 		return nil
-	case len(all) == 0 && !full: // nothing of what was asked for is there: silence is the protocol's word for it
+	case len(existing) == 0 && !complete: // no subscribed resource exists: the protocol sends no response then
 		return nil
-	case len(changed) == 0 && !gone && sub.nonce != "" && len(all) == len(sub.sent):
-		sub.asked = false
+	case len(changed) == 0 && !removed && sub.nonce != "" && len(existing) == len(sub.sent):
+		sub.responseDue = false
 		return nil
 	}
-	out := all
-	if !full && !sub.asked { // these may be sent without those that have not changed
-		out = changed
-		byName(out)
+	resources := existing
+	if !complete && !sub.responseDue { // for these types, unchanged resources may be left out
+		resources = changed
+		sortByName(resources)
 	}
-	return &Response{TypeURL: t, Version: version, Resources: out, Urgent: safety}
+	return &Response{TypeURL: typeURL, Version: version, Resources: resources, Urgent: urgent}
 }
 
-// deltaOf is the delta response for what has changed and is gone.
-func (s *Stream) deltaOf(t string, sub *subscription, wanted map[string]*Resource, changed []*Resource, safety bool) *Response {
-	r := &Response{TypeURL: t, Urgent: safety}
+// pendingDelta returns the delta response with the changed and removed resources, or nil if there are none.
+func (s *Stream) pendingDelta(typeURL string, sub *subscription, subscribed map[string]*Resource, changed []*Resource, urgent bool) *Response {
+	r := &Response{TypeURL: typeURL, Urgent: urgent}
 	for _, x := range changed {
-		if sub.has[x.Name] == x.Version { // it has this one from an earlier stream
+		if sub.initialVersions[x.Name] == x.Version { // the proxy has this version from an earlier stream
 			sub.sent[x.Name] = x
-			delete(sub.has, x.Name)
+			delete(sub.initialVersions, x.Name)
 			continue
 		}
 		r.Resources = append(r.Resources, x)
 	}
-	for name, x := range wanted {
-		if old, known := sub.sent[name]; x == nil && (!known || old != nil) {
+	for name, x := range subscribed {
+		if old, wasSent := sub.sent[name]; x == nil && (!wasSent || old != nil) {
 			r.Removed = append(r.Removed, name)
 		}
 	}
 	for name, old := range sub.sent {
-		if _, still := wanted[name]; !still && old != nil {
+		if _, still := subscribed[name]; !still && old != nil {
 			r.Removed = append(r.Removed, name)
 		}
 	}
-	for name := range sub.has { // from an earlier stream, and gone since
-		if _, still := wanted[name]; !still {
+	for name := range sub.initialVersions { // sent on an earlier stream, and removed since
+		if _, still := subscribed[name]; !still {
 			r.Removed = append(r.Removed, name)
 		}
 	}
 	if len(r.Resources) == 0 && len(r.Removed) == 0 {
 		return nil
 	}
-	byName(r.Resources)
+	sortByName(r.Resources)
 	slices.Sort(r.Removed)
 	r.Removed = slices.Compact(r.Removed)
-	r.Version = versionOf(r.Resources)
+	r.Version = combinedVersion(r.Resources)
 	return r
 }
 
-// keep has clusters and endpoints that are gone stay on a proxy for as long as it may have routes to them: until it has
-// accepted the routes of this snapshot.
-func (s *Stream) keep(t string, sub *subscription, wanted map[string]*Resource) {
-	routes := s.subs[TypeRoute]
-	if t != TypeCluster || routes == nil {
+// retainRoutedClusters adds removed clusters to subscribed for as long as the proxy may have routes to them, that is, until it
+// has accepted the routes of this snapshot.
+func (s *Stream) retainRoutedClusters(typeURL string, sub *subscription, subscribed map[string]*Resource) {
+	routes := s.subscriptions[TypeRoute]
+	if typeURL != TypeCluster || routes == nil {
 		return
 	}
-	if !routes.waiting && s.current(routes) {
+	if !routes.awaitingAck && s.hasCurrentRoutes(routes) {
 		return
 	}
 	for name, old := range sub.sent {
-		if old != nil && wanted[name] == nil {
-			wanted[name] = old
+		if old != nil && subscribed[name] == nil {
+			subscribed[name] = old
 		}
 	}
 }
 
-// current tells whether a proxy has the routes of the snapshot.
-func (s *Stream) current(sub *subscription) bool {
-	for name, r := range s.wanted(TypeRoute, sub) {
+// hasCurrentRoutes reports whether the proxy was sent the routes of the snapshot.
+func (s *Stream) hasCurrentRoutes(sub *subscription) bool {
+	for name, r := range s.subscribed(TypeRoute, sub) {
 		if old := sub.sent[name]; r != nil && (old == nil || old.Version != r.Version) {
 			return false
 		}
@@ -405,22 +410,22 @@
 	return true
 }
 
-// send notes that a response goes out.
-func (s *Stream) send(now time.Duration, sub *subscription, r *Response) *Response {
-	s.nonces++
-	r.Nonce = strconv.FormatUint(s.nonces, 36)
-	sub.nonce, sub.version, sub.waiting, sub.at, sub.asked, sub.refused = r.Nonce, r.Version, true, now, false, ""
-	if r.Urgent && sub.urgent == 0 {
-		sub.urgent = now
+// recordSent assigns the nonce of a response and records it as sent.
+func (s *Stream) recordSent(now time.Duration, sub *subscription, r *Response) *Response {
+	s.lastNonce++
+	r.Nonce = strconv.FormatUint(s.lastNonce, 36)
+	sub.nonce, sub.version, sub.awaitingAck, sub.sentAt, sub.responseDue, sub.nackReason = r.Nonce, r.Version, true, now, false, ""
+	if r.Urgent && sub.urgentSince == 0 {
+		sub.urgentSince = now
 	}
 	if !s.delta && (r.TypeURL == TypeListener || r.TypeURL == TypeCluster) {
-		clear(sub.sent) // state of the world: what is left out is gone
+		clear(sub.sent) // state of the world: a resource that is left out is removed
 	}
 	for _, x := range r.Resources {
 		sub.sent[x.Name] = x
 	}
 	for _, name := range r.Removed {
-		delete(sub.has, name)
+		delete(sub.initialVersions, name)
 		if sub.names[name] {
 			sub.sent[name] = nil
 		} else {
@@ -430,58 +435,59 @@
 	return r
 }
 
-func byName(list []*Resource) {
+func sortByName(list []*Resource) {
 	slices.SortFunc(list, func(a, b *Resource) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// clip bounds a text that a proxy has sent.
-func clip(s string) string { return s[:min(len(s), maxText)] }
+// truncate limits the length of a text received from a proxy.
+func truncate(s string) string { return s[:min(len(s), maxTextBytes)] }
 
-// TypeState is how a stream stands with a type.
+// TypeState is the status of a stream for one resource type.
 type TypeState struct {
 	TypeURL      string
-	Names        int // asked for; -1 for all
+	Names        int // number of subscribed names; -1 for all
 	SentVersion  string
 	AckedVersion string
-	AckPending   time.Duration // how long the last response has waited for its answer, 0 if it has it
-	NackReason   string        // why the last response was not accepted, "" if it was
+	AckPending   time.Duration // time since the last response was sent if it has neither ACK nor NACK, else 0
+	NackReason   string        // error message of the NACK of the last response, "" if there was none
 }
 
-// State tells how the stream stands, in the order of updates.
+// State returns the status of each subscribed type, in the order of updates.
 func (s *Stream) State(now time.Duration) []TypeState {
-	var out []TypeState
-	for _, t := range order {
-		sub := s.subs[t]
+	var states []TypeState
+	for _, typeURL := range updateOrder {
+		sub := s.subscriptions[typeURL]
 		if sub == nil {
 			continue
 		}
-		x := TypeState{TypeURL: t, Names: len(sub.names), SentVersion: sub.version, AckedVersion: sub.acked, NackReason: sub.refused}
+		state := TypeState{TypeURL: typeURL, Names: len(sub.names), SentVersion: sub.version, AckedVersion: sub.ackedVersion, NackReason: sub.nackReason}
 		if sub.wildcard {
-			x.Names = -1
+			state.Names = -1
 		}
-		if sub.waiting {
-			x.AckPending = now - sub.at
+		if sub.awaitingAck {
+			state.AckPending = now - sub.sentAt
 		}
-		out = append(out, x)
+		states = append(states, state)
 	}
-	return out
+	return states
 }
 
-// Drains takes the times from the first urgent response to the answer that followed it, since the last call.
-func (s *Stream) Drains() []time.Duration {
-	sub := s.subs[TypeEndpoint]
+// TakeDrainAcks returns the times from the first unacknowledged urgent response to the ACK that followed, for the ACKs since the
+// last call.
+func (s *Stream) TakeDrainAcks() []time.Duration {
+	sub := s.subscriptions[TypeEndpoint]
 	if sub == nil {
 		return nil
 	}
-	out := sub.drains
-	sub.drains = nil
-	return out
+	acks := sub.drainAcks
+	sub.drainAcks = nil
+	return acks
 }
 
-// Undrained tells for how long the proxy has not answered that endpoints take nothing new; 0 if nothing is open.
-func (s *Stream) Undrained(now time.Duration) time.Duration {
-	if sub := s.subs[TypeEndpoint]; sub != nil && sub.urgent != 0 {
-		return now - sub.urgent
+// DrainAckPending returns how long an urgent response has been without an ACK, 0 if there is none.
+func (s *Stream) DrainAckPending(now time.Duration) time.Duration {
+	if sub := s.subscriptions[TypeEndpoint]; sub != nil && sub.urgentSince != 0 {
+		return now - sub.urgentSince
 	}
 	return 0
 }
--- a/internal/xds/stream_test.go
+++ b/internal/xds/stream_test.go
@@ -16,79 +16,82 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var words = map[string]string{"cds": TypeCluster, "eds": TypeEndpoint, "lds": TypeListener, "rds": TypeRoute}
+// typeURLs maps the abbreviations used in these tests to type URLs.
+var typeURLs = map[string]string{"cds": TypeCluster, "eds": TypeEndpoint, "lds": TypeListener, "rds": TypeRoute}
 
-// snap reads a snapshot like "cds:a=1 eds:a=1/ready". What follows a slash is the resource's safety.
-func snap(t interface {
+// parseSnapshot builds a snapshot from a text such as "cds:a=1 eds:a=1/ready". The part after the slash determines the
+// resource's UrgentHash.
+func parseSnapshot(t interface {
 	Helper()
 	Fatal(...any)
 }, text string) *Snapshot {
 	t.Helper()
-	all := map[string][]*Resource{}
-	for _, word := range strings.Fields(text) {
-		kind, rest, _ := strings.Cut(word, ":")
+	resources := map[string][]*Resource{}
+	for _, field := range strings.Fields(text) {
+		kind, rest, _ := strings.Cut(field, ":")
 		name, version, _ := strings.Cut(rest, "=")
-		_, safe, _ := strings.Cut(version, "/")
-		safety := uint64(0)
-		for _, c := range safe {
-			safety = safety*31 + uint64(c)
+		_, urgent, _ := strings.Cut(version, "/")
+		urgentHash := uint64(0)
+		for _, c := range urgent {
+			urgentHash = urgentHash*31 + uint64(c)
 		}
-		r, err := NewResource(name, safety, wrapperspb.String(name+version))
+		r, err := NewResource(name, urgentHash, wrapperspb.String(name+version))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Version = version
-		all[words[kind]] = append(all[words[kind]], r)
+		resources[typeURLs[kind]] = append(resources[typeURLs[kind]], r)
 	}
-	s, err := NewSnapshot(all)
+	s, err := NewSnapshot(resources)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// say is a response in short: "eds a=1 b=2 -c urgent".
-func say(r *Response) string {
+// formatResponse returns a response in short form: "eds a=1 b=2 -c urgent".
+func formatResponse(r *Response) string {
 	if r == nil {
 		return ""
 	}
-	var out []string
-	for word, t := range words {
+	var parts []string
+	for kind, t := range typeURLs {
 		if t == r.TypeURL {
-			out = append(out, word)
+			parts = append(parts, kind)
 		}
 	}
 	for _, x := range r.Resources {
-		out = append(out, x.Name+"="+x.Version)
+		parts = append(parts, x.Name+"="+x.Version)
 	}
 	for _, name := range r.Removed {
-		out = append(out, "-"+name)
+		parts = append(parts, "-"+name)
 	}
 	if r.Urgent {
-		out = append(out, "urgent")
+		parts = append(parts, "urgent")
 	}
-	return strings.Join(out, " ")
+	return strings.Join(parts, " ")
 }
 
-// dialogue plays lines against a stream. "> eds a b" asks for names (state of the world), "> eds +a -b" changes them
-// (delta), with "v=X" for a version that the proxy has, or "a@1" for one of a resource's; "ack eds" and "nack eds" answer the
-// last response; "snap ..." gives a snapshot; "wait 50ms" lets time pass; "< eds a=1" expects a response, "<" none.
-func dialogue(t *testing.T, delta bool, text string) *Stream {
+// runDialogue runs a script of one command per line against a stream: "> eds a b" subscribes to names (state of the world),
+// "> eds +a -b" changes them (delta), where "v=X" gives the version that the proxy has and "a@1" that of a resource; "ack eds"
+// and "nack eds" answer the last response, "stale eds" has an outdated nonce; "snap ..." sets the snapshot; "wait 50ms"
+// advances the time; "< eds a=1" expects a response, "<" expects none.
+func runDialogue(t *testing.T, delta bool, text string) *Stream {
 	t.Helper()
 	s := NewStream(delta, "")
 	now := time.Second
 	last := map[string]*Response{}
 	for n, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		f := strings.Fields(line)
-		take := func(q *Request) {
+		handle := func(q *Request) {
 			t.Helper()
-			if err := s.Take(now, q); err != nil {
+			if err := s.HandleRequest(now, q); err != nil {
 				t.Fatalf("line %d, %s: %v", n+1, line, err)
 			}
 		}
 		switch f[0] {
 		case "snap":
-			s.Update(snap(t, strings.TrimPrefix(strings.TrimSpace(line), "snap")))
+			s.SetSnapshot(parseSnapshot(t, strings.TrimPrefix(strings.TrimSpace(line), "snap")))
 		case "wait":
 			d, err := time.ParseDuration(f[1])
 			if err != nil {
@@ -96,23 +99,23 @@
 			}
 			now += d
 		case ">", "ack", "nack", "stale":
-			q := &Request{Node: "p", TypeURL: words[f[1]], Initial: map[string]string{}}
+			q := &Request{NodeID: "p", TypeURL: typeURLs[f[1]], InitialVersions: map[string]string{}}
 			if r := last[f[1]]; f[0] != ">" {
 				q.Nonce, q.Version = r.Nonce, r.Version
 			}
 			switch f[0] {
 			case "nack":
-				q.Refused = "odd"
+				q.NackReason = "odd"
 			case "stale":
 				q.Nonce = "old"
 			}
 			for _, name := range f[2:] {
-				has, version, given := strings.Cut(name, "@")
+				resource, version, hasVersion := strings.Cut(name, "@")
 				switch {
 				case strings.HasPrefix(name, "v="):
 					q.Version = name[2:]
-				case given:
-					q.Initial[has] = version
+				case hasVersion:
+					q.InitialVersions[resource] = version
 				case strings.HasPrefix(name, "+"):
 					q.Subscribe = append(q.Subscribe, name[1:])
 				case strings.HasPrefix(name, "-"):
@@ -121,17 +124,17 @@
 					q.Names = append(q.Names, name)
 				}
 			}
-			take(q)
+			handle(q)
 		case "<":
 			r, _ := s.Next(now)
 			if r != nil {
 				last[map[string]string{TypeCluster: "cds", TypeEndpoint: "eds", TypeListener: "lds", TypeRoute: "rds"}[r.TypeURL]] = r
 			}
-			if got, want := say(r), strings.Join(f[1:], " "); got != want {
+			if got, want := formatResponse(r), strings.Join(f[1:], " "); got != want {
 				t.Fatalf("line %d: sent %q, want %q", n+1, got, want)
 			}
 		default:
-			t.Fatalf("line %d: %s", n+1, line)
+			t.Fatalf("line %d: unknown command: %s", n+1, line)
 		}
 	}
 	return s
@@ -139,7 +142,7 @@
 
 func TestStateOfTheWorld(t *testing.T) {
 	for name, text := range map[string]string{
-		"all in order, each once": `
+		"all types in order, each once": `
 			> lds
 			> cds
 			<
@@ -155,7 +158,7 @@
 			ack lds
 			ack rds r
 			<`,
-		"only what changed of endpoints, all of clusters": `
+		"changed endpoints only, but all clusters": `
 			snap cds:a=1 cds:b=1 eds:a=1 eds:b=1
 			> cds
 			> eds a b
@@ -167,7 +170,7 @@
 			snap cds:a=1 cds:b=2 eds:a=1 eds:b=2
 			< cds a=1 b=2
 			< eds b=2`,
-		"weights are gathered while one waits, and for a while": `
+		"weight updates are batched until the ACK and for the minimum interval": `
 			snap eds:a=1
 			> eds a
 			< eds a=1
@@ -179,7 +182,7 @@
 			<
 			wait 50ms
 			< eds a=3`,
-		"weights wait for the answer to the last response": `
+		"weight updates wait for the ACK of the last response": `
 			snap eds:a=1
 			> eds a
 			< eds a=1
@@ -188,7 +191,7 @@
 			<
 			ack eds a
 			< eds a=2`,
-		"a drain waits for nothing": `
+		"a drain is sent without waiting for an ACK": `
 			snap eds:a=1/ready eds:b=1
 			> eds a b
 			< eds a=1/ready b=1
@@ -196,7 +199,7 @@
 			< eds a=2/drains urgent
 			snap eds:a=3/gone eds:b=2
 			< eds a=3/gone b=2 urgent`,
-		"a refusal is not looped on": `
+		"a rejected resource is not sent again": `
 			snap eds:a=1
 			> eds a
 			< eds a=1
@@ -221,7 +224,7 @@
 			<
 			ack eds a b
 			< eds a=1 b=1`,
-		"what is not there comes when it is": `
+		"a missing resource is sent once it exists": `
 			snap eds:a=1
 			> eds a x
 			< eds a=1
@@ -230,7 +233,7 @@
 			wait 1s
 			snap eds:a=1 eds:x=1
 			< eds x=1`,
-		"an old answer is passed over": `
+		"a stale nonce is ignored": `
 			snap eds:a=1 eds:b=1
 			> eds a
 			< eds a=1
@@ -238,7 +241,7 @@
 			<
 			ack eds a b
 			< eds a=1 b=1`,
-		"a removed cluster stays until the routes that led to it are accepted": `
+		"a removed cluster stays until the routes without it are accepted": `
 			snap cds:a=1 cds:b=1 rds:r=b
 			> cds
 			> rds r
@@ -251,7 +254,7 @@
 			<
 			ack rds r
 			< cds a=1`,
-		"a new cluster comes before the routes to it": `
+		"a new cluster is sent before the routes to it": `
 			snap cds:a=1 rds:r=a
 			> cds
 			> rds r
@@ -262,7 +265,7 @@
 			snap cds:a=1 cds:b=1 eds:b=1 rds:r=b
 			< cds a=1 b=1
 			< rds r=b`,
-		"by name, then none": `
+		"subscription by name, then to nothing": `
 			snap cds:a=1 cds:b=1
 			> cds a
 			< cds a=1
@@ -270,18 +273,18 @@
 			<
 			snap cds:a=2 cds:b=1
 			<`,
-		"both ways": `
+		"wildcard and name": `
 			snap cds:a=1 cds:b=1
 			> cds * a
 			< cds a=1 b=1`,
 	} {
-		t.Run(name, func(t *testing.T) { dialogue(t, false, text) })
+		t.Run(name, func(t *testing.T) { runDialogue(t, false, text) })
 	}
 }
 
 func TestDelta(t *testing.T) {
 	for name, text := range map[string]string{
-		"what changed, and what is gone": `
+		"changed and removed resources": `
 			snap cds:a=1 cds:b=1 eds:a=1 eds:b=1
 			> cds
 			< cds a=1 b=1
@@ -296,17 +299,17 @@
 			ack cds
 			ack eds
 			<`,
-		"a reconnect goes on from what the proxy has": `
+		"a reconnect continues from the versions of the proxy": `
 			snap cds:a=2 cds:b=1 eds:a=1 eds:b=1
 			> cds a@1 b@1 c@1
 			< cds a=2 -c
 			> eds +a +b a@1 b@0
 			< eds b=1`,
-		"a reconnect with all of it gets nothing": `
+		"a reconnect with all current versions is sent nothing": `
 			snap cds:a=1
 			> cds a@1
 			<`,
-		"what is not there is told": `
+		"a missing resource is reported as removed": `
 			snap eds:a=1
 			> eds +a +x
 			< eds a=1 -x
@@ -315,7 +318,7 @@
 			<
 			snap eds:a=1 eds:x=1
 			< eds x=1`,
-		"asked for again, sent again": `
+		"a repeated subscription is answered again": `
 			snap eds:a=1
 			> eds +a
 			< eds a=1
@@ -323,7 +326,7 @@
 			wait 1s
 			> eds +a
 			< eds a=1`,
-		"given up": `
+		"unsubscribed": `
 			snap eds:a=1 eds:b=1
 			> eds +a +b
 			< eds a=1 b=1
@@ -331,13 +334,13 @@
 			wait 1s
 			snap eds:a=1 eds:b=2
 			<`,
-		"a drain waits for nothing": `
+		"a drain is sent without waiting for an ACK": `
 			snap eds:a=1/ready
 			> eds +a
 			< eds a=1/ready
 			snap eds:a=2/drains
 			< eds a=2/drains urgent`,
-		"names come with an old answer": `
+		"a stale nonce may add names": `
 			snap eds:a=1 eds:b=1
 			> eds +a
 			< eds a=1
@@ -346,7 +349,7 @@
 			ack eds
 			wait 1s
 			< eds b=1`,
-		"wildcard and back": `
+		"wildcard added and removed": `
 			snap cds:a=1 cds:b=1
 			> cds +a
 			< cds a=1
@@ -355,28 +358,29 @@
 			ack cds -*
 			< cds -b`,
 	} {
-		t.Run(name, func(t *testing.T) { dialogue(t, true, text) })
+		t.Run(name, func(t *testing.T) { runDialogue(t, true, text) })
 	}
 }
 
-// A proxy that comes back with the version of all it has is sent nothing.
-func TestReconnectWithTheWholeVersion(t *testing.T) {
+// TestReconnectWithCurrentVersion checks that a proxy that reconnects with the current version is sent nothing, and one with
+// another version all resources.
+func TestReconnectWithCurrentVersion(t *testing.T) {
 	s := NewStream(false, "")
-	s.Update(snap(t, "cds:a=1 cds:b=1"))
-	s.Take(0, &Request{TypeURL: TypeCluster})
+	s.SetSnapshot(parseSnapshot(t, "cds:a=1 cds:b=1"))
+	s.HandleRequest(0, &Request{TypeURL: TypeCluster})
 	first, _ := s.Next(0)
 	for version, want := range map[string]string{first.Version: "", "other": "cds a=1 b=1"} {
 		again := NewStream(false, "")
-		again.Update(snap(t, "cds:a=1 cds:b=1"))
-		again.Take(0, &Request{TypeURL: TypeCluster, Version: version})
-		if r, _ := again.Next(0); say(r) != want {
-			t.Errorf("with version %s it is sent %q, want %q", version, say(r), want)
+		again.SetSnapshot(parseSnapshot(t, "cds:a=1 cds:b=1"))
+		again.HandleRequest(0, &Request{TypeURL: TypeCluster, Version: version})
+		if r, _ := again.Next(0); formatResponse(r) != want {
+			t.Errorf("a proxy with version %s is sent %q, want %q", version, formatResponse(r), want)
 		}
 	}
 }
 
-func TestStateAndDrains(t *testing.T) {
-	s := dialogue(t, false, `
+func TestStateAndDrainAcks(t *testing.T) {
+	s := runDialogue(t, false, `
 		snap eds:a=1/ready
 		> eds a
 		< eds a=1/ready
@@ -389,63 +393,63 @@
 		< eds a=3/ready urgent
 		wait 30ms
 		ack eds a`)
-	if d := s.Drains(); len(d) != 1 || d[0] != 100*time.Millisecond || len(s.Drains()) != 0 {
-		t.Errorf("drains took %v", d)
+	if d := s.TakeDrainAcks(); len(d) != 1 || d[0] != 100*time.Millisecond || len(s.TakeDrainAcks()) != 0 {
+		t.Errorf("times until drains were acknowledged: %v, want one of 100ms", d)
 	}
 	if st := s.State(2 * time.Second); len(st) != 1 || st[0].AckedVersion != st[0].SentVersion || st[0].Names != 1 || st[0].NackReason != "" || st[0].AckPending != 0 {
-		t.Errorf("%+v", st)
+		t.Errorf("states: %+v, want one type, accepted, without a pending ACK", st)
 	}
 }
 
-// What is beyond the bounds ends the stream; what is only not known does not.
-func TestBounds(t *testing.T) {
-	long := strings.Repeat("x", MaxName+1)
+// TestRequestLimits checks that a request beyond the limits ends the stream, but an unsupported type alone does not.
+func TestRequestLimits(t *testing.T) {
+	long := strings.Repeat("x", MaxNameBytes+1)
 	for name, q := range map[string]*Request{
-		"node id":    {Node: strings.Repeat("n", MaxNode+1), TypeURL: TypeCluster},
+		"node id":    {NodeID: strings.Repeat("n", MaxNodeIDBytes+1), TypeURL: TypeCluster},
 		"a name is":  {TypeURL: TypeCluster, Names: []string{long}},
 		"over 20000": {TypeURL: TypeEndpoint, Subscribe: make([]string, MaxNames+1)},
 	} {
-		if err := NewStream(true, "").Take(0, q); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+		if err := NewStream(true, "").HandleRequest(0, q); err == nil || !strings.Contains(err.Error(), name) {
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
-	if err := NewStream(false, TypeEndpoint).Take(0, &Request{TypeURL: TypeCluster}); err == nil {
-		t.Error("a stream of endpoints took clusters")
+	if err := NewStream(false, TypeEndpoint).HandleRequest(0, &Request{TypeURL: TypeCluster}); err == nil {
+		t.Error("an endpoint-only stream accepted a request for clusters")
 	}
 	s := NewStream(false, "")
 	var err error
 	for i := 0; err == nil && i < 100; i++ {
-		err = s.Take(0, &Request{TypeURL: fmt.Sprint("odd", i, long)})
+		err = s.HandleRequest(0, &Request{TypeURL: fmt.Sprint("odd", i, long)})
 	}
-	if err == nil || len(s.Unknown) != maxUnknown || len(s.Unknown[0]) > maxText {
-		t.Errorf("%v, %d unknown types kept", err, len(s.Unknown))
+	if err == nil || len(s.UnknownTypes) != maxUnknownTypes || len(s.UnknownTypes[0]) > maxTextBytes {
+		t.Errorf("got error %v and %d unknown types, want an error at the limit of types and truncated names", err, len(s.UnknownTypes))
 	}
 }
 
-// Whatever snapshots and answers come, in whatever order, a proxy that applies what it is sent ends with the last snapshot;
-// a response is never sent that changes nothing.
-func TestProxyEndsWithTheLastSnapshot(t *testing.T) {
+// TestProxyConvergesToLatestSnapshot checks that for any order of snapshots and ACKs, a proxy that applies all responses ends up
+// with the last snapshot, and that no response is without effect.
+func TestProxyConvergesToLatestSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delta := rapid.Bool().Draw(t, "delta")
 		s := NewStream(delta, "")
 		now := time.Second
-		has := map[string]map[string]string{TypeCluster: {}, TypeEndpoint: {}}
+		proxy := map[string]map[string]string{TypeCluster: {}, TypeEndpoint: {}}
 		names := []string{"a", "b", "c"}
-		ask := func(nonce, typeURL, refused string) {
-			q := &Request{TypeURL: typeURL, Nonce: nonce, Refused: refused}
+		request := func(nonce, typeURL, nackReason string) {
+			q := &Request{TypeURL: typeURL, Nonce: nonce, NackReason: nackReason}
 			if typeURL == TypeEndpoint && !delta {
 				q.Names = names
 			}
 			if typeURL == TypeEndpoint && delta && nonce == "" {
 				q.Subscribe = names
 			}
-			if err := s.Take(now, q); err != nil {
+			if err := s.HandleRequest(now, q); err != nil {
 				t.Fatal(err)
 			}
 		}
-		ask("", TypeCluster, "")
-		ask("", TypeEndpoint, "")
-		var open []*Response
+		request("", TypeCluster, "")
+		request("", TypeEndpoint, "")
+		var unacked []*Response
 		var last *Snapshot
 		deliver := func() bool {
 			now += time.Second
@@ -453,21 +457,21 @@
 			if r == nil {
 				return false
 			}
-			mine := has[r.TypeURL]
-			before := maps.Clone(mine)
+			versions := proxy[r.TypeURL]
+			before := maps.Clone(versions)
 			if !delta && r.TypeURL == TypeCluster {
-				clear(mine)
+				clear(versions)
 			}
 			for _, x := range r.Resources {
-				mine[x.Name] = x.Version
+				versions[x.Name] = x.Version
 			}
 			for _, name := range r.Removed {
-				delete(mine, name)
+				delete(versions, name)
 			}
-			if maps.Equal(before, mine) && r.Nonce > "4" && len(r.Removed) == 0 {
-				t.Fatalf("%s changes nothing", say(r))
+			if maps.Equal(before, versions) && r.Nonce > "4" && len(r.Removed) == 0 {
+				t.Fatalf("response without effect: %s", formatResponse(r))
 			}
-			open = append(open, r)
+			unacked = append(unacked, r)
 			return true
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
@@ -479,78 +483,78 @@
 						text += fmt.Sprintf(" cds:%s=%d eds:%s=%d/%d", name, v, name, v, v%2)
 					}
 				}
-				last = snap(t, text)
-				s.Update(last)
+				last = parseSnapshot(t, text)
+				s.SetSnapshot(last)
 			case 1:
 				deliver()
 			case 2:
-				if len(open) > 0 {
-					ask(open[0].Nonce, open[0].TypeURL, "")
-					open = open[1:]
+				if len(unacked) > 0 {
+					request(unacked[0].Nonce, unacked[0].TypeURL, "")
+					unacked = unacked[1:]
 				}
 			}
 		}
-		for i := 0; deliver() || len(open) > 0; i++ {
-			for _, r := range open {
-				ask(r.Nonce, r.TypeURL, "")
+		for i := 0; deliver() || len(unacked) > 0; i++ {
+			for _, r := range unacked {
+				request(r.Nonce, r.TypeURL, "")
 			}
-			open = nil
+			unacked = nil
 			if i > 100 {
-				t.Fatal("it never comes to rest")
+				t.Fatal("the stream still sends responses after 100 rounds of ACKs")
 			}
 		}
 		if last == nil {
 			return
 		}
-		for typeURL, mine := range has {
+		for typeURL, versions := range proxy {
 			for _, name := range last.Names(typeURL) {
-				if mine[name] != last.Resource(typeURL, name).Version {
-					t.Fatalf("%s %s: the proxy has %q, want %q", typeURL, name, mine[name], last.Resource(typeURL, name).Version)
+				if versions[name] != last.Resource(typeURL, name).Version {
+					t.Fatalf("%s %s: the proxy has %q, want %q", typeURL, name, versions[name], last.Resource(typeURL, name).Version)
 				}
 			}
 			if !delta && typeURL == TypeEndpoint {
-				continue // that these are gone cannot be told in state of the world; their clusters are
+				continue // state of the world cannot express the removal of endpoints, only that of their clusters
 			}
-			if len(mine) != len(last.Names(typeURL)) {
-				t.Fatalf("%s: the proxy has %v", typeURL, slices.Sorted(maps.Keys(mine)))
+			if len(versions) != len(last.Names(typeURL)) {
+				t.Fatalf("%s: the proxy has resources that were removed: %v", typeURL, slices.Sorted(maps.Keys(versions)))
 			}
 		}
 	})
 }
 
-// Whatever requests come, a stream neither panics nor grows beyond its bounds nor answers for ever.
+// FuzzStream checks that for any requests, a stream does not panic, exceed its limits or send responses without end.
 func FuzzStream(f *testing.F) {
 	f.Add(false, "cds\neds a b\n!eds a\neds\n")
 	f.Add(true, "cds +*\neds +a -b a@1\n!eds odd\nlds -*\n")
 	f.Fuzz(func(t *testing.T, delta bool, text string) {
 		s, now := NewStream(delta, ""), time.Second
-		s.Update(snap(t, "cds:a=1 cds:b=1 eds:a=1/x eds:b=1 lds:l=1 rds:r=1"))
+		s.SetSnapshot(parseSnapshot(t, "cds:a=1 cds:b=1 eds:a=1/x eds:b=1 lds:l=1 rds:r=1"))
 		nonces := map[string]string{}
 		for line := range strings.Lines(text) {
-			answers := strings.HasPrefix(line, "!")
+			isAnswer := strings.HasPrefix(line, "!")
 			fields := strings.Fields(strings.TrimPrefix(line, "!"))
 			if len(fields) == 0 {
 				continue
 			}
-			q := &Request{Node: "p", TypeURL: words[fields[0]], Names: fields[1:], Initial: map[string]string{}}
+			q := &Request{NodeID: "p", TypeURL: typeURLs[fields[0]], Names: fields[1:], InitialVersions: map[string]string{}}
 			if q.TypeURL == "" {
 				q.TypeURL = fields[0]
 			}
-			if answers {
-				q.Nonce, q.Refused = nonces[q.TypeURL], strings.Join(fields[1:], " ")
+			if isAnswer {
+				q.Nonce, q.NackReason = nonces[q.TypeURL], strings.Join(fields[1:], " ")
 			}
 			for _, x := range fields[1:] {
-				has, version, given := strings.Cut(x, "@")
+				resource, version, hasVersion := strings.Cut(x, "@")
 				switch {
-				case given:
-					q.Initial[has] = version
+				case hasVersion:
+					q.InitialVersions[resource] = version
 				case strings.HasPrefix(x, "-"):
 					q.Unsubscribe = append(q.Unsubscribe, x[1:])
 				default:
 					q.Subscribe = append(q.Subscribe, strings.TrimPrefix(x, "+"))
 				}
 			}
-			if s.Take(now, q) != nil {
+			if s.HandleRequest(now, q) != nil {
 				return
 			}
 			for n := 0; ; n++ {
@@ -560,14 +564,14 @@
 					break
 				}
 				nonces[r.TypeURL] = r.Nonce
-				if n > len(order) {
-					t.Fatalf("%q: it answers for ever", text)
+				if n > len(updateOrder) {
+					t.Fatalf("%q: responses do not end", text)
 				}
 			}
 			s.State(now)
 		}
-		if len(s.Unknown) > maxUnknown {
-			t.Errorf("%d unknown types kept", len(s.Unknown))
+		if len(s.UnknownTypes) > maxUnknownTypes {
+			t.Errorf("%d unknown types kept, more than the limit", len(s.UnknownTypes))
 		}
 	})
 }
--- a/internal/xdsserver/hub.go
+++ b/internal/xdsserver/hub.go
@@ -19,11 +19,11 @@
 	snapshots map[string]*xds.Snapshot // by view
 	version   uint64                   // of them: it only grows
 	streams   map[*stream]bool
-	drains    []time.Duration // from the first word to a proxy to its answer, the last of them
+	drainAcks []time.Duration // from the first word to a proxy to its answer, the last of them
 }
 
 // keptDrains is how many times of drains are kept for those who look.
-const keptDrains = 1000
+const maxDrainAcks = 1000
 
 // NewHub returns a Hub without a snapshot: streams are sent nothing before the first, so that a service that has just
 // started empties nobody's list.
@@ -44,34 +44,34 @@
 	h.snapshots = byView
 	h.version++
 	for x := range h.streams {
-		x.poke()
+		x.notify()
 	}
 }
 
 // newest is the newest snapshot of a view, nil before the first.
-func (h *Hub) newest(view string) (*xds.Snapshot, uint64) {
+func (h *Hub) latest(view string) (*xds.Snapshot, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.snapshots[view], h.version
 }
 
-func (h *Hub) join(x *stream) {
+func (h *Hub) addStream(x *stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.streams[x] = true
 }
 
-func (h *Hub) leave(x *stream) {
+func (h *Hub) removeStream(x *stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.streams, x)
 }
 
-func (h *Hub) drained(times []time.Duration) {
+func (h *Hub) recordDrainAcks(times []time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drains = append(h.drains, times...)
-	h.drains = h.drains[max(len(h.drains)-keptDrains, 0):]
+	h.drainAcks = append(h.drainAcks, times...)
+	h.drainAcks = h.drainAcks[max(len(h.drainAcks)-maxDrainAcks, 0):]
 }
 
 // Proxy is how a stream stands.
@@ -93,7 +93,7 @@
 	for x := range h.streams {
 		streams = append(streams, x)
 	}
-	drains = slices.Clone(h.drains)
+	drains = slices.Clone(h.drainAcks)
 	h.mu.Unlock()
 	for _, x := range streams {
 		proxies = append(proxies, x.status())
--- a/internal/xdsserver/loadstats.go
+++ b/internal/xdsserver/loadstats.go
@@ -27,14 +27,14 @@
 }
 
 // reportEvery is the interval that proxies are asked to report at.
-const reportEvery = time.Second
+const loadReportInterval = time.Second
 
 // maxEndpoints is how many endpoints a report may name.
-const maxEndpoints = 20_000
+const maxReportEndpoints = 20_000
 
 // StreamLoadStats is the load reporting service: proxies are asked for all clusters, by endpoint.
 func (s *Server) StreamLoadStats(w loadstats.LoadReportingService_StreamLoadStatsServer) error {
-	rights, err := s.rights(w.Context())
+	rights, err := s.authorizeProxy(w.Context())
 	if err != nil {
 		return err
 	}
@@ -43,25 +43,25 @@
 		return err
 	}
 	proxy := q.GetNode().GetId()
-	if len(proxy) > xds.MaxNode {
-		return status.Errorf(codes.InvalidArgument, "the node id is over %d bytes", xds.MaxNode)
+	if len(proxy) > xds.MaxNodeIDBytes {
+		return status.Errorf(codes.InvalidArgument, "the node id is over %d bytes", xds.MaxNodeIDBytes)
 	}
-	proxy += " " + peerOf(w.Context())
+	proxy += " " + peerAddress(w.Context())
 	defer s.reports.OnDisconnect(proxy)
 	if err := w.Send(&loadstats.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
-		LoadReportingInterval: durationpb.New(reportEvery)}); err != nil {
+		LoadReportingInterval: durationpb.New(loadReportInterval)}); err != nil {
 		return err
 	}
 	for {
 		q, err := w.Recv()
 		if err != nil {
-			return end(err)
+			return streamError(err)
 		}
 		for _, c := range q.ClusterStats {
 			if len(rights.Pools) > 0 && !slices.Contains(rights.Pools, c.ClusterName) {
 				continue // what it says of others' pools is not believed
 			}
-			stats, err := statsOf(c)
+			stats, err := endpointStats(c)
 			if err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 	}
 }
 
-func peerOf(ctx context.Context) string {
+func peerAddress(ctx context.Context) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		return p.Addr.String()
 	}
@@ -78,7 +78,7 @@
 }
 
 // statsOf are the endpoints of a report, by address and port.
-func statsOf(c *endpoint.ClusterStats) (map[string]loads.Stats, error) {
+func endpointStats(c *endpoint.ClusterStats) (map[string]loads.Stats, error) {
 	out := map[string]loads.Stats{}
 	for _, z := range c.UpstreamLocalityStats {
 		for _, e := range z.UpstreamEndpointStats {
@@ -86,20 +86,20 @@
 			if at == nil {
 				continue
 			}
-			if len(out) >= maxEndpoints {
-				return nil, status.Errorf(codes.InvalidArgument, "a report names over %d endpoints", maxEndpoints)
+			if len(out) >= maxReportEndpoints {
+				return nil, status.Errorf(codes.InvalidArgument, "a report names over %d endpoints", maxReportEndpoints)
 			}
 			x := loads.Stats{InProgress: e.TotalRequestsInProgress, OK: e.TotalSuccessfulRequests,
 				Failed: e.TotalErrorRequests, Metrics: map[string]loads.Metric{}}
 			for _, m := range e.LoadMetricStats {
 				x.Metrics[m.MetricName] = loads.Metric{Samples: m.NumRequestsFinishedWithMetric, Sum: m.TotalMetricValue}
 			}
-			out[addressOf(at)] = x
+			out[hostPort(at)] = x
 		}
 	}
 	return out, nil
 }
 
-func addressOf(a *core.SocketAddress) string {
+func hostPort(a *core.SocketAddress) string {
 	return net.JoinHostPort(a.Address, strconv.Itoa(int(a.GetPortValue())))
 }
--- a/internal/xdsserver/server.go
+++ b/internal/xdsserver/server.go
@@ -29,10 +29,10 @@
 
 	loadstats.UnimplementedLoadReportingServiceServer
 
-	hub      *Hub
-	reports  LoadReportHandler
-	identify Authorize
-	log      *slog.Logger
+	hub       *Hub
+	reports   LoadReportHandler
+	authorize Authorize
+	log       *slog.Logger
 }
 
 // Identify finds what the proxy of a connection may have; an error lets it have nothing.
@@ -42,10 +42,10 @@
 func AllowAll(context.Context) (*Rights, error) { return &Rights{}, nil }
 
 // rights are those of a proxy, or the protocol's word for that it has none.
-func (s *Server) rights(ctx context.Context) (*Rights, error) {
-	r, err := s.identify(ctx)
+func (s *Server) authorizeProxy(ctx context.Context) (*Rights, error) {
+	r, err := s.authorize(ctx)
 	if err != nil {
-		s.log.Warn("a proxy is not let in", "peer", peerOf(ctx), "error", err)
+		s.log.Warn("a proxy is not let in", "peer", peerAddress(ctx), "error", err)
 		return nil, status.Error(codes.PermissionDenied, "this proxy may have nothing")
 	}
 	return r, nil
@@ -53,7 +53,7 @@
 
 // Register adds the services to a gRPC server.
 func Register(g *grpc.Server, hub *Hub, reports LoadReportHandler, identify Authorize, log *slog.Logger) {
-	s := &Server{hub: hub, reports: reports, identify: identify, log: log}
+	s := &Server{hub: hub, reports: reports, authorize: identify, log: log}
 	loadstats.RegisterLoadReportingServiceServer(g, s)
 	discovery.RegisterAggregatedDiscoveryServiceServer(g, s)
 	clusterservice.RegisterClusterDiscoveryServiceServer(g, s)
@@ -63,35 +63,35 @@
 }
 
 // whole is a stream of state of the world.
-type whole interface {
+type sotwStream interface {
 	Send(*discovery.DiscoveryResponse) error
 	Recv() (*discovery.DiscoveryRequest, error)
 	Context() context.Context
 }
 
 // changes is a delta stream.
-type changes interface {
+type deltaStream interface {
 	Send(*discovery.DeltaDiscoveryResponse) error
 	Recv() (*discovery.DeltaDiscoveryRequest, error)
 	Context() context.Context
 }
 
 // serve runs a stream of a proxy that may have something.
-func (s *Server) serve(ctx context.Context, delta bool, only string, recv func() (*xds.Request, error), send func(*xds.Response) error) error {
-	rights, err := s.rights(ctx)
+func (s *Server) serveStream(ctx context.Context, delta bool, only string, recv func() (*xds.Request, error), send func(*xds.Response) error) error {
+	rights, err := s.authorizeProxy(ctx)
 	if err != nil {
 		return err
 	}
-	return s.hub.serve(ctx, s.log, rights.View, delta, only, recv, send)
+	return s.hub.serveStream(ctx, s.log, rights.View, delta, only, recv, send)
 }
 
-func (s *Server) whole(w whole, only string) error {
-	return s.serve(w.Context(), false, only, func() (*xds.Request, error) {
+func (s *Server) serveSotW(w sotwStream, only string) error {
+	return s.serveStream(w.Context(), false, only, func() (*xds.Request, error) {
 		q, err := w.Recv()
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{Node: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, Refused: refused(q.ErrorDetail),
+		return &xds.Request{NodeID: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, NackReason: nackReason(q.ErrorDetail),
 			Names: q.ResourceNames, Version: q.VersionInfo}, nil
 	}, func(r *xds.Response) error {
 		out := &discovery.DiscoveryResponse{TypeUrl: r.TypeURL, VersionInfo: r.Version, Nonce: r.Nonce, Resources: make([]*anypb.Any, len(r.Resources))}
@@ -102,14 +102,14 @@
 	})
 }
 
-func (s *Server) changes(w changes, only string) error {
-	return s.serve(w.Context(), true, only, func() (*xds.Request, error) {
+func (s *Server) serveDelta(w deltaStream, only string) error {
+	return s.serveStream(w.Context(), true, only, func() (*xds.Request, error) {
 		q, err := w.Recv()
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{Node: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, Refused: refused(q.ErrorDetail),
-			Subscribe: q.ResourceNamesSubscribe, Unsubscribe: q.ResourceNamesUnsubscribe, Initial: q.InitialResourceVersions}, nil
+		return &xds.Request{NodeID: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, NackReason: nackReason(q.ErrorDetail),
+			Subscribe: q.ResourceNamesSubscribe, Unsubscribe: q.ResourceNamesUnsubscribe, InitialVersions: q.InitialResourceVersions}, nil
 	}, func(r *xds.Response) error {
 		out := &discovery.DeltaDiscoveryResponse{TypeUrl: r.TypeURL, SystemVersionInfo: r.Version, Nonce: r.Nonce, RemovedResources: r.Removed,
 			Resources: make([]*discovery.Resource, len(r.Resources))}
@@ -121,7 +121,7 @@
 }
 
 // refused is why a response was refused, "" if it was not: a refusal without a text is one, too.
-func refused(detail *rpc.Status) string {
+func nackReason(detail *rpc.Status) string {
 	if detail != nil && detail.Message == "" {
 		return "it does not say why"
 	}
@@ -130,50 +130,50 @@
 
 // StreamAggregatedResources serves all types, state of the world.
 func (s *Server) StreamAggregatedResources(w discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return s.whole(w, "")
+	return s.serveSotW(w, "")
 }
 
 // DeltaAggregatedResources serves all types, delta.
 func (s *Server) DeltaAggregatedResources(w discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	return s.changes(w, "")
+	return s.serveDelta(w, "")
 }
 
 // StreamClusters serves clusters, state of the world.
 func (s *Server) StreamClusters(w clusterservice.ClusterDiscoveryService_StreamClustersServer) error {
-	return s.whole(w, xds.TypeCluster)
+	return s.serveSotW(w, xds.TypeCluster)
 }
 
 // DeltaClusters serves clusters, delta.
 func (s *Server) DeltaClusters(w clusterservice.ClusterDiscoveryService_DeltaClustersServer) error {
-	return s.changes(w, xds.TypeCluster)
+	return s.serveDelta(w, xds.TypeCluster)
 }
 
 // StreamEndpoints serves endpoints, state of the world.
 func (s *Server) StreamEndpoints(w endpointservice.EndpointDiscoveryService_StreamEndpointsServer) error {
-	return s.whole(w, xds.TypeEndpoint)
+	return s.serveSotW(w, xds.TypeEndpoint)
 }
 
 // DeltaEndpoints serves endpoints, delta.
 func (s *Server) DeltaEndpoints(w endpointservice.EndpointDiscoveryService_DeltaEndpointsServer) error {
-	return s.changes(w, xds.TypeEndpoint)
+	return s.serveDelta(w, xds.TypeEndpoint)
 }
 
 // StreamListeners serves listeners, state of the world.
 func (s *Server) StreamListeners(w listenerservice.ListenerDiscoveryService_StreamListenersServer) error {
-	return s.whole(w, xds.TypeListener)
+	return s.serveSotW(w, xds.TypeListener)
 }
 
 // DeltaListeners serves listeners, delta.
 func (s *Server) DeltaListeners(w listenerservice.ListenerDiscoveryService_DeltaListenersServer) error {
-	return s.changes(w, xds.TypeListener)
+	return s.serveDelta(w, xds.TypeListener)
 }
 
 // StreamRoutes serves routes, state of the world.
 func (s *Server) StreamRoutes(w routeservice.RouteDiscoveryService_StreamRoutesServer) error {
-	return s.whole(w, xds.TypeRoute)
+	return s.serveSotW(w, xds.TypeRoute)
 }
 
 // DeltaRoutes serves routes, delta.
 func (s *Server) DeltaRoutes(w routeservice.RouteDiscoveryService_DeltaRoutesServer) error {
-	return s.changes(w, xds.TypeRoute)
+	return s.serveDelta(w, xds.TypeRoute)
 }
--- a/internal/xdsserver/server_test.go
+++ b/internal/xdsserver/server_test.go
@@ -25,7 +25,7 @@
 )
 
 // start runs a server in memory.
-func start(t *testing.T) (*Hub, *grpc.ClientConn, *testkit.Log) {
+func startTestServer(t *testing.T) (*Hub, *grpc.ClientConn, *testkit.Log) {
 	t.Helper()
 	began := time.Now()
 	hub, log := NewHub(func() time.Duration { return time.Since(began) }), &testkit.Log{}
@@ -44,7 +44,7 @@
 }
 
 // publish gives the hub endpoints of one cluster, some kilobytes of them.
-func publish(t *testing.T, hub *Hub, version int, safety uint64) {
+func publishEndpoints(t *testing.T, hub *Hub, version int, safety uint64) {
 	t.Helper()
 	r, err := xds.NewResource("a", safety, wrapperspb.String(fmt.Sprint(version, strings.Repeat("x", 8<<10))))
 	if err != nil {
@@ -57,29 +57,29 @@
 	hub.Publish(map[string]*xds.Snapshot{"": s})
 }
 
-var ask = &discovery.DiscoveryRequest{Node: &core.Node{Id: "p"}, TypeUrl: xds.TypeEndpoint, ResourceNames: []string{"a"}}
+var endpointRequest = &discovery.DiscoveryRequest{Node: &core.Node{Id: "p"}, TypeUrl: xds.TypeEndpoint, ResourceNames: []string{"a"}}
 
 // A proxy that never reads keeps nobody waiting, and a stream is sent nothing before there is a snapshot.
-func TestSlowProxyDelaysNobody(t *testing.T) {
-	hub, conn, log := start(t)
+func TestSlowProxyDoesNotDelayOthers(t *testing.T) {
+	hub, conn, log := startTestServer(t)
 	api := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	stuck, err := api.StreamAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := stuck.Send(ask); err != nil { // and it never receives
+	if err := stuck.Send(endpointRequest); err != nil { // and it never receives
 		t.Fatal(err)
 	}
 	good, err := endpointservice.NewEndpointDiscoveryServiceClient(conn).StreamEndpoints(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := good.Send(ask); err != nil {
+	if err := good.Send(endpointRequest); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Until(t, "both are there", func() bool { p, _ := hub.Status(); return len(p) == 2 && len(p[0].Types)+len(p[1].Types) == 2 })
 	for n := range 200 {
-		publish(t, hub, n, uint64(n))
+		publishEndpoints(t, hub, n, uint64(n))
 		r, err := good.Recv()
 		if err != nil || len(r.Resources) != 1 {
 			t.Fatal(err)
@@ -97,13 +97,13 @@
 }
 
 // A refusal is logged once for each text and shown; it ends no stream.
-func TestRefusalIsShown(t *testing.T) {
-	hub, conn, log := start(t)
+func TestNackIsLoggedAndShown(t *testing.T) {
+	hub, conn, log := startTestServer(t)
 	s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	publish(t, hub, 0, 0)
+	publishEndpoints(t, hub, 0, 0)
 	if err := s.Send(&discovery.DeltaDiscoveryRequest{Node: &core.Node{Id: "p"}, TypeUrl: xds.TypeEndpoint, ResourceNamesSubscribe: []string{"a"}}); err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 			p, _ := hub.Status()
 			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].NackReason == "odd"
 		})
-		publish(t, hub, n+1, 0)
+		publishEndpoints(t, hub, n+1, 0)
 	}
 	if n := log.Count("refuses resources"); n != 1 {
 		t.Errorf("%d lines for one text", n)
@@ -127,15 +127,15 @@
 }
 
 // Whoever breaks the protocol is cut off with its word for it; others stay.
-func TestBrokenProxyIsCutOff(t *testing.T) {
-	hub, conn, _ := start(t)
-	publish(t, hub, 0, 0)
+func TestProtocolErrorEndsStream(t *testing.T) {
+	hub, conn, _ := startTestServer(t)
+	publishEndpoints(t, hub, 0, 0)
 	api := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	good, err := api.StreamAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	good.Send(ask)
+	good.Send(endpointRequest)
 	if _, err := good.Recv(); err != nil {
 		t.Fatal(err)
 	}
@@ -158,11 +158,11 @@
 		t.Fatal(err)
 	}
 	s.Send(&discovery.DiscoveryRequest{TypeUrl: "type.googleapis.com/odd"})
-	s.Send(ask)
+	s.Send(endpointRequest)
 	if _, err := s.Recv(); err != nil {
 		t.Errorf("a type that is not served ended the stream: %v", err)
 	}
-	publish(t, hub, 1, 1)
+	publishEndpoints(t, hub, 1, 1)
 	if _, err := good.Recv(); err != nil {
 		t.Errorf("another stream: %v", err)
 	}
--- a/internal/xdsserver/stream.go
+++ b/internal/xdsserver/stream.go
@@ -18,31 +18,31 @@
 
 // ackWithin is how long a proxy may take to answer a response that says that endpoints take nothing new, before it is
 // logged: what it goes on sending there comes too late.
-const ackWithin = 400 * time.Millisecond
+const drainAckTimeout = 400 * time.Millisecond
 
 // stream is a stream of a proxy on its way through gRPC.
 type stream struct {
-	hub   *Hub
-	log   *slog.Logger
-	peer  string
-	view  string
-	delta bool
-	began time.Duration
-	wake  chan struct{} // there is another snapshot
-
-	mu   sync.Mutex // guards core for those who look
-	core *xds.Stream
-	last time.Duration // from word to answer of the last drain
-
-	late   bool // a drain that has no answer in time was logged
-	refuse map[string]string
+	hub         *Hub
+	log         *slog.Logger
+	peer        string
+	view        string
+	delta       bool
+	connectedAt time.Duration
+	wake        chan struct{} // there is another snapshot
+
+	mu           sync.Mutex // guards core for those who look
+	core         *xds.Stream
+	lastDrainAck time.Duration // from word to answer of the last drain
+
+	lateDrainLogged bool // a drain that has no answer in time was logged
+	loggedNacks     map[string]string
 }
 
 // serve runs a stream to its end.
-func (h *Hub) serve(ctx context.Context, log *slog.Logger, view string, delta bool, only string, recv func() (*xds.Request, error),
+func (h *Hub) serveStream(ctx context.Context, log *slog.Logger, view string, delta bool, only string, recv func() (*xds.Request, error),
 	send func(*xds.Response) error) (err error) {
-	x := &stream{hub: h, log: log, view: view, delta: delta, began: h.now(), wake: make(chan struct{}, 1), core: xds.NewStream(delta, only),
-		peer: peerOf(ctx), refuse: map[string]string{}}
+	x := &stream{hub: h, log: log, view: view, delta: delta, connectedAt: h.now(), wake: make(chan struct{}, 1), core: xds.NewStream(delta, only),
+		peer: peerAddress(ctx), loggedNacks: map[string]string{}}
 	defer func() {
 		if p := recover(); p != nil { // it stops here; the proxy comes again
 			log.Error("panic at a stream", "peer", x.peer, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
@@ -51,8 +51,8 @@
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h.join(x)
-	defer h.leave(x)
+	h.addStream(x)
+	defer h.removeStream(x)
 
 	requests, ended := make(chan *xds.Request), make(chan error, 2)
 	go func() {
@@ -99,10 +99,10 @@
 	var seen uint64
 	writing := false
 	for {
-		if s, version := x.hub.newest(x.view); version != seen {
+		if s, version := x.hub.latest(x.view); version != seen {
 			seen = version
 			x.mu.Lock()
-			x.core.Update(s)
+			x.core.SetSnapshot(s)
 			x.mu.Unlock()
 		}
 		var r *xds.Response
@@ -112,8 +112,8 @@
 		if !writing {
 			r, wait = x.core.Next(now)
 		}
-		if open := x.core.Undrained(now); open > 0 && open < ackWithin && (wait == 0 || ackWithin-open < wait) {
-			wait = ackWithin - open
+		if open := x.core.DrainAckPending(now); open > 0 && open < drainAckTimeout && (wait == 0 || drainAckTimeout-open < wait) {
+			wait = drainAckTimeout - open
 		}
 		x.mu.Unlock()
 		if r != nil {
@@ -121,7 +121,7 @@
 			case out <- r:
 				writing = true
 			case err := <-ended:
-				return end(err)
+				return streamError(err)
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -131,16 +131,16 @@
 		}
 		select {
 		case q := <-requests:
-			if err := x.take(q); err != nil {
+			if err := x.handleRequest(q); err != nil {
 				return err
 			}
 		case <-x.wake:
 		case <-written:
 			writing = false
 		case <-timer.C:
-			x.lateDrain()
+			x.logLateDrain()
 		case err := <-ended:
-			return end(err)
+			return streamError(err)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -148,59 +148,59 @@
 }
 
 // end is how a stream ends whose proxy has closed it.
-func end(err error) error {
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-func (x *stream) take(q *xds.Request) error {
+func (x *stream) handleRequest(q *xds.Request) error {
 	x.mu.Lock()
-	first := x.core.Node == "" && q.Node != ""
-	err := x.core.Take(x.hub.now(), q)
-	drains := x.core.Drains()
+	first := x.core.NodeID == "" && q.NodeID != ""
+	err := x.core.HandleRequest(x.hub.now(), q)
+	drains := x.core.TakeDrainAcks()
 	if len(drains) > 0 {
-		x.last = drains[len(drains)-1]
+		x.lastDrainAck = drains[len(drains)-1]
 	}
 	x.mu.Unlock()
 	if err != nil {
-		x.log.Warn("a stream is ended: its proxy breaks the protocol", "peer", x.peer, "node", x.node(), "error", err)
+		x.log.Warn("a stream is ended: its proxy breaks the protocol", "peer", x.peer, "node", x.nodeID(), "error", err)
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	if first {
-		x.log.Info("proxy connected", "node", q.Node, "peer", x.peer, "delta", x.delta)
+		x.log.Info("proxy connected", "node", q.NodeID, "peer", x.peer, "delta", x.delta)
 	}
 	if len(drains) > 0 {
-		x.hub.drained(drains)
-		x.late = false
+		x.hub.recordDrainAcks(drains)
+		x.lateDrainLogged = false
 	}
 	// One line for each text: a proxy that refuses everything must not fill the log.
-	if q.Refused != "" && x.refuse[q.TypeURL] != q.Refused {
-		x.refuse[q.TypeURL] = q.Refused
-		x.log.Warn("a proxy refuses resources", "node", x.node(), "type", q.TypeURL, "why", q.Refused[:min(len(q.Refused), 512)])
+	if q.NackReason != "" && x.loggedNacks[q.TypeURL] != q.NackReason {
+		x.loggedNacks[q.TypeURL] = q.NackReason
+		x.log.Warn("a proxy refuses resources", "node", x.nodeID(), "type", q.TypeURL, "why", q.NackReason[:min(len(q.NackReason), 512)])
 	}
 	return nil
 }
 
 // lateDrain logs a proxy that has not answered in time that endpoints take nothing new, once.
-func (x *stream) lateDrain() {
+func (x *stream) logLateDrain() {
 	x.mu.Lock()
-	late := x.core.Undrained(x.hub.now())
+	late := x.core.DrainAckPending(x.hub.now())
 	x.mu.Unlock()
-	if late >= ackWithin && !x.late {
-		x.late = true
-		x.log.Warn("a proxy has not taken word of a drain", "node", x.node(), "peer", x.peer, "for", late.Round(time.Millisecond))
+	if late >= drainAckTimeout && !x.lateDrainLogged {
+		x.lateDrainLogged = true
+		x.log.Warn("a proxy has not taken word of a drain", "node", x.nodeID(), "peer", x.peer, "for", late.Round(time.Millisecond))
 	}
 }
 
-func (x *stream) node() string {
+func (x *stream) nodeID() string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.core.Node
+	return x.core.NodeID
 }
 
-func (x *stream) poke() {
+func (x *stream) notify() {
 	select {
 	case x.wake <- struct{}{}:
 	default:
@@ -211,6 +211,6 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.hub.now()
-	return ProxyStatus{Node: x.core.Node, Peer: x.peer, Delta: x.delta, ConnectedFor: now - x.began, UnknownTypes: x.core.Unknown, Types: x.core.State(now),
-		LastDrainAck: x.last, DrainAckPending: x.core.Undrained(now)}
+	return ProxyStatus{Node: x.core.NodeID, Peer: x.peer, Delta: x.delta, ConnectedFor: now - x.connectedAt, UnknownTypes: x.core.UnknownTypes, Types: x.core.State(now),
+		LastDrainAck: x.lastDrainAck, DrainAckPending: x.core.DrainAckPending(now)}
 }
