--- a/internal/xdsserver/loadstats.go
+++ b/internal/xdsserver/loadstats.go
@@ -19,57 +19,58 @@
 	"kitewood/internal/xds"
 )
 
-// Reports takes what proxies report. Any goroutine may call it; a proxy is known by its connection, as nodes may share an
-// id.
+// LoadReportHandler receives the load reports of proxies. It has to be safe for concurrent use. A proxy is identified by its
+// node ID and its connection, as several nodes may share an ID.
 type LoadReportHandler interface {
 	OnReport(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats)
 	OnDisconnect(proxy string)
 }
 
-// reportEvery is the interval that proxies are asked to report at.
+// loadReportInterval is the reporting interval requested from proxies.
 const loadReportInterval = time.Second
 
-// maxEndpoints is how many endpoints a report may name.
+// maxReportEndpoints is the maximum number of endpoints in a report.
 const maxReportEndpoints = 20_000
 
-// StreamLoadStats is the load reporting service: proxies are asked for all clusters, by endpoint.
-func (s *Server) StreamLoadStats(w loadstats.LoadReportingService_StreamLoadStatsServer) error {
-	rights, err := s.authorizeProxy(w.Context())
+// StreamLoadStats implements the load reporting service. It requests reports for all clusters, by endpoint.
+func (s *Server) StreamLoadStats(stream loadstats.LoadReportingService_StreamLoadStatsServer) error {
+	rights, err := s.authorizeProxy(stream.Context())
 	if err != nil {
 		return err
 	}
-	q, err := w.Recv()
+	request, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	proxy := q.GetNode().GetId()
+	proxy := request.GetNode().GetId()
 	if len(proxy) > xds.MaxNodeIDBytes {
 		return status.Errorf(codes.InvalidArgument, "the node id is over %d bytes", xds.MaxNodeIDBytes)
 	}
-	proxy += " " + peerAddress(w.Context())
+	proxy += " " + peerAddress(stream.Context())
 	defer s.reports.OnDisconnect(proxy)
-	if err := w.Send(&loadstats.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
+	if err := stream.Send(&loadstats.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(loadReportInterval)}); err != nil {
 		return err
 	}
 	for {
-		q, err := w.Recv()
+		request, err := stream.Recv()
 		if err != nil {
 			return streamError(err)
 		}
-		for _, c := range q.ClusterStats {
-			if len(rights.Pools) > 0 && !slices.Contains(rights.Pools, c.ClusterName) {
-				continue // what it says of others' pools is not believed
+		for _, cluster := range request.ClusterStats {
+			if len(rights.Pools) > 0 && !slices.Contains(rights.Pools, cluster.ClusterName) {
+				continue // reports on pools that the proxy has no rights for are ignored
 			}
-			stats, err := endpointStats(c)
+			stats, err := endpointStats(cluster)
 			if err != nil {
 				return err
 			}
-			s.reports.OnReport(proxy, c.ClusterName, c.GetLoadReportInterval().AsDuration(), stats)
+			s.reports.OnReport(proxy, cluster.ClusterName, cluster.GetLoadReportInterval().AsDuration(), stats)
 		}
 	}
 }
 
+// peerAddress returns the address of the proxy, "" if it is unknown.
 func peerAddress(ctx context.Context) string {
 	if p, ok := peer.FromContext(ctx); ok {
 		return p.Addr.String()
@@ -77,27 +78,27 @@
 	return ""
 }
 
-// statsOf are the endpoints of a report, by address and port.
-func endpointStats(c *endpoint.ClusterStats) (map[string]loads.Stats, error) {
-	out := map[string]loads.Stats{}
-	for _, z := range c.UpstreamLocalityStats {
-		for _, e := range z.UpstreamEndpointStats {
-			at := e.GetAddress().GetSocketAddress()
-			if at == nil {
+// endpointStats returns the statistics of the endpoints in a report, by address and port.
+func endpointStats(cluster *endpoint.ClusterStats) (map[string]loads.Stats, error) {
+	stats := map[string]loads.Stats{}
+	for _, locality := range cluster.UpstreamLocalityStats {
+		for _, ep := range locality.UpstreamEndpointStats {
+			address := ep.GetAddress().GetSocketAddress()
+			if address == nil {
 				continue
 			}
-			if len(out) >= maxReportEndpoints {
+			if len(stats) >= maxReportEndpoints {
 				return nil, status.Errorf(codes.InvalidArgument, "a report names over %d endpoints", maxReportEndpoints)
 			}
-			x := loads.Stats{InProgress: e.TotalRequestsInProgress, OK: e.TotalSuccessfulRequests,
-				Failed: e.TotalErrorRequests, Metrics: map[string]loads.Metric{}}
-			for _, m := range e.LoadMetricStats {
-				x.Metrics[m.MetricName] = loads.Metric{Samples: m.NumRequestsFinishedWithMetric, Sum: m.TotalMetricValue}
+			s := loads.Stats{InProgress: ep.TotalRequestsInProgress, OK: ep.TotalSuccessfulRequests,
+				Failed: ep.TotalErrorRequests, Metrics: map[string]loads.Metric{}}
+			for _, m := range ep.LoadMetricStats {
+				s.Metrics[m.MetricName] = loads.Metric{Samples: m.NumRequestsFinishedWithMetric, Sum: m.TotalMetricValue}
 			}
-			out[hostPort(at)] = x
+			stats[hostPort(address)] = s
 		}
 	}
-	return out, nil
+	return stats, nil
 }
 
 func hostPort(a *core.SocketAddress) string {
--- a/internal/xdsserver/server.go
+++ b/internal/xdsserver/server.go
@@ -19,7 +19,8 @@
 	"kitewood/internal/xds"
 )
 
-// Server offers the aggregated discovery service and that of each type, in both variants.
+// Server implements the aggregated discovery service and that of each resource type, in both protocol variants, and the load
+// reporting service.
 type Server struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	clusterservice.UnimplementedClusterDiscoveryServiceServer
@@ -35,13 +36,13 @@
 	log       *slog.Logger
 }
 
-// Identify finds what the proxy of a connection may have; an error lets it have nothing.
+// Authorize returns the rights of the proxy that opened a stream with the given context. An error denies access.
 type Authorize func(context.Context) (*Rights, error)
 
-// Anybody may have all.
+// AllowAll is an Authorize function that grants every proxy all rights.
 func AllowAll(context.Context) (*Rights, error) { return &Rights{}, nil }
 
-// rights are those of a proxy, or the protocol's word for that it has none.
+// authorizeProxy returns the rights of a proxy, or a PermissionDenied status if it has none.
 func (s *Server) authorizeProxy(ctx context.Context) (*Rights, error) {
 	r, err := s.authorize(ctx)
 	if err != nil {
@@ -52,8 +53,8 @@
 }
 
 // Register adds the services to a gRPC server.
-func Register(g *grpc.Server, hub *Hub, reports LoadReportHandler, identify Authorize, log *slog.Logger) {
-	s := &Server{hub: hub, reports: reports, authorize: identify, log: log}
+func Register(g *grpc.Server, hub *Hub, reports LoadReportHandler, authorize Authorize, log *slog.Logger) {
+	s := &Server{hub: hub, reports: reports, authorize: authorize, log: log}
 	loadstats.RegisterLoadReportingServiceServer(g, s)
 	discovery.RegisterAggregatedDiscoveryServiceServer(g, s)
 	clusterservice.RegisterClusterDiscoveryServiceServer(g, s)
@@ -62,65 +63,68 @@
 	routeservice.RegisterRouteDiscoveryServiceServer(g, s)
 }
 
-// whole is a stream of state of the world.
+// sotwStream is a gRPC stream of the state-of-the-world variant.
 type sotwStream interface {
 	Send(*discovery.DiscoveryResponse) error
 	Recv() (*discovery.DiscoveryRequest, error)
 	Context() context.Context
 }
 
-// changes is a delta stream.
+// deltaStream is a gRPC stream of the delta variant.
 type deltaStream interface {
 	Send(*discovery.DeltaDiscoveryResponse) error
 	Recv() (*discovery.DeltaDiscoveryRequest, error)
 	Context() context.Context
 }
 
-// serve runs a stream of a proxy that may have something.
-func (s *Server) serveStream(ctx context.Context, delta bool, only string, recv func() (*xds.Request, error), send func(*xds.Response) error) error {
+// serveStream authorizes the proxy and serves its stream.
+func (s *Server) serveStream(ctx context.Context, delta bool, onlyType string, recv func() (*xds.Request, error), send func(*xds.Response) error) error {
 	rights, err := s.authorizeProxy(ctx)
 	if err != nil {
 		return err
 	}
-	return s.hub.serveStream(ctx, s.log, rights.View, delta, only, recv, send)
+	return s.hub.serveStream(ctx, s.log, rights.View, delta, onlyType, recv, send)
 }
 
-func (s *Server) serveSotW(w sotwStream, only string) error {
-	return s.serveStream(w.Context(), false, only, func() (*xds.Request, error) {
-		q, err := w.Recv()
+// serveSotW serves a stream of the state-of-the-world variant, for one type or, if onlyType is "", for all.
+func (s *Server) serveSotW(stream sotwStream, onlyType string) error {
+	return s.serveStream(stream.Context(), false, onlyType, func() (*xds.Request, error) {
+		request, err := stream.Recv()
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{NodeID: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, NackReason: nackReason(q.ErrorDetail),
-			Names: q.ResourceNames, Version: q.VersionInfo}, nil
+		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce, NackReason: nackReason(request.ErrorDetail),
+			Names: request.ResourceNames, Version: request.VersionInfo}, nil
 	}, func(r *xds.Response) error {
-		out := &discovery.DiscoveryResponse{TypeUrl: r.TypeURL, VersionInfo: r.Version, Nonce: r.Nonce, Resources: make([]*anypb.Any, len(r.Resources))}
+		message := &discovery.DiscoveryResponse{TypeUrl: r.TypeURL, VersionInfo: r.Version, Nonce: r.Nonce, Resources: make([]*anypb.Any, len(r.Resources))}
 		for i, x := range r.Resources {
-			out.Resources[i] = x.Body
+			message.Resources[i] = x.Body
 		}
-		return w.Send(out)
+		return stream.Send(message)
 	})
 }
 
-func (s *Server) serveDelta(w deltaStream, only string) error {
-	return s.serveStream(w.Context(), true, only, func() (*xds.Request, error) {
-		q, err := w.Recv()
+// serveDelta serves a stream of the delta variant, for one type or, if onlyType is "", for all.
+func (s *Server) serveDelta(stream deltaStream, onlyType string) error {
+	return s.serveStream(stream.Context(), true, onlyType, func() (*xds.Request, error) {
+		request, err := stream.Recv()
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{NodeID: q.GetNode().GetId(), TypeURL: q.TypeUrl, Nonce: q.ResponseNonce, NackReason: nackReason(q.ErrorDetail),
-			Subscribe: q.ResourceNamesSubscribe, Unsubscribe: q.ResourceNamesUnsubscribe, InitialVersions: q.InitialResourceVersions}, nil
+		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce, NackReason: nackReason(request.ErrorDetail),
+			Subscribe: request.ResourceNamesSubscribe, Unsubscribe: request.ResourceNamesUnsubscribe, InitialVersions: request.InitialResourceVersions}, nil
 	}, func(r *xds.Response) error {
-		out := &discovery.DeltaDiscoveryResponse{TypeUrl: r.TypeURL, SystemVersionInfo: r.Version, Nonce: r.Nonce, RemovedResources: r.Removed,
+		message := &discovery.DeltaDiscoveryResponse{TypeUrl: r.TypeURL, SystemVersionInfo: r.Version, Nonce: r.Nonce, RemovedResources: r.Removed,
 			Resources: make([]*discovery.Resource, len(r.Resources))}
 		for i, x := range r.Resources {
-			out.Resources[i] = &discovery.Resource{Name: x.Name, Version: x.Version, Resource: x.Body}
+			message.Resources[i] = &discovery.Resource{Name: x.Name, Version: x.Version, Resource: x.Body}
 		}
-		return w.Send(out)
+		return stream.Send(message)
 	})
 }
 
-// refused is why a response was refused, "" if it was not: a refusal without a text is one, too.
+// nackReason returns the error message of a NACK, or "" for an ACK. A NACK without a message is still a NACK, and gets a
+// substitute message.
 func nackReason(detail *rpc.Status) string {
 	if detail != nil && detail.Message == "" {
 		return "it does not say why"
@@ -128,52 +132,52 @@
 	return detail.GetMessage()
 }
 
-// StreamAggregatedResources serves all types, state of the world.
+// StreamAggregatedResources implements the state-of-the-world discovery service for all types.
 func (s *Server) StreamAggregatedResources(w discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	return s.serveSotW(w, "")
 }
 
-// DeltaAggregatedResources serves all types, delta.
+// DeltaAggregatedResources implements the delta discovery service for all types.
 func (s *Server) DeltaAggregatedResources(w discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	return s.serveDelta(w, "")
 }
 
-// StreamClusters serves clusters, state of the world.
+// StreamClusters implements the state-of-the-world discovery service for clusters.
 func (s *Server) StreamClusters(w clusterservice.ClusterDiscoveryService_StreamClustersServer) error {
 	return s.serveSotW(w, xds.TypeCluster)
 }
 
-// DeltaClusters serves clusters, delta.
+// DeltaClusters implements the delta discovery service for clusters.
 func (s *Server) DeltaClusters(w clusterservice.ClusterDiscoveryService_DeltaClustersServer) error {
 	return s.serveDelta(w, xds.TypeCluster)
 }
 
-// StreamEndpoints serves endpoints, state of the world.
+// StreamEndpoints implements the state-of-the-world discovery service for endpoints.
 func (s *Server) StreamEndpoints(w endpointservice.EndpointDiscoveryService_StreamEndpointsServer) error {
 	return s.serveSotW(w, xds.TypeEndpoint)
 }
 
-// DeltaEndpoints serves endpoints, delta.
+// DeltaEndpoints implements the delta discovery service for endpoints.
 func (s *Server) DeltaEndpoints(w endpointservice.EndpointDiscoveryService_DeltaEndpointsServer) error {
 	return s.serveDelta(w, xds.TypeEndpoint)
 }
 
-// StreamListeners serves listeners, state of the world.
+// StreamListeners implements the state-of-the-world discovery service for listeners.
 func (s *Server) StreamListeners(w listenerservice.ListenerDiscoveryService_StreamListenersServer) error {
 	return s.serveSotW(w, xds.TypeListener)
 }
 
-// DeltaListeners serves listeners, delta.
+// DeltaListeners implements the delta discovery service for listeners.
 func (s *Server) DeltaListeners(w listenerservice.ListenerDiscoveryService_DeltaListenersServer) error {
 	return s.serveDelta(w, xds.TypeListener)
 }
 
-// StreamRoutes serves routes, state of the world.
+// StreamRoutes implements the state-of-the-world discovery service for routes.
 func (s *Server) StreamRoutes(w routeservice.RouteDiscoveryService_StreamRoutesServer) error {
 	return s.serveSotW(w, xds.TypeRoute)
 }
 
-// DeltaRoutes serves routes, delta.
+// DeltaRoutes implements the delta discovery service for routes.
 func (s *Server) DeltaRoutes(w routeservice.RouteDiscoveryService_DeltaRoutesServer) error {
 	return s.serveDelta(w, xds.TypeRoute)
 }
--- a/internal/xdsserver/server_test.go
+++ b/internal/xdsserver/server_test.go
@@ -24,11 +24,11 @@
 	"kitewood/internal/xds"
 )
 
-// start runs a server in memory.
+// startTestServer starts a server on an in-memory connection.
 func startTestServer(t *testing.T) (*Hub, *grpc.ClientConn, *testkit.Log) {
 	t.Helper()
-	began := time.Now()
-	hub, log := NewHub(func() time.Duration { return time.Since(began) }), &testkit.Log{}
+	started := time.Now()
+	hub, log := NewHub(func() time.Duration { return time.Since(started) }), &testkit.Log{}
 	g := grpc.NewServer()
 	Register(g, hub, nil, AllowAll, slog.New(slog.NewTextHandler(log, nil)))
 	ln := bufconn.Listen(1 << 16)
@@ -43,10 +43,10 @@
 	return hub, conn, log
 }
 
-// publish gives the hub endpoints of one cluster, some kilobytes of them.
-func publishEndpoints(t *testing.T, hub *Hub, version int, safety uint64) {
+// publishEndpoints publishes a resource of 8 KiB with the endpoints of one cluster.
+func publishEndpoints(t *testing.T, hub *Hub, version int, urgentHash uint64) {
 	t.Helper()
-	r, err := xds.NewResource("a", safety, wrapperspb.String(fmt.Sprint(version, strings.Repeat("x", 8<<10))))
+	r, err := xds.NewResource("a", urgentHash, wrapperspb.String(fmt.Sprint(version, strings.Repeat("x", 8<<10))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,9 +57,11 @@
 	hub.Publish(map[string]*xds.Snapshot{"": s})
 }
 
+// endpointRequest subscribes to the endpoints of the published cluster.
 var endpointRequest = &discovery.DiscoveryRequest{Node: &core.Node{Id: "p"}, TypeUrl: xds.TypeEndpoint, ResourceNames: []string{"a"}}
 
-// A proxy that never reads keeps nobody waiting, and a stream is sent nothing before there is a snapshot.
+// TestSlowProxyDoesNotDelayOthers checks that a proxy that never reads does not delay others, and that a stream is sent nothing
+// before the first snapshot.
 func TestSlowProxyDoesNotDelayOthers(t *testing.T) {
 	hub, conn, log := startTestServer(t)
 	api := discovery.NewAggregatedDiscoveryServiceClient(conn)
@@ -67,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := stuck.Send(endpointRequest); err != nil { // and it never receives
+	if err := stuck.Send(endpointRequest); err != nil { // this proxy never receives
 		t.Fatal(err)
 	}
 	good, err := endpointservice.NewEndpointDiscoveryServiceClient(conn).StreamEndpoints(t.Context())
@@ -77,26 +79,27 @@
 	if err := good.Send(endpointRequest); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "both are there", func() bool { p, _ := hub.Status(); return len(p) == 2 && len(p[0].Types)+len(p[1].Types) == 2 })
+	testkit.Until(t, "both streams are open and subscribed", func() bool { p, _ := hub.Status(); return len(p) == 2 && len(p[0].Types)+len(p[1].Types) == 2 })
 	for n := range 200 {
 		publishEndpoints(t, hub, n, uint64(n))
 		r, err := good.Recv()
 		if err != nil || len(r.Resources) != 1 {
 			t.Fatal(err)
 		}
-		answer := &discovery.DiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResourceNames: []string{"a"}, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo}
-		if err := good.Send(answer); err != nil {
+		ack := &discovery.DiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResourceNames: []string{"a"}, ResponseNonce: r.Nonce, VersionInfo: r.VersionInfo}
+		if err := good.Send(ack); err != nil {
 			t.Fatal(err)
 		}
 	}
-	testkit.Until(t, "its drains are counted", func() bool { _, drains := hub.Status(); return len(drains) > 0 })
-	testkit.Until(t, "the other is told of", func() bool { return log.Count("has not taken word of a drain") > 0 })
-	if n := log.Count("has not taken word of a drain"); n != 1 {
-		t.Errorf("%d lines", n)
+	testkit.Until(t, "drain acknowledgements are counted", func() bool { _, drainAcks := hub.Status(); return len(drainAcks) > 0 })
+	testkit.Until(t, "the proxy without an ACK is logged", func() bool { return log.Count("has not acknowledged a drain in time") > 0 })
+	if n := log.Count("has not acknowledged a drain in time"); n != 1 {
+		t.Errorf("late drain logged %d times, want once", n)
 	}
 }
 
-// A refusal is logged once for each text and shown; it ends no stream.
+// TestNackIsLoggedAndShown checks that a NACK is logged once per error message and part of the status, and that it does not end
+// the stream.
 func TestNackIsLoggedAndShown(t *testing.T) {
 	hub, conn, log := startTestServer(t)
 	s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(t.Context())
@@ -115,18 +118,19 @@
 		if err := s.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResponseNonce: r.Nonce, ErrorDetail: &status.Status{Code: 3, Message: "odd"}}); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "it is shown", func() bool {
+		testkit.Until(t, "the NACK is part of the status", func() bool {
 			p, _ := hub.Status()
 			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].NackReason == "odd"
 		})
 		publishEndpoints(t, hub, n+1, 0)
 	}
-	if n := log.Count("refuses resources"); n != 1 {
-		t.Errorf("%d lines for one text", n)
+	if n := log.Count("proxy rejected resources"); n != 1 {
+		t.Errorf("NACK logged %d times for one error message, want once", n)
 	}
 }
 
-// Whoever breaks the protocol is cut off with its word for it; others stay.
+// TestProtocolErrorEndsStream checks that a stream that violates the protocol ends with InvalidArgument, and that others stay
+// open.
 func TestProtocolErrorEndsStream(t *testing.T) {
 	hub, conn, _ := startTestServer(t)
 	publishEndpoints(t, hub, 0, 0)
@@ -140,9 +144,9 @@
 		t.Fatal(err)
 	}
 	for name, q := range map[string]*discovery.DiscoveryRequest{
-		"a huge node id":    {Node: &core.Node{Id: strings.Repeat("n", 10_000)}, TypeUrl: xds.TypeCluster},
-		"a huge name":       {TypeUrl: xds.TypeEndpoint, ResourceNames: []string{strings.Repeat("n", 10_000)}},
-		"names without end": {TypeUrl: xds.TypeEndpoint, ResourceNames: make([]string, xds.MaxNames+1)},
+		"oversized node id":       {Node: &core.Node{Id: strings.Repeat("n", 10_000)}, TypeUrl: xds.TypeCluster},
+		"oversized resource name": {TypeUrl: xds.TypeEndpoint, ResourceNames: []string{strings.Repeat("n", 10_000)}},
+		"too many names":          {TypeUrl: xds.TypeEndpoint, ResourceNames: make([]string, xds.MaxNames+1)},
 	} {
 		s, err := api.StreamAggregatedResources(t.Context())
 		if err != nil {
@@ -150,7 +154,7 @@
 		}
 		s.Send(q)
 		if _, err := s.Recv(); grpcstatus.Code(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want InvalidArgument", name, err)
 		}
 	}
 	s, err := api.StreamAggregatedResources(t.Context())
@@ -160,12 +164,12 @@
 	s.Send(&discovery.DiscoveryRequest{TypeUrl: "type.googleapis.com/odd"})
 	s.Send(endpointRequest)
 	if _, err := s.Recv(); err != nil {
-		t.Errorf("a type that is not served ended the stream: %v", err)
+		t.Errorf("an unsupported type ended the stream: %v", err)
 	}
 	publishEndpoints(t, hub, 1, 1)
 	if _, err := good.Recv(); err != nil {
-		t.Errorf("another stream: %v", err)
+		t.Errorf("the other stream ended: %v", err)
 	}
 	s.CloseSend()
-	testkit.Until(t, "only the good ones are left", func() bool { p, _ := hub.Status(); return len(p) == 1 })
+	testkit.Until(t, "only the valid open stream is left", func() bool { p, _ := hub.Status(); return len(p) == 1 })
 }
--- a/internal/xdsserver/stream.go
+++ b/internal/xdsserver/stream.go
@@ -16,11 +16,11 @@
 	"kitewood/internal/xds"
 )
 
-// ackWithin is how long a proxy may take to answer a response that says that endpoints take nothing new, before it is
-// logged: what it goes on sending there comes too late.
+// drainAckTimeout is how long a proxy may take to acknowledge an urgent endpoint update, such as a drain, before this is logged:
+// requests that it still sends to the draining endpoints then arrive too late.
 const drainAckTimeout = 400 * time.Millisecond
 
-// stream is a stream of a proxy on its way through gRPC.
+// stream connects the protocol state of a stream with its gRPC stream.
 type stream struct {
 	hub         *Hub
 	log         *slog.Logger
@@ -28,52 +28,52 @@
 	view        string
 	delta       bool
 	connectedAt time.Duration
-	wake        chan struct{} // there is another snapshot
+	wake        chan struct{} // signals a new snapshot
 
-	mu           sync.Mutex // guards core for those who look
-	core         *xds.Stream
-	lastDrainAck time.Duration // from word to answer of the last drain
+	mu           sync.Mutex // guards state and lastDrainAck, which Status reads
+	state        *xds.Stream
+	lastDrainAck time.Duration // time until the last drain was acknowledged
 
-	lateDrainLogged bool // a drain that has no answer in time was logged
-	loggedNacks     map[string]string
+	lateDrainLogged bool              // the current drain without a timely ACK was logged
+	loggedNacks     map[string]string // last logged NACK reason by type URL
 }
 
-// serve runs a stream to its end.
-func (h *Hub) serveStream(ctx context.Context, log *slog.Logger, view string, delta bool, only string, recv func() (*xds.Request, error),
+// serveStream runs a stream until it ends.
+func (h *Hub) serveStream(ctx context.Context, log *slog.Logger, view string, delta bool, onlyType string, recv func() (*xds.Request, error),
 	send func(*xds.Response) error) (err error) {
-	x := &stream{hub: h, log: log, view: view, delta: delta, connectedAt: h.now(), wake: make(chan struct{}, 1), core: xds.NewStream(delta, only),
+	s := &stream{hub: h, log: log, view: view, delta: delta, connectedAt: h.now(), wake: make(chan struct{}, 1), state: xds.NewStream(delta, onlyType),
 		peer: peerAddress(ctx), loggedNacks: map[string]string{}}
 	defer func() {
-		if p := recover(); p != nil { // it stops here; the proxy comes again
-			log.Error("panic at a stream", "peer", x.peer, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+		if p := recover(); p != nil { // ends this stream only; the proxy reconnects
+			log.Error("panic in xDS stream", "peer", s.peer, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			err = status.Error(codes.Internal, "failed")
 		}
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h.addStream(x)
-	defer h.removeStream(x)
+	h.addStream(s)
+	defer h.removeStream(s)
 
 	requests, ended := make(chan *xds.Request), make(chan error, 2)
 	go func() {
 		for {
-			q, err := recv()
+			r, err := recv()
 			if err != nil {
 				ended <- err
 				return
 			}
 			select {
-			case requests <- q:
+			case requests <- r:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	out, written := make(chan *xds.Response), make(chan struct{})
+	responses, written := make(chan *xds.Response), make(chan struct{})
 	go func() {
 		for {
 			select {
-			case r := <-out:
+			case r := <-responses:
 				if err := send(r); err != nil {
 					ended <- err
 					return
@@ -88,37 +88,38 @@
 			}
 		}
 	}()
-	return x.run(ctx, requests, ended, out, written)
+	return s.run(ctx, requests, ended, responses, written)
 }
 
-// run owns the core. One response is written at a time; what changes meanwhile is gathered in the next.
-func (x *stream) run(ctx context.Context, requests <-chan *xds.Request, ended <-chan error, out chan<- *xds.Response,
+// run is the goroutine that owns the protocol state. One response is written at a time; changes in the meantime are combined in
+// the next.
+func (s *stream) run(ctx context.Context, requests <-chan *xds.Request, ended <-chan error, responses chan<- *xds.Response,
 	written <-chan struct{}) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var seen uint64
+	var current uint64
 	writing := false
 	for {
-		if s, version := x.hub.latest(x.view); version != seen {
-			seen = version
-			x.mu.Lock()
-			x.core.SetSnapshot(s)
-			x.mu.Unlock()
+		if snapshot, version := s.hub.latest(s.view); version != current {
+			current = version
+			s.mu.Lock()
+			s.state.SetSnapshot(snapshot)
+			s.mu.Unlock()
 		}
 		var r *xds.Response
 		wait := time.Duration(0)
-		x.mu.Lock()
-		now := x.hub.now()
+		s.mu.Lock()
+		now := s.hub.now()
 		if !writing {
-			r, wait = x.core.Next(now)
+			r, wait = s.state.Next(now)
 		}
-		if open := x.core.DrainAckPending(now); open > 0 && open < drainAckTimeout && (wait == 0 || drainAckTimeout-open < wait) {
-			wait = drainAckTimeout - open
+		if pending := s.state.DrainAckPending(now); pending > 0 && pending < drainAckTimeout && (wait == 0 || drainAckTimeout-pending < wait) {
+			wait = drainAckTimeout - pending
 		}
-		x.mu.Unlock()
+		s.mu.Unlock()
 		if r != nil {
 			select {
-			case out <- r:
+			case responses <- r:
 				writing = true
 			case err := <-ended:
 				return streamError(err)
@@ -130,15 +131,15 @@
 			timer.Reset(wait)
 		}
 		select {
-		case q := <-requests:
-			if err := x.handleRequest(q); err != nil {
+		case request := <-requests:
+			if err := s.handleRequest(request); err != nil {
 				return err
 			}
-		case <-x.wake:
+		case <-s.wake:
 		case <-written:
 			writing = false
 		case <-timer.C:
-			x.logLateDrain()
+			s.logLateDrain()
 		case err := <-ended:
 			return streamError(err)
 		case <-ctx.Done():
@@ -147,7 +148,7 @@
 	}
 }
 
-// end is how a stream ends whose proxy has closed it.
+// streamError returns the error with which a stream ends: nil if the proxy closed it.
 func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -155,62 +156,64 @@
 	return err
 }
 
-func (x *stream) handleRequest(q *xds.Request) error {
-	x.mu.Lock()
-	first := x.core.NodeID == "" && q.NodeID != ""
-	err := x.core.HandleRequest(x.hub.now(), q)
-	drains := x.core.TakeDrainAcks()
+// handleRequest passes a request to the protocol state and logs what operators need to know of it.
+func (s *stream) handleRequest(r *xds.Request) error {
+	s.mu.Lock()
+	first := s.state.NodeID == "" && r.NodeID != ""
+	err := s.state.HandleRequest(s.hub.now(), r)
+	drains := s.state.TakeDrainAcks()
 	if len(drains) > 0 {
-		x.lastDrainAck = drains[len(drains)-1]
+		s.lastDrainAck = drains[len(drains)-1]
 	}
-	x.mu.Unlock()
+	s.mu.Unlock()
 	if err != nil {
-		x.log.Warn("a stream is ended: its proxy breaks the protocol", "peer", x.peer, "node", x.nodeID(), "error", err)
+		s.log.Warn("closing xDS stream after protocol error", "peer", s.peer, "node", s.nodeID(), "error", err)
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	if first {
-		x.log.Info("proxy connected", "node", q.NodeID, "peer", x.peer, "delta", x.delta)
+		s.log.Info("proxy connected", "node", r.NodeID, "peer", s.peer, "delta", s.delta)
 	}
 	if len(drains) > 0 {
-		x.hub.recordDrainAcks(drains)
-		x.lateDrainLogged = false
+		s.hub.recordDrainAcks(drains)
+		s.lateDrainLogged = false
 	}
-	// One line for each text: a proxy that refuses everything must not fill the log.
-	if q.NackReason != "" && x.loggedNacks[q.TypeURL] != q.NackReason {
-		x.loggedNacks[q.TypeURL] = q.NackReason
-		x.log.Warn("a proxy refuses resources", "node", x.nodeID(), "type", q.TypeURL, "why", q.NackReason[:min(len(q.NackReason), 512)])
+	// One line per error message, so that a proxy that rejects every response does not fill the log.
+	if r.NackReason != "" && s.loggedNacks[r.TypeURL] != r.NackReason {
+		s.loggedNacks[r.TypeURL] = r.NackReason
+		s.log.Warn("proxy rejected resources", "node", s.nodeID(), "type", r.TypeURL, "why", r.NackReason[:min(len(r.NackReason), 512)])
 	}
 	return nil
 }
 
-// lateDrain logs a proxy that has not answered in time that endpoints take nothing new, once.
-func (x *stream) logLateDrain() {
-	x.mu.Lock()
-	late := x.core.DrainAckPending(x.hub.now())
-	x.mu.Unlock()
-	if late >= drainAckTimeout && !x.lateDrainLogged {
-		x.lateDrainLogged = true
-		x.log.Warn("a proxy has not taken word of a drain", "node", x.nodeID(), "peer", x.peer, "for", late.Round(time.Millisecond))
+// logLateDrain logs, once for each drain, that the proxy has not acknowledged it within drainAckTimeout.
+func (s *stream) logLateDrain() {
+	s.mu.Lock()
+	pending := s.state.DrainAckPending(s.hub.now())
+	s.mu.Unlock()
+	if pending >= drainAckTimeout && !s.lateDrainLogged {
+		s.lateDrainLogged = true
+		s.log.Warn("proxy has not acknowledged a drain in time", "node", s.nodeID(), "peer", s.peer, "for", pending.Round(time.Millisecond))
 	}
 }
 
-func (x *stream) nodeID() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.core.NodeID
+func (s *stream) nodeID() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.NodeID
 }
 
-func (x *stream) notify() {
+// notify signals a new snapshot without blocking.
+func (s *stream) notify() {
 	select {
-	case x.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (x *stream) status() ProxyStatus {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	now := x.hub.now()
-	return ProxyStatus{Node: x.core.NodeID, Peer: x.peer, Delta: x.delta, ConnectedFor: now - x.connectedAt, UnknownTypes: x.core.UnknownTypes, Types: x.core.State(now),
-		LastDrainAck: x.lastDrainAck, DrainAckPending: x.core.DrainAckPending(now)}
+func (s *stream) status() ProxyStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.hub.now()
+	return ProxyStatus{Node: s.state.NodeID, Peer: s.peer, Delta: s.delta, ConnectedFor: now - s.connectedAt, UnknownTypes: s.state.UnknownTypes, Types: s.state.State(now),
+		LastDrainAck: s.lastDrainAck, DrainAckPending: s.state.DrainAckPending(now)}
 }
