--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -27,28 +27,29 @@
 	goleak.VerifyTestMain(m)
 }
 
+// newEndpoint returns an endpoint with the given name and state.
 func newEndpoint(name string, state protocol.State) protocol.Endpoint {
 	return protocol.Endpoint{Name: name, Address: "10.0.0.1:1", State: state, Weight: 1, SinceMS: 5}
 }
 
-// Whoever comes back with a version gets to the same list by what he is told, whether or not the version is known; versions
-// only grow, also where the clock falls back, and over a restart with a later clock.
+// TestHistoryLeadsToCurrentList checks that the lines from any version, known or unknown, lead to the current list, and that
+// versions only grow, even when the clock moves back.
 func TestHistoryLeadsToCurrentList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHistory(rapid.Uint64().Draw(t, "tag"))
 		now, last := int64(1e12), int64(0)
-		type copied struct {
+		type savedList struct {
 			index int64
 			list  map[string]protocol.State
 		}
 		clone := func() map[string]protocol.State {
 			out := map[string]protocol.State{}
-			for name, d := range h.members {
-				out[name] = d.State
+			for name, endpoint := range h.members {
+				out[name] = endpoint.State
 			}
 			return out
 		}
-		copies := []copied{{0, nil}, {12345, map[string]protocol.State{"stray": protocol.Ready}}}
+		saved := []savedList{{0, nil}, {12345, map[string]protocol.State{"stray": protocol.Ready}}}
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
 			now += rapid.Int64Range(-5, 5).Draw(t, "clock")
 			var changed []protocol.Endpoint
@@ -60,13 +61,13 @@
 				t.Fatal(err)
 			}
 			if h.Index() <= last || h.Index() >= 1<<53 {
-				t.Fatalf("version %d after %d", h.Index(), last)
+				t.Fatalf("version %d published after %d", h.Index(), last)
 			}
 			last = h.Index()
-			copies = append(copies, copied{last, clone()})
+			saved = append(saved, savedList{last, clone()})
 		}
 		want := fmt.Sprint(clone())
-		for _, c := range copies {
+		for _, c := range saved {
 			lines, err := h.Since(c.index)
 			if err != nil {
 				t.Fatal(err)
@@ -79,15 +80,15 @@
 				if list.Snapshot || c.list == nil {
 					c.list = map[string]protocol.State{}
 				}
-				for _, d := range list.Endpoints {
-					if c.list[d.Name] = d.State; d.State == protocol.Gone {
-						delete(c.list, d.Name)
+				for _, endpoint := range list.Endpoints {
+					if c.list[endpoint.Name] = endpoint.State; endpoint.State == protocol.Gone {
+						delete(c.list, endpoint.Name)
 					}
 				}
 				c.index = list.Index
 			}
 			if fmt.Sprint(c.list) != want || c.index != last {
-				t.Fatalf("%v at %d, want %v at %d", c.list, c.index, want, last)
+				t.Fatalf("list %v at version %d, want %v at version %d", c.list, c.index, want, last)
 			}
 		}
 	})
@@ -97,13 +98,14 @@
 		h.Publish(1000+int64(i), []protocol.Endpoint{newEndpoint(fmt.Sprint(i), protocol.Ready)})
 	}
 	if lines, _ := h.Since(1000<<tagBits | 7); len(lines) != 1 {
-		t.Errorf("%d lines after more than are kept", len(lines))
+		t.Errorf("%d lines from a version before the oldest kept change, want a snapshot", len(lines))
 	}
 	if lines, _ := h.Since(h.firstIndex); len(lines) != maxChanges {
-		t.Errorf("%d lines from the first that is kept", len(lines))
+		t.Errorf("%d lines from the oldest version whose changes are kept, want all changes", len(lines))
 	}
 }
 
+// startTestServer starts a server without a list and returns its address.
 func startTestServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,17 +119,17 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		testkit.Until(t, "connections end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
+		testkit.Until(t, "all connections are closed", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
 	})
 	return s, ln.Addr().String()
 }
 
-// What is not the protocol's gets an answer that says so, and a connection may ask again.
+// TestRequests checks the replies to invalid requests, and that a connection may carry several requests.
 func TestRequests(t *testing.T) {
-	s, at := startTestServer(t)
-	ask := func(text string) string {
+	s, address := startTestServer(t)
+	send := func(text string) string {
 		t.Helper()
-		conn, err := net.Dial("tcp", at)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,10 +140,10 @@
 		return string(out)
 	}
 	get := func(target string) string {
-		return ask("GET " + target + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		return send("GET " + target + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	}
 	if out := get(listPath); !strings.HasPrefix(out, "HTTP/1.1 503 ") || !strings.Contains(out, "Retry-After: 1\r\n") {
-		t.Errorf("before a list is known: %q", out)
+		t.Errorf("reply before the first publication: %q", out)
 	}
 	s.Publish(time.Now(), []protocol.Endpoint{newEndpoint("a", protocol.Ready)})
 	for _, c := range []struct{ text, want string }{
@@ -152,13 +154,13 @@
 		{"GET " + listPath + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", `"name":"a"`},
 		{"GET " + listPath + "?since=1 HTTP/1.1\r\nHost: x\r\n\r\nGET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 404 "},
 	} {
-		if out := ask(c.text); !strings.Contains(out, c.want) {
-			t.Errorf("%q: %q", c.text, out)
+		if out := send(c.text); !strings.Contains(out, c.want) {
+			t.Errorf("reply to %q: %q", c.text, out)
 		}
 	}
 }
 
-// list is a Loop's part for a watch that is looked at.
+// testReceiver records the endpoint lists that a discovery client receives.
 type testReceiver struct {
 	mu        sync.Mutex
 	state     map[string]balance.State
@@ -166,39 +168,40 @@
 	lost      int
 }
 
-func (l *testReceiver) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *testReceiver) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if kind == balance.Full {
-		l.snapshots++
-		l.state = map[string]balance.State{}
+		r.snapshots++
+		r.state = map[string]balance.State{}
 	}
 	for _, m := range members {
-		l.state[m.Name] = m.State
+		r.state[m.Name] = m.State
 	}
 }
 
-func (l *testReceiver) SourceLost() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lost++
+func (r *testReceiver) SourceLost() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost++
 }
 
-func (l *testReceiver) hasState(name string, state balance.State) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.state[name] == state
+func (r *testReceiver) hasState(name string, state balance.State) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.state[name] == state
 }
 
-// The sidecar's own watch follows the server, and goes on from its version after a break; one that reads nothing holds it up not.
+// TestSidecarWatchFollowsServer checks that the sidecar's discovery client receives each change after one snapshot, and that a
+// watch that does not read does not delay it.
 func TestSidecarWatchFollowsServer(t *testing.T) {
-	s, at := startTestServer(t)
-	all := []protocol.Endpoint{newEndpoint("x", protocol.Ready)}
+	s, address := startTestServer(t)
+	endpoints := []protocol.Endpoint{newEndpoint("x", protocol.Ready)}
 	for i := range 2000 {
-		all = append(all, newEndpoint(fmt.Sprintf("filler-%04d-%s", i, strings.Repeat("f", 200)), protocol.Ready))
+		endpoints = append(endpoints, newEndpoint(fmt.Sprintf("filler-%04d-%s", i, strings.Repeat("f", 200)), protocol.Ready))
 	}
-	s.Publish(time.Now(), all)
-	slow, err := net.Dial("tcp", at)
+	s.Publish(time.Now(), endpoints)
+	slow, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,20 +209,20 @@
 	fmt.Fprintf(slow, "GET %s?follow=1 HTTP/1.1\r\nHost: x\r\n\r\n", listPath)
 	bufio.NewReaderSize(slow, 16).ReadString('\n')
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &testReceiver{}
-	d := transport.NewDiscoveryClient(ctx, at, l, slog.New(slog.DiscardHandler))
-	d.Watch(0)
-	testkit.Until(t, "the list", func() bool { return l.hasState("x", balance.Ready) })
+	r := &testReceiver{}
+	client := transport.NewDiscoveryClient(ctx, address, r, slog.New(slog.DiscardHandler))
+	client.Watch(0)
+	testkit.Until(t, "the first list is received", func() bool { return r.hasState("x", balance.Ready) })
 	for i := range 50 {
-		state, told := protocol.Draining, balance.Draining
+		state, want := protocol.Draining, balance.Draining
 		if i%2 > 0 {
-			state, told = protocol.Ready, balance.Ready
+			state, want = protocol.Ready, balance.Ready
 		}
 		s.Publish(time.Now(), []protocol.Endpoint{newEndpoint("x", state)})
-		testkit.Until(t, "the change", func() bool { return l.hasState("x", told) })
+		testkit.Until(t, "the change is received", func() bool { return r.hasState("x", want) })
 	}
-	if l.snapshots != 1 || s.Watches() != 2 {
-		t.Errorf("%d whole lists, %d watches", l.snapshots, s.Watches())
+	if r.snapshots != 1 || s.Watches() != 2 {
+		t.Errorf("%d snapshots and %d watches, want 1 and 2", r.snapshots, s.Watches())
 	}
 	cancel()
 	testkit.Until(t, "the watch ends", func() bool { return s.Watches() == 1 })
--- a/internal/directory/history.go
+++ b/internal/directory/history.go
@@ -1,5 +1,5 @@
-// Package directory offers a pool's list of destinations to sidecars by the platform's discovery protocol: the whole list, or a
-// watch that tells what changes.
+// Package directory serves a pool's endpoint list to sidecars over the platform's discovery protocol: as a snapshot, or as a
+// watch that reports changes.
 package directory
 
 import (
@@ -10,48 +10,50 @@
 	"kitewood/internal/protocol"
 )
 
-// kept is how many changes are kept for those who come back. Whoever was away for longer gets the whole list.
+// maxChanges is the number of changes kept for sidecars that reconnect. A sidecar that missed more receives a snapshot.
 const maxChanges = 1024
 
-// An index is a time in milliseconds, moved left by tagBits, and the tag of this run of this service: it grows over restarts as
-// the clock does, and no other service or run gives out the same, so that a sidecar which comes from another gets the whole
-// list. It stays below 2^53, which every reader of JSON can hold, until the year 2248.
+// tagBits is the size of the tag in an index. An index consists of a time in milliseconds, shifted left by tagBits, and the tag
+// of this run of this service. It grows with the clock over restarts, and differs from the indexes of other services and runs,
+// so that a sidecar that switches from another receives a snapshot. Until the year 2248 it stays below 2^53, up to which every
+// JSON reader represents integers exactly.
 const tagBits = 10
 
-// change is what one publication changed.
+// change is one publication: its index and its encoded list of changed endpoints.
 type change struct {
 	index int64
 	line  []byte
 }
 
-// History is a list with its last changes: a core without a socket or a clock. It is not safe for concurrent use.
+// History is an endpoint list with its most recent changes. It uses neither sockets nor a clock, and is not safe for concurrent
+// use.
 type History struct {
 	tag        int64
 	index      int64 // 0 before the first list
-	firstIndex int64 // index from which on all changes are kept
+	firstIndex int64 // changes after this index are kept
 	members    map[string]protocol.Endpoint
 	changes    []change
-	snapshot   []byte // of index; nil if it has not been asked for
+	snapshot   []byte // encoded list at index; nil until it is needed
 }
 
-// NewHistory returns a History without a list. tag tells this run of this service from others.
+// NewHistory returns a History without a list. The tag distinguishes this run of this service from others.
 func NewHistory(tag uint64) *History {
 	return &History{tag: int64(tag % (1 << tagBits)), members: map[string]protocol.Endpoint{}}
 }
 
-// Publish takes what changed at a Unix time in milliseconds; destinations that are gone leave the list. The first call is the
-// whole list.
+// Publish applies the endpoints that changed at a Unix time in milliseconds and removes those that are gone. The first call
+// gives the complete list.
 func (h *History) Publish(nowMS int64, changed []protocol.Endpoint) error {
 	index := max(nowMS, h.index>>tagBits+1)<<tagBits | h.tag
 	line, err := protocol.EndpointList{Index: index, Snapshot: h.index == 0, Endpoints: changed}.Encode()
 	if err != nil {
 		return err
 	}
-	for _, d := range changed {
-		if d.State == protocol.Gone {
-			delete(h.members, d.Name)
+	for _, endpoint := range changed {
+		if endpoint.State == protocol.Gone {
+			delete(h.members, endpoint.Name)
 		} else {
-			h.members[d.Name] = d
+			h.members[endpoint.Name] = endpoint
 		}
 	}
 	if h.snapshot = nil; h.index == 0 {
@@ -70,7 +72,7 @@
 // Index is the version of the list, 0 before the first.
 func (h *History) Index() int64 { return h.index }
 
-// Whole is the whole list on one line.
+// Snapshot returns the complete list, encoded as one line.
 func (h *History) Snapshot() ([]byte, error) {
 	if h.snapshot == nil {
 		list := protocol.EndpointList{Index: h.index, Snapshot: true}
@@ -83,24 +85,25 @@
 	return h.snapshot, nil
 }
 
-// Since are the lines that lead from an index to the newest: those of the changes if the index was given out by this History and
-// they are kept, else the whole list.
+// Since returns the lines that update a list from an index to the current one: the changes if the index is one of this History
+// and they are all kept, else a snapshot.
 func (h *History) Since(index int64) ([][]byte, error) {
 	if index != h.firstIndex {
-		at, found := slices.BinarySearchFunc(h.changes, index, func(c change, i int64) int { return cmp.Compare(c.index, i) })
+		position, found := slices.BinarySearchFunc(h.changes, index, func(c change, i int64) int { return cmp.Compare(c.index, i) })
 		if !found {
 			line, err := h.Snapshot()
 			return [][]byte{line}, err
 		}
-		return changeLines(h.changes[at+1:]), nil
+		return changeLines(h.changes[position+1:]), nil
 	}
 	return changeLines(h.changes), nil
 }
 
-func changeLines(all []change) [][]byte {
-	out := make([][]byte, len(all))
-	for i, c := range all {
-		out[i] = c.line
+// changeLines returns the encoded lines of changes.
+func changeLines(changes []change) [][]byte {
+	lines := make([][]byte, len(changes))
+	for i, c := range changes {
+		lines[i] = c.line
 	}
-	return out
+	return lines
 }
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // a watch gets an empty line this often while nothing changes: the protocol's figure
-	writeTimeout      = 5 * time.Second // a reader that takes a line in no more than this stays
-	idleTimeout       = time.Minute     // a connection without a call is closed after this
-	maxConns          = 4096            // connections at a time
+	heartbeatInterval = 2 * time.Second // a watch receives an empty line this often while nothing changes, as the protocol specifies
+	writeTimeout      = 5 * time.Second // a connection is closed if a write takes longer
+	idleTimeout       = time.Minute     // a connection without a request is closed after this
+	maxConns          = 4096            // concurrent connections
 	listPath          = "/registry/instances"
-	retryAfter        = time.Second // advice to who asks before the list is known
+	retryAfter        = time.Second // Retry-After of a 503 reply
 )
 
-// Server offers one list. Any goroutine may call it.
+// Server serves one endpoint list. It is safe for concurrent use.
 type Server struct {
 	log *slog.Logger
 
@@ -34,31 +34,31 @@
 	watches int
 }
 
-// NewServer returns a Server that knows no list yet.
+// NewServer returns a Server without a list.
 func NewServer(tag uint64, log *slog.Logger) *Server {
 	return &Server{log: log, history: NewHistory(tag), changed: make(chan struct{})}
 }
 
-// Publish tells all watches what changed. It waits for none of them.
+// Publish sends changed endpoints to all watches. It does not wait for them.
 func (s *Server) Publish(now time.Time, changed []protocol.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.history.Publish(now.UnixMilli(), changed); err != nil {
-		s.log.Error("the list cannot be written", "error", err)
+		s.log.Error("cannot encode endpoint list", "error", err)
 		return
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Watches tells how many watches are open.
+// Watches returns the number of open watches.
 func (s *Server) Watches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watches
 }
 
-// Serve takes connections until the context ends.
+// Serve accepts connections until the context ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	for {
@@ -69,8 +69,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			s.log.Error("discovery's listener", "error", err)
-			select { // a lack of descriptors, say
+			s.log.Error("cannot accept connection to discovery server", "error", err)
+			select { // pause, as the cause may be a lack of file descriptors
 			case <-time.After(100 * time.Millisecond):
 			case <-ctx.Done():
 			}
@@ -86,9 +86,9 @@
 			defer s.releaseConn()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			defer func() { // a panic ends the connection alone
+			defer func() { // a panic ends only this connection
 				if p := recover(); p != nil {
-					s.log.Error("panic at a watcher", "panic", fmt.Sprint(p))
+					s.log.Error("panic in discovery connection", "panic", fmt.Sprint(p))
 				}
 			}()
 			s.serveConn(conn)
@@ -96,6 +96,7 @@
 	}
 }
 
+// acquireConn counts a new connection, or returns false if maxConns is reached.
 func (s *Server) acquireConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,26 +113,26 @@
 	s.conns--
 }
 
-// converse answers one call after another.
+// serveConn answers the requests of a connection one after the other.
 func (s *Server) serveConn(conn net.Conn) {
-	var machine protocol.Parser
+	var parser protocol.Parser
 	buf := make([]byte, 4<<10)
-	var rest []byte
+	var unread []byte
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
-		if len(rest) == 0 {
+		if len(unread) == 0 {
 			n, err := conn.Read(buf)
 			if err != nil {
 				return
 			}
-			rest = buf[:n]
+			unread = buf[:n]
 		}
-		used, m, err := machine.Feed(rest)
-		rest = rest[used:]
-		var broken *protocol.Error
+		consumed, m, err := parser.Feed(unread)
+		unread = unread[consumed:]
+		var protocolErr *protocol.Error
 		switch {
-		case errors.As(err, &broken):
-			s.write(conn, protocol.LocalReply{Status: broken.Status, Reason: broken.Reason}.Encode(true))
+		case errors.As(err, &protocolErr):
+			s.write(conn, protocol.LocalReply{Status: protocolErr.Status, Reason: protocolErr.Reason}.Encode(true))
 			return
 		case err != nil:
 			return
@@ -149,63 +150,68 @@
 	}
 }
 
-func (s *Server) write(conn net.Conn, text []byte) bool {
+// write writes data within writeTimeout and returns whether it succeeded.
+func (s *Server) write(conn net.Conn, data []byte) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, err := conn.Write(text)
+	_, err := conn.Write(data)
 	return err == nil
 }
 
-// answer is the answer to a call, or the version from which on a watch is asked for.
+// respond returns the reply to a request. If the request starts a watch, it returns the version from which to watch instead, and
+// follow is true.
 func (s *Server) respond(m *protocol.Message) (reply []byte, since int64, follow bool) {
-	refuse := func(r protocol.LocalReply) ([]byte, int64, bool) { return r.Encode(m.Close), 0, false }
+	reject := func(r protocol.LocalReply) ([]byte, int64, bool) { return r.Encode(m.Close), 0, false }
 	m.ToOriginForm()
-	at, err := url.ParseRequestURI(m.StartLine[1])
-	if err != nil || at.Path != listPath {
-		return refuse(protocol.LocalReply{Status: 404, Reason: "here is " + listPath})
+	target, err := url.ParseRequestURI(m.StartLine[1])
+	if err != nil || target.Path != listPath {
+		return reject(protocol.LocalReply{Status: 404, Reason: "here is " + listPath})
 	}
 	if m.StartLine[0] != "GET" {
-		return refuse(protocol.LocalReply{Status: 405, Allow: "GET", Reason: "the list is read by GET"})
+		return reject(protocol.LocalReply{Status: 405, Allow: "GET", Reason: "the list is read by GET"})
 	}
-	q := at.Query()
-	if text := q.Get("since"); text != "" {
-		if since, err = strconv.ParseInt(text, 10, 64); err != nil {
-			return refuse(protocol.LocalReply{Status: 400, Reason: "since: a version is a whole number"})
+	query := target.Query()
+	if value := query.Get("since"); value != "" {
+		if since, err = strconv.ParseInt(value, 10, 64); err != nil {
+			return reject(protocol.LocalReply{Status: 400, Reason: "since: a version is a whole number"})
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.history.Index() == 0 {
-		return refuse(protocol.LocalReply{Status: 503, RetryAfter: retryAfter, Reason: "the list is not known yet"})
+		return reject(protocol.LocalReply{Status: 503, RetryAfter: retryAfter, Reason: "the list is not known yet"})
 	}
-	if q.Get("follow") != "" {
+	if query.Get("follow") != "" {
 		return nil, since, true
 	}
 	line, err := s.history.Snapshot()
 	if err != nil {
-		return refuse(protocol.LocalReply{Status: 500, Reason: "the list cannot be written"})
+		return reject(protocol.LocalReply{Status: 500, Reason: "the list cannot be written"})
 	}
-	end := ""
+	connection := ""
 	if m.Close {
-		end = "Connection: close\r\n"
+		connection = "Connection: close\r\n"
 	}
-	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s\n", end, len(line)+1, line), 0, false
+	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s\n",
+		connection, len(line)+1, line), 0, false
 }
 
-// lines are what leads from a version to the newest, the newest, and a channel that closes when there is more.
-func (s *Server) linesSince(since int64) (text [][]byte, index int64, more chan struct{}, err error) {
+// linesSince returns the lines that update a list from a version to the current one, the current version, and a channel that is
+// closed at the next publication.
+func (s *Server) linesSince(since int64) (lines [][]byte, index int64, more chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, err = s.history.Since(since)
-	return text, s.history.Index(), s.changed, err
+	lines, err = s.history.Since(since)
+	return lines, s.history.Index(), s.changed, err
 }
 
-// chunk appends a line as a chunk of the answer. The line is not copied: a thousand watchers share one of megabytes.
+// appendChunk appends a line as a chunk of the response body. It does not copy the line, as a thousand watches may share a line
+// of several megabytes.
 func appendChunk(out net.Buffers, line []byte) net.Buffers {
 	return append(out, fmt.Appendf(nil, "%x\r\n", len(line)+1), line, []byte("\n\r\n"))
 }
 
-// watch writes what changes until its connection ends. It holds nobody else up: each watch reads the lines, which all share, at
-// its own pace, and one that is too slow for its connection is closed.
+// serveWatch writes changes to a watch until its connection ends. Watches do not delay each other: each reads the shared lines at
+// its own pace, and a connection that accepts data too slowly is closed.
 func (s *Server) serveWatch(conn net.Conn, since int64) {
 	s.mu.Lock()
 	s.watches++
@@ -216,7 +222,7 @@
 		s.watches--
 	}()
 	ended := make(chan struct{})
-	go func() { // whatever comes on it now, or its end, ends the watch
+	go func() { // any further input on the connection, or its end, ends the watch
 		defer close(ended)
 		conn.SetReadDeadline(time.Time{})
 		conn.Read(make([]byte, 1))
@@ -225,16 +231,16 @@
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for first := true; ; first = false {
-		text, index, more, err := s.linesSince(since)
+		lines, index, changed, err := s.linesSince(since)
 		if err != nil {
 			return
 		}
-		if first && len(text) == 0 { // it learns at once that it has missed nothing
+		if first && len(lines) == 0 { // an empty update confirms at once that the list is up to date
 			if empty, err := (protocol.EndpointList{Index: index}).Encode(); err == nil {
-				text = [][]byte{empty}
+				lines = [][]byte{empty}
 			}
 		}
-		for _, line := range text {
+		for _, line := range lines {
 			out = appendChunk(out, line)
 		}
 		since = index
@@ -245,7 +251,7 @@
 		out = nil
 		timer.Reset(heartbeatInterval)
 		select {
-		case <-more:
+		case <-changed:
 		case <-timer.C:
 			out = appendChunk(out, nil)
 		case <-ended:
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,5 +1,6 @@
-// Package orca asks destinations for their load out of band: one stream of the ORCA service (xds.service.orca.v3, the
-// protocol's OpenRcaService) to each, over which it tells its load as often as it is asked to, whether or not requests come.
+// Package orca receives out-of-band load reports from endpoints. It opens one stream of the ORCA service (xds.service.orca.v3,
+// OpenRcaService) to each endpoint, over which the endpoint reports its load at the requested interval, independent of
+// requests.
 package orca
 
 import (
@@ -21,22 +22,22 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Report is what a destination told of itself.
+// Report is a load report of an endpoint.
 type Report struct {
-	QPS, EPS float64 // requests and failures a second, 0 where it does not say
-	// Metrics by name: those that the protocol names, and named metrics and utilisations under their own names. What is no
-	// finite number above 0 is left out: the protocol writes what is not told as 0.
+	QPS, EPS float64 // requests and errors per second, 0 if not reported
+	// Metrics by name: the standard metrics of the protocol, and named metrics and utilizations under their own names. Values
+	// that are not finite numbers above 0 are left out, as the protocol encodes a missing value as 0.
 	Metrics map[string]float64
 }
 
 const (
-	minBackoff       = time.Second      // before a stream that broke is opened again, at the least; it doubles
-	maxBackoff       = 30 * time.Second // up to this
-	unsupportedRetry = 5 * time.Minute  // before a destination that does not offer the service is asked again
-	maxReportBytes   = 64 << 10         // bytes
+	minBackoff       = time.Second      // initial backoff before a failed stream is reopened; it doubles with each failure
+	maxBackoff       = 30 * time.Second // maximum backoff
+	unsupportedRetry = 5 * time.Minute  // retry interval for an endpoint that does not offer the service
+	maxReportBytes   = 64 << 10         // maximum message size in bytes
 )
 
-// Watcher holds the streams of one pool. Any goroutine may call it.
+// Watcher manages the streams to the endpoints of one pool. It is safe for concurrent use.
 type Watcher struct {
 	ctx      context.Context
 	interval time.Duration
@@ -48,27 +49,28 @@
 	streams map[string]*stream // by address
 }
 
-// stream is that of one destination.
+// stream is the state of the stream to one endpoint.
 type stream struct {
 	cancel      context.CancelFunc
-	reports     uint64 // reports
-	unsupported bool   // it does not offer the service
+	reports     uint64 // number of reports received
+	unsupported bool   // the endpoint does not offer the service
 }
 
-// Counts tell how the streams of a Watcher stand.
+// Counts summarizes the streams of a Watcher.
 type Counts struct {
-	Watched     int `json:"asked"`   // destinations
-	Reporting   int `json:"told"`    // of them that have told their load
-	Unsupported int `json:"without"` // of them that do not offer the service
+	Watched     int `json:"asked"`   // endpoints
+	Reporting   int `json:"told"`    // endpoints that have reported their load
+	Unsupported int `json:"without"` // endpoints that do not offer the service
 }
 
-// New returns a Watcher that asks for a report at every interval until the context ends, and hands each to take, which may
-// be called from several goroutines. The spread of its attempts comes from the seed.
-func New(ctx context.Context, every time.Duration, seed uint64, take func(address string, r Report), log *slog.Logger) *Watcher {
-	return &Watcher{ctx: ctx, interval: every, seed: seed, onReport: take, log: log, streams: map[string]*stream{}}
+// New returns a Watcher that requests reports at the given interval until the context ends, and passes each to onReport, which
+// may be called concurrently. The jitter of reconnection attempts is derived from the seed.
+func New(ctx context.Context, interval time.Duration, seed uint64, onReport func(address string, r Report),
+	log *slog.Logger) *Watcher {
+	return &Watcher{ctx: ctx, interval: interval, seed: seed, onReport: onReport, log: log, streams: map[string]*stream{}}
 }
 
-// Follow asks exactly these addresses from now on. Streams to those that were asked already stay.
+// SetAddresses replaces the watched addresses. Streams to addresses that remain are kept open.
 func (w *Watcher) SetAddresses(addresses []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,7 +92,7 @@
 	}
 }
 
-// Counts tell how the streams stand.
+// Counts returns a summary of the streams.
 func (w *Watcher) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,82 +108,83 @@
 	return c
 }
 
-// run keeps a stream open.
+// run keeps the stream to an address open until ctx ends.
 func (w *Watcher) run(ctx context.Context, address string, s *stream) {
 	rng := rand.New(rand.NewPCG(w.seed, xxhash.Sum64String(address)))
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReportBytes)))
 	if err != nil {
-		w.log.Error("load out of band", "address", address, "error", err)
+		w.log.Error("cannot create client for out-of-band load reports", "address", address, "error", err)
 		return
 	}
 	defer conn.Close()
-	for pause := minBackoff; ; {
-		told, err := w.readStream(ctx, conn, address, s)
+	for backoff := minBackoff; ; {
+		received, err := w.readStream(ctx, conn, address, s)
 		if ctx.Err() != nil {
 			return
 		}
-		wait := pause
-		pause = min(2*pause, maxBackoff)
+		wait := backoff
+		backoff = min(2*backoff, maxBackoff)
 		switch {
-		case told:
-			wait, pause = minBackoff, minBackoff
+		case received:
+			wait, backoff = minBackoff, minBackoff
 		case status.Code(err) == codes.Unimplemented:
 			w.mu.Lock()
 			s.unsupported = true
 			w.mu.Unlock()
 			wait = unsupportedRetry
 		}
-		w.log.Debug("the stream of load reports has ended", "address", address, "error", err, "again_in", wait)
+		w.log.Debug("load report stream ended, reopening it", "address", address, "error", err, "again_in", wait)
 		select {
-		case <-time.After(wait/2 + time.Duration(rng.Int64N(int64(wait)))): // spread: all may have broken together
+		case <-time.After(wait/2 + time.Duration(rng.Int64N(int64(wait)))): // jitter: all streams may have failed at once
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// errSilent ends a stream on which nothing comes.
-var errNoReport = errors.New("nothing came on the stream of load reports")
+// errNoReport is the cause when a stream is ended for lack of reports.
+var errNoReport = errors.New("no load report received in time")
 
-// silence is after how long a stream without a report is dead. Servers may have a least interval of their own, whatever
-// they are asked for: gRPC's is 30 s.
+// silenceTimeout returns the time without a report after which a stream is considered dead. Servers may enforce a minimum
+// interval above the requested one; that of gRPC is 30 s.
 func (w *Watcher) silenceTimeout() time.Duration { return max(3*w.interval, 65*time.Second) }
 
-// listen reads one stream to its end and tells whether it brought anything.
-func (w *Watcher) readStream(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (told bool, err error) {
+// readStream opens a stream, reads it to its end and returns whether any report was received.
+func (w *Watcher) readStream(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dead := time.AfterFunc(w.silenceTimeout(), func() { cancel(errNoReport) })
-	defer dead.Stop()
-	in, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx, &service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.interval)})
+	watchdog := time.AfterFunc(w.silenceTimeout(), func() { cancel(errNoReport) })
+	defer watchdog.Stop()
+	reports, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx,
+		&service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.interval)})
 	if err != nil {
 		return false, err
 	}
 	for {
-		r, err := in.Recv()
+		r, err := reports.Recv()
 		if err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return told, err
+			return received, err
 		}
-		dead.Reset(w.silenceTimeout())
+		watchdog.Reset(w.silenceTimeout())
 		w.mu.Lock()
 		s.reports++
 		s.unsupported = false
 		w.mu.Unlock()
-		told = true
+		received = true
 		w.onReport(address, parseReport(r))
 	}
 }
 
-// reportOf reads a report of the protocol.
+// parseReport converts a report of the protocol.
 func parseReport(r *data.OrcaLoadReport) Report {
-	out := Report{QPS: finiteOrZero(r.GetRpsFractional()), EPS: finiteOrZero(r.GetEps()), Metrics: map[string]float64{}}
+	report := Report{QPS: finiteOrZero(r.GetRpsFractional()), EPS: finiteOrZero(r.GetEps()), Metrics: map[string]float64{}}
 	add := func(name string, v float64) {
 		if v = finiteOrZero(v); v > 0 {
-			out.Metrics[name] = v
+			report.Metrics[name] = v
 		}
 	}
 	for name, v := range r.GetNamedMetrics() {
@@ -190,16 +193,16 @@
 	for name, v := range r.GetUtilization() {
 		add(name, v)
 	}
-	// Last: a named metric must not pass for one of the protocol's own.
+	// These come last, so that a named metric cannot replace a standard metric of the protocol.
 	for name, v := range map[string]float64{"application_utilization": r.GetApplicationUtilization(), "cpu_utilization": r.GetCpuUtilization(),
 		"mem_utilization": r.GetMemUtilization()} {
-		delete(out.Metrics, name)
+		delete(report.Metrics, name)
 		add(name, v)
 	}
-	return out
+	return report
 }
 
-// sound is a figure, 0 if it is none.
+// finiteOrZero returns v, or 0 if v is negative, infinite or NaN.
 func finiteOrZero(v float64) float64 {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		return 0
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -19,63 +19,64 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-// book keeps the last report of each address.
+// reportRecorder records the last report and the number of reports of each address.
 type reportRecorder struct {
 	mu     sync.Mutex
 	last   map[string]Report
 	counts map[string]int
 }
 
-func (b *reportRecorder) onReport(address string, r Report) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.last[address] = r
-	b.counts[address]++
+func (r *reportRecorder) onReport(address string, report Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.last[address] = report
+	r.counts[address]++
 }
 
-func (b *reportRecorder) count(address string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.counts[address]
+func (r *reportRecorder) count(address string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.counts[address]
 }
 
+// newTestWatcher returns a Watcher with an interval of 20 ms and the recorder of its reports.
 func newTestWatcher(t *testing.T) (*Watcher, *reportRecorder) {
-	b := &reportRecorder{last: map[string]Report{}, counts: map[string]int{}}
-	return New(t.Context(), 20*time.Millisecond, 1, b.onReport, slog.New(slog.DiscardHandler)), b
+	recorder := &reportRecorder{last: map[string]Report{}, counts: map[string]int{}}
+	return New(t.Context(), 20*time.Millisecond, 1, recorder.onReport, slog.New(slog.DiscardHandler)), recorder
 }
 
-// Reports come at the interval asked for, from those that offer the service; one that does not is left alone, one whose stream
-// breaks is asked again, and one that is no longer followed is not.
+// TestStreams checks that reports arrive at the requested interval from an endpoint that offers the service, that one which does
+// not is counted as unsupported, that a broken stream is reopened, and that the stream to a removed address ends.
 func TestStreams(t *testing.T) {
-	w, b := newTestWatcher(t)
-	loaded, err := instances.New(func() *data.OrcaLoadReport {
+	w, recorder := newTestWatcher(t)
+	reporting, err := instances.New(func() *data.OrcaLoadReport {
 		return &data.OrcaLoadReport{ApplicationUtilization: 0.5, RpsFractional: 7}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer loaded.Stop()
-	none, err := instances.New(nil)
+	defer reporting.Stop()
+	unsupported, err := instances.New(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer none.Stop()
-	w.SetAddresses([]string{loaded.Address, none.Address})
-	testkit.Until(t, "five reports", func() bool { return b.count(loaded.Address) >= 5 })
-	testkit.Until(t, "one is known not to offer it", func() bool { return w.Counts() == Counts{Watched: 2, Reporting: 1, Unsupported: 1} })
-	if r := b.last[loaded.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
-		t.Errorf("%+v", r)
+	defer unsupported.Stop()
+	w.SetAddresses([]string{reporting.Address, unsupported.Address})
+	testkit.Until(t, "five reports", func() bool { return recorder.count(reporting.Address) >= 5 })
+	testkit.Until(t, "one endpoint is counted as unsupported", func() bool { return w.Counts() == Counts{Watched: 2, Reporting: 1, Unsupported: 1} })
+	if r := recorder.last[reporting.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
+		t.Errorf("unexpected report: %+v", r)
 	}
-	loaded.Break()
-	n := b.count(loaded.Address)
-	testkit.Until(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
+	reporting.Break()
+	before := recorder.count(reporting.Address)
+	testkit.Until(t, "reports after the stream was reopened", func() bool { return recorder.count(reporting.Address) > before+1 })
 	w.SetAddresses(nil)
-	testkit.Until(t, "the stream ends", func() bool { return loaded.Streams() == 0 })
+	testkit.Until(t, "the stream ends", func() bool { return reporting.Streams() == 0 })
 }
 
-// gRPC's own service, which we did not write, is understood: its first report comes at once.
+// TestGRPCLibraryServer checks interoperability with the ORCA service of the gRPC library, which sends its first report at once.
 func TestGRPCLibraryServer(t *testing.T) {
-	w, b := newTestWatcher(t)
+	w, recorder := newTestWatcher(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,31 +91,32 @@
 	go g.Serve(ln)
 	defer g.Stop()
 	w.SetAddresses([]string{ln.Addr().String()})
-	testkit.Until(t, "a report", func() bool { return b.count(ln.Addr().String()) > 0 })
-	if r := b.last[ln.Addr().String()]; r.Metrics["cpu_utilization"] != 0.25 || r.Metrics["queue"] != 0.75 {
-		t.Errorf("%+v", r)
+	testkit.Until(t, "a report", func() bool { return recorder.count(ln.Addr().String()) > 0 })
+	if r := recorder.last[ln.Addr().String()]; r.Metrics["cpu_utilization"] != 0.25 || r.Metrics["queue"] != 0.75 {
+		t.Errorf("unexpected report: %+v", r)
 	}
 }
 
-// Numbers that are none are not told, and a named metric does not pass for one of the protocol's own.
+// TestParseReport checks that invalid numbers are left out and that a named metric does not replace a standard metric of the
+// protocol.
 func TestParseReport(t *testing.T) {
 	r := parseReport(&data.OrcaLoadReport{CpuUtilization: math.NaN(), ApplicationUtilization: -1, Eps: math.Inf(1),
 		NamedMetrics: map[string]float64{"cpu_utilization": 0.9, "inflight": 3}, Utilization: map[string]float64{"disk": math.Inf(-1)}})
 	if r.EPS != 0 || len(r.Metrics) != 1 || r.Metrics["inflight"] != 3 {
-		t.Errorf("%+v", r)
+		t.Errorf("unexpected report: %+v", r)
 	}
 }
 
-// A Watcher whose context has ended holds nothing open.
+// TestContextEndClosesStreams checks that a Watcher has no open stream after its context has ended.
 func TestContextEndClosesStreams(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	x, err := instances.New(func() *data.OrcaLoadReport { return &data.OrcaLoadReport{CpuUtilization: 1} })
+	endpoint, err := instances.New(func() *data.OrcaLoadReport { return &data.OrcaLoadReport{CpuUtilization: 1} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer x.Stop()
-	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).SetAddresses([]string{x.Address})
-	testkit.Until(t, "a stream", func() bool { return x.Streams() == 1 })
+	defer endpoint.Stop()
+	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).SetAddresses([]string{endpoint.Address})
+	testkit.Until(t, "a stream is open", func() bool { return endpoint.Streams() == 1 })
 	cancel()
-	testkit.Until(t, "none", func() bool { return x.Streams() == 0 })
+	testkit.Until(t, "no stream is open", func() bool { return endpoint.Streams() == 0 })
 }
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -348,7 +348,8 @@
 }
 
 // pendingDelta returns the delta response with the changed and removed resources, or nil if there are none.
-func (s *Stream) pendingDelta(typeURL string, sub *subscription, subscribed map[string]*Resource, changed []*Resource, urgent bool) *Response {
+func (s *Stream) pendingDelta(typeURL string, sub *subscription, subscribed map[string]*Resource, changed []*Resource,
+	urgent bool) *Response {
 	r := &Response{TypeURL: typeURL, Urgent: urgent}
 	for _, x := range changed {
 		if sub.initialVersions[x.Name] == x.Version { // the proxy has this version from an earlier stream
@@ -460,7 +461,8 @@
 		if sub == nil {
 			continue
 		}
-		state := TypeState{TypeURL: typeURL, Names: len(sub.names), SentVersion: sub.version, AckedVersion: sub.ackedVersion, NackReason: sub.nackReason}
+		state := TypeState{TypeURL: typeURL, Names: len(sub.names), SentVersion: sub.version, AckedVersion: sub.ackedVersion,
+			NackReason: sub.nackReason}
 		if sub.wildcard {
 			state.Names = -1
 		}
--- a/internal/xdsserver/server.go
+++ b/internal/xdsserver/server.go
@@ -78,7 +78,8 @@
 }
 
 // serveStream authorizes the proxy and serves its stream.
-func (s *Server) serveStream(ctx context.Context, delta bool, onlyType string, recv func() (*xds.Request, error), send func(*xds.Response) error) error {
+func (s *Server) serveStream(ctx context.Context, delta bool, onlyType string, recv func() (*xds.Request, error),
+	send func(*xds.Response) error) error {
 	rights, err := s.authorizeProxy(ctx)
 	if err != nil {
 		return err
@@ -93,10 +94,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce, NackReason: nackReason(request.ErrorDetail),
-			Names: request.ResourceNames, Version: request.VersionInfo}, nil
+		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce,
+			NackReason: nackReason(request.ErrorDetail),
+			Names:      request.ResourceNames, Version: request.VersionInfo}, nil
 	}, func(r *xds.Response) error {
-		message := &discovery.DiscoveryResponse{TypeUrl: r.TypeURL, VersionInfo: r.Version, Nonce: r.Nonce, Resources: make([]*anypb.Any, len(r.Resources))}
+		message := &discovery.DiscoveryResponse{TypeUrl: r.TypeURL, VersionInfo: r.Version, Nonce: r.Nonce,
+			Resources: make([]*anypb.Any, len(r.Resources))}
 		for i, x := range r.Resources {
 			message.Resources[i] = x.Body
 		}
@@ -111,11 +114,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce, NackReason: nackReason(request.ErrorDetail),
-			Subscribe: request.ResourceNamesSubscribe, Unsubscribe: request.ResourceNamesUnsubscribe, InitialVersions: request.InitialResourceVersions}, nil
+		return &xds.Request{NodeID: request.GetNode().GetId(), TypeURL: request.TypeUrl, Nonce: request.ResponseNonce,
+			NackReason: nackReason(request.ErrorDetail),
+			Subscribe:  request.ResourceNamesSubscribe, Unsubscribe: request.ResourceNamesUnsubscribe,
+			InitialVersions: request.InitialResourceVersions}, nil
 	}, func(r *xds.Response) error {
-		message := &discovery.DeltaDiscoveryResponse{TypeUrl: r.TypeURL, SystemVersionInfo: r.Version, Nonce: r.Nonce, RemovedResources: r.Removed,
-			Resources: make([]*discovery.Resource, len(r.Resources))}
+		message := &discovery.DeltaDiscoveryResponse{TypeUrl: r.TypeURL, SystemVersionInfo: r.Version, Nonce: r.Nonce,
+			RemovedResources: r.Removed,
+			Resources:        make([]*discovery.Resource, len(r.Resources))}
 		for i, x := range r.Resources {
 			message.Resources[i] = &discovery.Resource{Name: x.Name, Version: x.Version, Resource: x.Body}
 		}
--- a/internal/xdsserver/stream.go
+++ b/internal/xdsserver/stream.go
@@ -39,9 +39,10 @@
 }
 
 // serveStream runs a stream until it ends.
-func (h *Hub) serveStream(ctx context.Context, log *slog.Logger, view string, delta bool, onlyType string, recv func() (*xds.Request, error),
-	send func(*xds.Response) error) (err error) {
-	s := &stream{hub: h, log: log, view: view, delta: delta, connectedAt: h.now(), wake: make(chan struct{}, 1), state: xds.NewStream(delta, onlyType),
+func (h *Hub) serveStream(ctx context.Context, log *slog.Logger, view string, delta bool, onlyType string,
+	recv func() (*xds.Request, error), send func(*xds.Response) error) (err error) {
+	s := &stream{hub: h, log: log, view: view, delta: delta, connectedAt: h.now(),
+		wake: make(chan struct{}, 1), state: xds.NewStream(delta, onlyType),
 		peer: peerAddress(ctx), loggedNacks: map[string]string{}}
 	defer func() {
 		if p := recover(); p != nil { // ends this stream only; the proxy reconnects
@@ -214,6 +215,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.hub.now()
-	return ProxyStatus{Node: s.state.NodeID, Peer: s.peer, Delta: s.delta, ConnectedFor: now - s.connectedAt, UnknownTypes: s.state.UnknownTypes, Types: s.state.State(now),
+	return ProxyStatus{Node: s.state.NodeID, Peer: s.peer, Delta: s.delta, ConnectedFor: now - s.connectedAt,
+		UnknownTypes: s.state.UnknownTypes, Types: s.state.State(now),
 		LastDrainAck: s.lastDrainAck, DrainAckPending: s.state.DrainAckPending(now)}
 }
