--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -91,15 +91,15 @@
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func admin(ctx context.Context, path string, s *Service, log *slog.Logger) error {
-	return adminsocket.Serve(ctx, path, log, map[string]adminsocket.Answer{
-		adminsocket.State: adminsocket.Once(func() any { return s.Status() }),
-		"members":         adminsocket.Once(func() any { return s.Members() }),
-		"members follow":  s.followMembers,
+	return adminsocket.Serve(ctx, path, log, map[string]adminsocket.Handler{
+		adminsocket.StateCommand: adminsocket.SingleValue(func() any { return s.Status() }),
+		"members":                adminsocket.SingleValue(func() any { return s.Members() }),
+		"members follow":         s.followMembers,
 	})
 }
 
 // Ask reads the Status of a process from its admin socket.
 func Ask(path string) (Status, error) {
 	var out Status
-	return out, adminsocket.Ask(path, adminsocket.State, &out)
+	return out, adminsocket.Query(path, adminsocket.StateCommand, &out)
 }
--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -85,12 +85,12 @@
 // AskMembers reads what a process knows of its pools' destinations from its admin socket.
 func AskMembers(path string) ([]MembersStatus, error) {
 	var out []MembersStatus
-	return out, adminsocket.Ask(path, "members", &out)
+	return out, adminsocket.Query(path, "members", &out)
 }
 
 // FollowMembers hands on each change of a destination until the context ends.
 func FollowMembers(ctx context.Context, path string, take func(MemberChange) error) error {
-	return adminsocket.Follow(ctx, path, "members follow", func(text json.RawMessage) error {
+	return adminsocket.Stream(ctx, path, "members follow", func(text json.RawMessage) error {
 		var c MemberChange
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
--- a/internal/control/checkmembers.go
+++ b/internal/control/checkmembers.go
@@ -25,9 +25,9 @@
 	yamlfile.Default(&x.StaleAfter, config.Duration(d.StaleAfter))
 	yamlfile.Default(&x.HoldBelow, d.HoldBelow)
 	yamlfile.Default(&x.HoldFor, config.Duration(d.HoldFor))
-	yamlfile.Default(&x.FlapMost, d.FlapMost)
+	yamlfile.Default(&x.FlapMax, d.FlapMost)
 	yamlfile.Default(&x.FlapHold, config.Duration(d.FlapHold))
-	if x.StaleAfter < 0 || x.HoldFor < 0 || x.FlapHold < 0 || x.FlapMost < 1 || !(x.HoldBelow > 0 && x.HoldBelow <= 1) {
+	if x.StaleAfter < 0 || x.HoldFor < 0 || x.FlapHold < 0 || x.FlapMax < 1 || !(x.HoldBelow > 0 && x.HoldBelow <= 1) {
 		wrong(at+"merge", "spans that are not negative, a share up to 1 and at least one return are wanted")
 	}
 	e := m.Etcd
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -96,8 +96,8 @@
 // A destination's state is told in the protocol's words, and only what may get new requests is safe.
 func TestEndpoints(t *testing.T) {
 	view := func(state balance.State, held time.Duration, trial bool) routing.View {
-		return routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
-			ServerView: balance.ServerView{State: state, Tracked: true, Weight: 1.5, HeldOff: held, Trial: trial}}}}
+		return routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
+			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: held, Probation: trial}}}}
 	}
 	p := &config.Pool{Name: "p"}
 	safety := map[uint64]bool{}
@@ -149,7 +149,7 @@
 	if silent := now + refusalKept + 1; r.percent(silent) != 0 {
 		t.Errorf("%d%% though nobody reports", r.percent(silent))
 	}
-	v := routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", ServerView: balance.ServerView{State: balance.Ready, Weight: 1}}}}
+	v := routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", EndpointView: balance.EndpointView{State: balance.Ready, Weight: 1}}}}
 	for _, percent := range []uint32{0, 40} {
 		x, err := endpointsOf(&config.Pool{Name: "p"}, v, percent)
 		if err != nil {
@@ -358,7 +358,7 @@
 	if _, open := known(); open {
 		t.Error("one of two lists is known, and it was published")
 	}
-	service.pools["b"].loop.Pool(balance.Full, 1, nil) // a list that names nobody is one
+	service.pools["b"].loop.UpdateEndpoints(balance.Full, 1, nil) // a list that names nobody is one
 	testkit.Until(t, "all is published", func() bool { _, open := known(); return open })
 }
 
@@ -409,7 +409,7 @@
 		}
 		testkit.Until(t, "weights follow, "+via, func() bool {
 			v, ok := service.pools["a"].loop.View(time.Second)
-			return ok && len(v.Destinations) == 3 && v.Destinations[1].Weight > 1.5*v.Destinations[0].Weight
+			return ok && len(v.Endpoints) == 3 && v.Endpoints[1].Weight > 1.5*v.Endpoints[0].Weight
 		})
 		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Told != 3 {
 			t.Errorf("%+v", service.Status().OutOfBand)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -60,10 +60,10 @@
 	changed chan struct{} // closed at the next change
 }
 
-var _ routing.Directory = (*members)(nil)
+var _ routing.Discovery = (*members)(nil)
 
 // Follow has nothing to do: sources are followed by themselves. It implements routing.Directory.
-func (m *members) Follow(int64) {}
+func (m *members) Watch(int64) {}
 
 func newMembers(ctx context.Context, conf *config.Pool, seed uint64, clock routing.Clock, loop *routing.Loop, log *slog.Logger) *members {
 	var names []string
@@ -77,7 +77,7 @@
 	}
 	c := membership.Defaults(names...)
 	if x := conf.Members.Merge; x != nil {
-		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMost, x.FlapHold.D()
+		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
 	}
 	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(c),
 		changed: make(chan struct{})}
@@ -110,8 +110,8 @@
 	}
 	if at := m.conf.Members.Discovery; at != "" {
 		f := &feed{m: m, name: fromDiscovery, history: at}
-		f.again = transport.NewDirectory(m.ctx, at, f, m.log)
-		f.again.Follow(0)
+		f.again = transport.NewDiscoveryClient(m.ctx, at, f, m.log)
+		f.again.Watch(0)
 	}
 	if path := m.conf.Members.File; path != "" {
 		if _, err := listfile.Open(m.ctx, watcher, path, &feed{m: m, name: fromFile, history: path}, m.log); err != nil {
@@ -182,7 +182,7 @@
 		}
 		close(m.changed)
 		m.changed = make(chan struct{})
-		m.loop.Pool(kind, m.version, changed)
+		m.loop.UpdateEndpoints(kind, m.version, changed)
 	}
 	if at, any := m.merger.Next(now); any {
 		m.wake(max(at-now, time.Millisecond))
@@ -208,11 +208,11 @@
 var states = map[balance.State]protocol.State{balance.Ready: protocol.Ready, balance.Draining: protocol.Draining, balance.Gone: protocol.Gone}
 
 // destinations are members in discovery's words.
-func destinations(all []routing.Member) []protocol.Destination {
-	out := make([]protocol.Destination, 0, len(all))
+func destinations(all []routing.Member) []protocol.Endpoint {
+	out := make([]protocol.Endpoint, 0, len(all))
 	for _, d := range all {
-		out = append(out, protocol.Destination{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Group, State: states[d.State],
-			Weight: d.Weight, SinceMS: d.Since.Milliseconds()})
+		out = append(out, protocol.Endpoint{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Cell, State: states[d.State],
+			Weight: d.Weight, SinceMS: d.StartedAt.Milliseconds()})
 	}
 	return out
 }
@@ -222,7 +222,7 @@
 	m       *members
 	name    string
 	history string
-	again   *transport.Directory // asked again where it is lost; nil for a source that is not lost
+	again   *transport.DiscoveryClient // asked again where it is lost; nil for a source that is not lost
 
 	// Of the members' lock.
 	spoken bool
@@ -231,7 +231,7 @@
 }
 
 // Pool takes an endpoint list.
-func (f *feed) Pool(kind balance.ListKind, index int64, list []routing.Member) {
+func (f *feed) UpdateEndpoints(kind balance.ListKind, index int64, list []routing.Member) {
 	f.m.do(func(now time.Duration) {
 		if kind != balance.Delta && f.spoken && index < f.last {
 			f.fallen++
@@ -250,12 +250,12 @@
 }
 
 // Lost has the source asked again.
-func (f *feed) Lost() {
+func (f *feed) SourceLost() {
 	f.m.do(func(now time.Duration) {
 		f.m.merger.Lost(now, f.name)
 		if f.again != nil && f.m.ctx.Err() == nil {
 			last := f.last
-			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Follow(last) })
+			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Watch(last) })
 		}
 	})
 }
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -33,7 +33,7 @@
 	for _, x := range merged {
 		open, served = open+x.Inflight, served+x.QPS
 	}
-	p.refusal.take(now, p.set.Refusal(open, served)) // before the event, after which it is looked at
+	p.refusal.take(now, p.set.RejectShare(open, served)) // before the event, after which it is looked at
 	observe(p, stats, merged)
 }
 
@@ -68,9 +68,9 @@
 
 // observationOf is a reading in the order of a pool's report fields. Without utilisation it is no report.
 func observationOf(set balance.Settings, address string, x loads.Reading) routing.Observation {
-	o := routing.Observation{Address: address, Failed: -1}
+	o := routing.Observation{Address: address, FailureShare: -1}
 	if x.Outcomes > 0 {
-		o.Failed = x.Failed
+		o.FailureShare = x.Failed
 	}
 	load := make([]float32, len(set.Report.Fields))
 	for i, f := range set.Report.Fields {
--- a/internal/etcdsource/decode.go
+++ b/internal/etcdsource/decode.go
@@ -45,7 +45,7 @@
 		if err := d.Decode(&v); err != nil {
 			return m, err
 		}
-		m.Address, m.Zone, m.Kind, m.Group = v.Address, v.Zone, v.Kind, v.Group
+		m.Address, m.Zone, m.Kind, m.Cell = v.Address, v.Zone, v.Kind, v.Group
 		switch v.State {
 		case "", "ready":
 		case "draining":
@@ -64,7 +64,7 @@
 			if err != nil {
 				return m, fmt.Errorf("started: a time like 2026-12-01T10:00:00Z is wanted, not %q", v.Started)
 			}
-			m.Since = max(0, time.Duration(t.UnixNano()))
+			m.StartedAt = max(0, time.Duration(t.UnixNano()))
 		}
 	}
 	if _, err := netip.ParseAddrPort(m.Address); err != nil {
--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -354,7 +354,7 @@
 			t.Errorf("%s: %+v, %v", c.text, m, err)
 		}
 	}
-	if m, _ := Decode(Plain, "a", []byte(`{"address":"10.0.0.1:1","weight":2,"started":"1970-01-01T00:00:01Z"}`)); m.Weight != 2 || m.Since != time.Second {
+	if m, _ := Decode(Plain, "a", []byte(`{"address":"10.0.0.1:1","weight":2,"started":"1970-01-01T00:00:01Z"}`)); m.Weight != 2 || m.StartedAt != time.Second {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -118,14 +118,14 @@
 
 // take makes a word of what a source says.
 func take(now time.Duration, old *word, d routing.Member) *word {
-	if d.State != balance.Ready && d.Since == 0 {
-		d.Since = now
+	if d.State != balance.Ready && d.StartedAt == 0 {
+		d.StartedAt = now
 		if old != nil && old.State == d.State { // said again
-			d.Since = old.Since
+			d.StartedAt = old.StartedAt
 		}
 	}
 	if d.State == balance.Gone && old != nil {
-		d.Since = max(d.Since, old.Since)
+		d.StartedAt = max(d.StartedAt, old.StartedAt)
 	}
 	return &word{d, now}
 }
@@ -297,7 +297,7 @@
 
 // order compares words: about the newer start, then the worse.
 func order(a, b *word) int {
-	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(worse[a.State], worse[b.State]))
+	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(worse[a.State], worse[b.State]))
 }
 
 // void tells whether a source's good words count no longer.
@@ -347,7 +347,7 @@
 				d := old.Member
 				d.State = balance.Gone
 				if w != nil {
-					d.Since = w.Since
+					d.StartedAt = w.StartedAt
 				}
 				out = append(out, d)
 				delete(m.shown, name)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,7 +19,7 @@
 
 // said is a destination as a source says it.
 func said(name string, state balance.State, since time.Duration) routing.Member {
-	return routing.Member{Name: name, Address: "10.0.0.1:1", State: state, Since: since, Weight: 1}
+	return routing.Member{Name: name, Address: "10.0.0.1:1", State: state, StartedAt: since, Weight: 1}
 }
 
 // shows is the list in short: r ready, d draining.
@@ -290,7 +290,7 @@
 						last.State = balance.Gone
 					}
 				}
-				if last.Name != "" && (last.Since > d.Since && last.State == balance.Ready || last.Since >= d.Since && worse[last.State] > worse[d.State]) {
+				if last.Name != "" && (last.StartedAt > d.StartedAt && last.State == balance.Ready || last.StartedAt >= d.StartedAt && worse[last.State] > worse[d.State]) {
 					t.Fatalf("%v is shown, though %s says %v", d, name, last)
 				}
 			}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -76,7 +76,7 @@
 			say := func(w *word, earlier bool) {
 				if w != nil {
 					e.Address = cmp.Or(e.Address, w.Address)
-					e.Words = append(e.Words, WordView{from, words[w.State], (now - w.came).Milliseconds(), w.Since.Milliseconds(), earlier, s.lost})
+					e.Words = append(e.Words, WordView{from, words[w.State], (now - w.came).Milliseconds(), w.StartedAt.Milliseconds(), earlier, s.lost})
 				}
 			}
 			say(s.words[name], false)
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -244,7 +244,7 @@
 	for r.take() {
 		n++
 	}
-	if !r.Take() || r.Take() {
+	if !r.Acquire() || r.Acquire() {
 		t.Errorf("after %d spare ones a gets the one that b left idle, and no more", n)
 	}
 }
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -40,7 +40,7 @@
 	io.WriteString(c, look)
 	began := time.Now()
 	go f.Serve(failing)
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Errorf("answered %s", status)
 	}
 	if took := time.Since(began); took > fails+300*time.Millisecond {
