--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -56,7 +56,7 @@
 	}); err != enough || strings.Join(got, "") != "012" {
 		t.Errorf("%v, %v", got, err)
 	}
-	testkit.Until(t, "its end is seen", func() bool { return following.Load() == 0 })
+	testkit.WaitUntil(t, "its end is seen", func() bool { return following.Load() == 0 })
 	for range 3 * atOnce {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -64,5 +64,5 @@
 		}
 		defer c.Close()
 	}
-	testkit.Until(t, "silent ones have had their time", func() bool { return Query(path, StateCommand, &state) == nil })
+	testkit.WaitUntil(t, "silent ones have had their time", func() bool { return Query(path, StateCommand, &state) == nil })
 }
--- a/internal/control/checkmembers.go
+++ b/internal/control/checkmembers.go
@@ -34,7 +34,7 @@
 	if e == nil {
 		return
 	}
-	yamlfile.Default(&e.Form, etcdsource.Plain)
+	yamlfile.Default(&e.Form, etcdsource.FormPlain)
 	if len(e.Endpoints) == 0 {
 		wrong(at+"etcd.endpoints", "at least one is needed")
 	}
@@ -46,8 +46,8 @@
 	if e.Prefix == "" {
 		wrong(at+"etcd.prefix", "is missing: without it every key would be a destination")
 	}
-	if e.Form != etcdsource.Plain && e.Form != etcdsource.Naming {
-		wrong(at+"etcd.form", "%s or %s, not %q", etcdsource.Plain, etcdsource.Naming, e.Form)
+	if e.Form != etcdsource.FormPlain && e.Form != etcdsource.FormNaming {
+		wrong(at+"etcd.form", "%s or %s, not %q", etcdsource.FormPlain, etcdsource.FormNaming, e.Form)
 	}
 	if (e.User == "") != (e.PasswordFile == "") {
 		wrong(at+"etcd.password_file", "user and password_file go together")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -236,7 +236,7 @@
 		table := proxy.NewTable()
 		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
 		go client.Run(ctx)
-		testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
+		testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 		picked := func() map[string]bool {
 			out := map[string]bool{}
 			for range 20 {
@@ -250,17 +250,17 @@
 			t.Errorf("it picks %v", p)
 		}
 		list("  - {name: x, address: \"127.0.0.1:1\", state: draining}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the draining one gets nothing", func() bool { p := picked(); return len(p) == 1 && p["127.0.0.1:2"] })
+		testkit.WaitUntil(t, "the draining one gets nothing", func() bool { p := picked(); return len(p) == 1 && p["127.0.0.1:2"] })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n  - {name: z, address: \"127.0.0.1:3\"}\n")
-		testkit.Until(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
+		testkit.WaitUntil(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
+		testkit.WaitUntil(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
 		if table.Emptied() != 0 {
 			t.Error("the list was empty for a moment")
 		}
 	}
 	// A proxy acts on the last word before the service has read its answer to it: until then it owes that, and no longer.
-	testkit.Until(t, "both proxies and their drains are shown, and none owes an answer", func() bool {
+	testkit.WaitUntil(t, "both proxies and their drains are shown, and none owes an answer", func() bool {
 		s := service.Status()
 		return len(s.Proxies) == 2 && s.Drains.Count >= 2 && s.Proxies[0].OwesMS == 0 && s.Proxies[1].OwesMS == 0
 	})
@@ -305,10 +305,10 @@
 	table, loads := proxy.NewTable(), proxy.NewTracker()
 	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: quiet, Dial: ln.DialContext}
 	go client.Run(t.Context())
-	testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
+	testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
 	n := 0
-	testkit.Until(t, "weights follow", func() bool {
+	testkit.WaitUntil(t, "weights follow", func() bool {
 		clear(picks)
 		for range 100 {
 			at, err := table.Pick("a.test", "/", func(string) string { return "" })
@@ -354,12 +354,12 @@
 		defer service.mu.Unlock()
 		return len(service.endpoints), service.open
 	}
-	testkit.Until(t, "one list is known", func() bool { n, _ := known(); return n == 1 })
+	testkit.WaitUntil(t, "one list is known", func() bool { n, _ := known(); return n == 1 })
 	if _, open := known(); open {
 		t.Error("one of two lists is known, and it was published")
 	}
 	service.pools["b"].loop.UpdateEndpoints(balance.Full, 1, nil) // a list that names nobody is one
-	testkit.Until(t, "all is published", func() bool { _, open := known(); return open })
+	testkit.WaitUntil(t, "all is published", func() bool { _, open := known(); return open })
 }
 
 // Where no proxy reports, weights follow what destinations tell of themselves: out of band, or when they are asked.
@@ -407,7 +407,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "weights follow, "+via, func() bool {
+		testkit.WaitUntil(t, "weights follow, "+via, func() bool {
 			v, ok := service.pools["a"].loop.View(time.Second)
 			return ok && len(v.Endpoints) == 3 && v.Endpoints[1].Weight > 1.5*v.Endpoints[0].Weight
 		})
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -103,7 +103,7 @@
 		}
 		o.Seed, o.Log = m.rng.Uint64(), m.log
 		go func() {
-			if err := etcdsource.Follow(m.ctx, o, &etcdFeed{m}); err != nil {
+			if err := etcdsource.Watch(m.ctx, o, &etcdFeed{m}); err != nil {
 				m.log.Error("etcd cannot be followed", "error", err)
 			}
 		}()
@@ -264,19 +264,19 @@
 type etcdFeed struct{ m *members }
 
 // Whole takes a whole list.
-func (f *etcdFeed) Whole(at membership.At, list []routing.Member, written map[string]int64) (taken bool) {
+func (f *etcdFeed) ApplyList(at membership.At, list []routing.Member, written map[string]int64) (taken bool) {
 	f.m.do(func(now time.Duration) { taken = f.m.merger.WholeWritten(now, fromEtcd, at, list, written) })
 	return taken
 }
 
 // Changed takes changes.
-func (f *etcdFeed) Changed(at membership.At, changes []routing.Member) (taken bool) {
+func (f *etcdFeed) ApplyChanges(at membership.At, changes []routing.Member) (taken bool) {
 	f.m.do(func(now time.Duration) { taken = f.m.merger.Changed(now, fromEtcd, at, changes) })
 	return taken
 }
 
 // Alive notes that the watch answers.
-func (f *etcdFeed) Alive() { f.m.do(func(now time.Duration) { f.m.merger.Alive(now, fromEtcd) }) }
+func (f *etcdFeed) SourceAlive() { f.m.do(func(now time.Duration) { f.m.merger.Alive(now, fromEtcd) }) }
 
 // Lost notes that it does not.
-func (f *etcdFeed) Lost() { f.m.do(func(now time.Duration) { f.m.merger.Lost(now, fromEtcd) }) }
+func (f *etcdFeed) SourceLost() { f.m.do(func(now time.Duration) { f.m.merger.Lost(now, fromEtcd) }) }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -113,7 +113,7 @@
 	until := func(want string) {
 		t.Helper()
 		for who, l := range map[string]*routing.Loop{"the service": service.pools["a"].loop, "a sidecar": sidecar} {
-			testkit.Until(t, who+" has "+want, func() bool { return shows(l) == want })
+			testkit.WaitUntil(t, who+" has "+want, func() bool { return shows(l) == want })
 		}
 	}
 	until("e f p x")
@@ -138,7 +138,7 @@
 	until("e x")
 	cluster.Delete("/a/e")
 	until("x")
-	testkit.Until(t, "the end of e is followed", func() bool { return <-seen == "e gone" })
+	testkit.WaitUntil(t, "the end of e is followed", func() bool { return <-seen == "e gone" })
 }
 
 // Over TLS a service with a certificate of the right authority follows etcd, and one without gets nothing.
@@ -178,9 +178,9 @@
 			t.Fatal(err)
 		}
 		if who == "known" {
-			testkit.Until(t, "the list comes", func() bool { return service.Members()[0].Sources[0].Named == 1 })
+			testkit.WaitUntil(t, "the list comes", func() bool { return service.Members()[0].Sources[0].Named == 1 })
 		} else {
-			testkit.Until(t, "the source is lost", func() bool { return service.Members()[0].Sources[0].Lost })
+			testkit.WaitUntil(t, "the source is lost", func() bool { return service.Members()[0].Sources[0].Lost })
 			if s := service.Members()[0].Sources[0]; s.Named != 0 {
 				t.Errorf("a stranger is told %d destinations", s.Named)
 			}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestMain(m *testing.M) {
-	testkit.Seed()
+	testkit.FixSeed()
 	goleak.VerifyTestMain(m)
 }
 
@@ -117,7 +117,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		testkit.Until(t, "connections end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
+		testkit.WaitUntil(t, "connections end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
 	})
 	return s, ln.Addr().String()
 }
@@ -209,18 +209,18 @@
 	l := &list{}
 	d := transport.NewDiscoveryClient(ctx, at, l, slog.New(slog.DiscardHandler))
 	d.Watch(0)
-	testkit.Until(t, "the list", func() bool { return l.is("x", balance.Ready) })
+	testkit.WaitUntil(t, "the list", func() bool { return l.is("x", balance.Ready) })
 	for i := range 50 {
 		state, told := protocol.Draining, balance.Draining
 		if i%2 > 0 {
 			state, told = protocol.Ready, balance.Ready
 		}
 		s.Publish(time.Now(), []protocol.Endpoint{entry("x", state)})
-		testkit.Until(t, "the change", func() bool { return l.is("x", told) })
+		testkit.WaitUntil(t, "the change", func() bool { return l.is("x", told) })
 	}
 	if l.whole != 1 || s.Watches() != 2 {
 		t.Errorf("%d whole lists, %d watches", l.whole, s.Watches())
 	}
 	cancel()
-	testkit.Until(t, "the watch ends", func() bool { return s.Watches() == 1 })
+	testkit.WaitUntil(t, "the watch ends", func() bool { return s.Watches() == 1 })
 }
--- a/internal/etcdsource/decode.go
+++ b/internal/etcdsource/decode.go
@@ -14,8 +14,8 @@
 
 // The forms that values may have.
 const (
-	Plain  = "kitewood" // docs/membership.md
-	Naming = "naming"   // of etcd's naming/endpoints package, which gRPC's resolver reads
+	FormPlain  = "kitewood" // docs/membership.md
+	FormNaming = "naming"   // of etcd's naming/endpoints package, which gRPC's resolver reads
 )
 
 // Decode reads the value of a key as a destination. The key's rest behind the prefix is its name.
@@ -24,7 +24,7 @@
 		return routing.Member{}, fmt.Errorf("a key without a name behind the prefix")
 	}
 	m := routing.Member{Name: name, State: balance.Ready, Weight: 1}
-	if form == Naming {
+	if form == FormNaming {
 		var v struct{ Addr string }
 		if err := json.Unmarshal(value, &v); err != nil {
 			return m, err
--- a/internal/listfile/listfile_test.go
+++ b/internal/listfile/listfile_test.go
@@ -46,10 +46,10 @@
 			t.Fatal(err)
 		}
 	}
-	var out testkit.Log
+	var out testkit.LogBuffer
 	has := func(text string) {
 		t.Helper()
-		testkit.Until(t, "the log tells "+text, func() bool { return out.Count(text) > 0 })
+		testkit.WaitUntil(t, "the log tells "+text, func() bool { return out.Count(text) > 0 })
 	}
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -83,5 +83,5 @@
 	os.Remove(path)
 	has("no such file")
 	cut()
-	testkit.Until(t, "nothing is watched any more", func() bool { return w.Watched() == 0 })
+	testkit.WaitUntil(t, "nothing is watched any more", func() bool { return w.Watched() == 0 })
 }
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -61,16 +61,16 @@
 	}
 	defer none.Stop()
 	w.Follow([]string{loaded.Address, none.Address})
-	testkit.Until(t, "five reports", func() bool { return b.count(loaded.Address) >= 5 })
-	testkit.Until(t, "one is known not to offer it", func() bool { return w.Counts() == Counts{Asked: 2, Told: 1, Without: 1} })
+	testkit.WaitUntil(t, "five reports", func() bool { return b.count(loaded.Address) >= 5 })
+	testkit.WaitUntil(t, "one is known not to offer it", func() bool { return w.Counts() == Counts{Asked: 2, Told: 1, Without: 1} })
 	if r := b.last[loaded.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
 		t.Errorf("%+v", r)
 	}
 	loaded.Break()
 	n := b.count(loaded.Address)
-	testkit.Until(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
+	testkit.WaitUntil(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
 	w.Follow(nil)
-	testkit.Until(t, "the stream ends", func() bool { return loaded.Streams() == 0 })
+	testkit.WaitUntil(t, "the stream ends", func() bool { return loaded.Streams() == 0 })
 }
 
 // gRPC's own service, which we did not write, is understood: its first report comes at once.
@@ -90,7 +90,7 @@
 	go g.Serve(ln)
 	defer g.Stop()
 	w.Follow([]string{ln.Addr().String()})
-	testkit.Until(t, "a report", func() bool { return b.count(ln.Addr().String()) > 0 })
+	testkit.WaitUntil(t, "a report", func() bool { return b.count(ln.Addr().String()) > 0 })
 	if r := b.last[ln.Addr().String()]; r.Metrics["cpu_utilization"] != 0.25 || r.Metrics["queue"] != 0.75 {
 		t.Errorf("%+v", r)
 	}
@@ -114,7 +114,7 @@
 	}
 	defer x.Stop()
 	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).Follow([]string{x.Address})
-	testkit.Until(t, "a stream", func() bool { return x.Streams() == 1 })
+	testkit.WaitUntil(t, "a stream", func() bool { return x.Streams() == 1 })
 	cancel()
-	testkit.Until(t, "none", func() bool { return x.Streams() == 0 })
+	testkit.WaitUntil(t, "none", func() bool { return x.Streams() == 0 })
 }
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -32,7 +32,7 @@
 // Accept fails for a while: that neither spins nor fills the log, and who waits is served as soon as it works again.
 func TestAcceptFails(t *testing.T) {
 	f, ln := unserved(t)
-	log := &testkit.Log{}
+	log := &testkit.LogBuffer{}
 	f.log = slog.New(slog.NewTextHandler(log, nil))
 	const fails = 700 * time.Millisecond
 	failing := &failingListener{Listener: ln, until: time.Now().Add(fails)}
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -111,7 +111,7 @@
 	if !asked.Load() || len(came) != 1 {
 		t.Errorf("asked: %v; it was sent on %d times", asked.Load(), len(came))
 	}
-	testkit.Until(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.live == 0 && len(f.conns) == 0 })
+	testkit.WaitUntil(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.live == 0 && len(f.conns) == 0 })
 }
 
 // A connection is asked to end as the first part of its request is read: the rest has a moment to come, and the request is
@@ -185,7 +185,7 @@
 	}})
 	_, r := dial(t, ln)
 	began := time.Now()
-	testkit.Until(t, "it is asked to end", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) > 0 && f.live == 0 || f.askOne() })
+	testkit.WaitUntil(t, "it is asked to end", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) > 0 && f.live == 0 || f.askOne() })
 	if _, err := r.ReadByte(); err != io.EOF || time.Since(began) > time.Second {
 		t.Errorf("it ended %v after it was asked to: %v", time.Since(began), err)
 	}
@@ -253,7 +253,7 @@
 	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("the first request got %s", status)
 	}
-	testkit.Until(t, "it rests and is asked to end", func() bool { return ask(f) })
+	testkit.WaitUntil(t, "it rests and is asked to end", func() bool { return ask(f) })
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
 		t.Errorf("the client read %q, %v", rest, err)
 	}
@@ -524,10 +524,10 @@
 	io.WriteString(leaver, look)
 	stayer, r := dial(t, ln)
 	io.WriteString(stayer, strings.Replace(look, "Id: 1", "Id: 2", 1))
-	testkit.Until(t, "both wait", func() bool { return loop.PendingRequests() == 2 })
+	testkit.WaitUntil(t, "both wait", func() bool { return loop.PendingRequests() == 2 })
 	left := time.Now()
 	leaver.Close()
-	testkit.Until(t, "one has gone", func() bool { return loop.PendingRequests() == 1 })
+	testkit.WaitUntil(t, "one has gone", func() bool { return loop.PendingRequests() == 1 })
 	if took := time.Since(left); took > 100*time.Millisecond {
 		t.Errorf("its leaving was known after %v", took)
 	}
@@ -575,7 +575,7 @@
 	case <-time.After(time.Second):
 		t.Error("the attempt goes on a second after its client went")
 	}
-	testkit.Until(t, "nothing is owed", func() bool { return leads(t, f).PendingRequests() == 0 })
+	testkit.WaitUntil(t, "nothing is owed", func() bool { return leads(t, f).PendingRequests() == 0 })
 	if len(came) > 0 {
 		t.Errorf("begun for a client that had gone: %q", <-came)
 	}
@@ -594,7 +594,7 @@
 		t.Errorf("the first ended %v after %v", s, time.Since(began))
 	}
 	let()
-	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
+	testkit.WaitUntil(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
 	if len(came) > 0 {
 		t.Errorf("something was sent over it: %q", <-came)
 	}
@@ -602,7 +602,7 @@
 	if s := runProbe(u, d); s != balance.OK { // there is room for one: it is that one
 		t.Errorf("the next ended %v", s)
 	}
-	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.ConnectionLimiter.Acquire(); return ok })
+	testkit.WaitUntil(t, "the room is given back", func() bool { u.Close(); ok := u.ConnectionLimiter.Acquire(); return ok })
 }
 
 // A second copy of an answer comes some milliseconds behind it: the next request does not travel on that connection, and gets
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -166,7 +166,7 @@
 			}
 			reached.Store(true) // right behind the start of a call, which it is too late for
 			from := time.Now()
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
+			testkit.WaitUntil(t, "the change is there", func() bool { return knows(loop, "new") })
 			if took := time.Since(from); took > 6*time.Second {
 				t.Errorf("the change was there after %v", took)
 			}
@@ -215,7 +215,7 @@
 			if took := next.Sub(<-ended); took < want[0] || took > want[1] {
 				t.Errorf("the next call came %v after the end, want %v to %v", took, want[0], want[1])
 			}
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
+			testkit.WaitUntil(t, "the change is there", func() bool { return knows(loop, "new") })
 		})
 	}
 }
@@ -235,7 +235,7 @@
 	loop, _ := follows(t, at, false)
 	for n := 1; n < 5; n++ {
 		from := time.Now()
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, fmt.Sprint("s", n)) })
+		testkit.WaitUntil(t, "the list is there", func() bool { return knows(loop, fmt.Sprint("s", n)) })
 		if took := time.Since(from); took > 450*time.Millisecond {
 			t.Errorf("list %d was there after %v", n, took)
 		}
@@ -263,7 +263,7 @@
 	})
 	loop, _ := follows(t, at, true)
 	for _, name := range []string{"a", "b"} {
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, name) })
+		testkit.WaitUntil(t, "the list is there", func() bool { return knows(loop, name) })
 	}
 }
 
@@ -341,11 +341,11 @@
 		ended <- time.Since(began)
 	})
 	loop, _ := follows(t, at, true)
-	testkit.Until(t, "what was held is there", func() bool { return knows(loop, "new") })
+	testkit.WaitUntil(t, "what was held is there", func() bool { return knows(loop, "new") })
 	if took := time.Since(began); took > held+300*time.Millisecond {
 		t.Errorf("what was held was there %v after it came", took-held)
 	}
-	testkit.Until(t, "the next call's list is there", func() bool { return knows(loop, "last") })
+	testkit.WaitUntil(t, "the next call's list is there", func() bool { return knows(loop, "last") })
 	select {
 	case at := <-ended:
 		if at < turn-50*time.Millisecond {
@@ -371,15 +371,15 @@
 	})
 	var between, last atomic.Int32
 	loop, d := follows(t, old, true)
-	testkit.Until(t, "the first list is there", func() bool { return knows(loop, "old") })
+	testkit.WaitUntil(t, "the first list is there", func() bool { return knows(loop, "old") })
 	for range 4 {
 		d.SwitchAddress(startTestServer(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
 		time.Sleep(50 * time.Millisecond)
 	}
 	d.SwitchAddress(startTestServer(t, func(c net.Conn) { last.Add(1); readRequest(c); io.Copy(io.Discard, c) }))
-	testkit.Until(t, "the last one is asked", func() bool { return last.Load() > 0 })
+	testkit.WaitUntil(t, "the last one is asked", func() bool { return last.Load() > 0 })
 	close(tell)
-	testkit.Until(t, "the old watch tells on", func() bool { return knows(loop, "new") })
+	testkit.WaitUntil(t, "the old watch tells on", func() bool { return knows(loop, "new") })
 	if n := between.Load(); n > 0 {
 		t.Errorf("discoveries that were named for a moment got %d calls", n)
 	}
@@ -402,7 +402,7 @@
 		d.SwitchAddress(startTestServer(t, silent))
 		time.Sleep(100 * time.Millisecond)
 	}
-	testkit.Until(t, "each was called", func() bool { return called.Load() >= moves })
+	testkit.WaitUntil(t, "each was called", func() bool { return called.Load() >= moves })
 	if n := most.Load(); n > mostSubscriptions+1 { // one may be ending
 		t.Errorf("%d connections at a time", n)
 	}
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -353,7 +353,7 @@
 	first, firstAnswer := dial(t, ln)
 	io.WriteString(first, look)
 	<-carrier.held
-	testkit.Until(t, "the loop is stuck", loop.Stuck)
+	testkit.WaitUntil(t, "the loop is stuck", loop.Stuck)
 	second, secondAnswer := dial(t, ln)
 	began := time.Now()
 	io.WriteString(second, strings.Replace(look, "Id: 1", "Id: 2", 1))
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -210,7 +210,7 @@
 	if s := runProbe(u, d); s != balance.OK {
 		t.Fatal(s)
 	}
-	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
+	testkit.WaitUntil(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
 	k := u.idle[d][0]
 	k.mu.Lock()
 	k.since = time.Now().Add(-u.IdleTimeout - time.Millisecond)
