--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit is what the tests of several packages share: fixed seeds, built programs, logs, waiting.
+// Package testkit holds helpers that the tests of several packages share: fixed seeds, built programs, log buffers and polling.
 package testkit
 
 import (
@@ -15,7 +15,7 @@
 	"kitewood/internal/lab/child"
 )
 
-// Seed has property tests draw the same cases on every machine. It goes before the tests run.
+// FixSeed sets the seed of property tests, so that they draw the same cases on every machine. Call it before the tests run.
 func FixSeed() { flag.Set("rapid.seed", "20261201") }
 
 // Main runs a package's tests with fixed seeds.
@@ -24,9 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// WithPrograms runs a package's tests beside built programs of this repository, as an operator has them. built gets their
-// folder before the tests run.
-func MainWithPrograms(m *testing.M, built func(dir string), names ...string) {
+// MainWithPrograms builds the named programs of this repository and runs a package's tests. setDir is called with the directory
+// of the programs before the tests run.
+func MainWithPrograms(m *testing.M, setDir func(dir string), names ...string) {
 	dir, err := os.MkdirTemp("", "kitewood-programs")
 	if err == nil {
 		args := []string{"build", "-o", dir + "/"}
@@ -40,66 +40,66 @@
 	}
 	code := 1
 	if err == nil {
-		built(dir)
+		setDir(dir)
 		code = m.Run()
 	}
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// Run runs a program in a folder of its own and gives what it wrote.
+// RunProgram runs a program in a temporary directory and returns its output; ok tells whether it exited with status 0.
 func RunProgram(t *testing.T, program string, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
-	var out, err bytes.Buffer
+	var outBuf, errBuf bytes.Buffer
 	cmd := exec.Command(program, args...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = t.TempDir(), &out, &err
+	cmd.Dir, cmd.Stdout, cmd.Stderr = t.TempDir(), &outBuf, &errBuf
 	ok = cmd.Run() == nil
-	return out.String(), err.String(), ok
+	return outBuf.String(), errBuf.String(), ok
 }
 
-// Address is one of loopback that stays free for a process of the test until its end.
+// ReserveAddress reserves a loopback address on which a process of the test can listen until the test ends.
 func ReserveAddress(t *testing.T) string {
 	t.Helper()
-	a, err := child.Reserve()
+	addr, err := child.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.Free)
-	return a.String()
+	t.Cleanup(addr.Free)
+	return addr.String()
 }
 
-// patience is how long Until waits: a shared machine may be slow, and one that fails is rare.
-const patience = time.Minute
+// waitTimeout limits WaitUntil. It is generous because a shared machine may be slow; only a failing test waits for all of it.
+const waitTimeout = time.Minute
 
-// Until waits until something is so, and fails the test where it never is.
-func WaitUntil(t *testing.T, what string, is func() bool) {
+// WaitUntil polls a condition until it holds, and fails the test if it does not within waitTimeout.
+func WaitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 	}
 }
 
-// Log is a log that goroutines write while a test reads it.
+// LogBuffer collects log output. Goroutines may write to it while a test reads it.
 type LogBuffer struct {
-	mu   sync.Mutex
-	text strings.Builder
+	mu  sync.Mutex
+	buf strings.Builder
 }
 
-// Write adds to the log.
+// Write implements io.Writer.
 func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.text.Write(p)
+	return l.buf.Write(p)
 }
 
-// String is all of it.
+// String returns everything written so far.
 func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.text.String()
+	return l.buf.String()
 }
 
-// Count tells how often it holds a text.
+// Count returns how often a text occurs in the log.
 func (l *LogBuffer) Count(text string) int { return strings.Count(l.String(), text) }
