--- a/internal/etcdsource/decode.go
+++ b/internal/etcdsource/decode.go
@@ -1,4 +1,4 @@
-// Package etcdsource follows a pool's destinations in etcd: a list at a revision, and a watch from the next one on.
+// Package etcdsource watches the endpoints of a pool in etcd: it lists the keys at a revision and watches from the next one on.
 package etcdsource
 
 import (
@@ -12,16 +12,16 @@
 	"kitewood/internal/routing"
 )
 
-// The forms that values may have.
+// The formats that values may have.
 const (
-	FormPlain  = "kitewood" // docs/membership.md
-	FormNaming = "naming"   // of etcd's naming/endpoints package, which gRPC's resolver reads
+	FormPlain  = "kitewood" // JSON as described in docs/membership.md
+	FormNaming = "naming"   // the format of etcd's naming/endpoints package, which gRPC's resolver reads
 )
 
-// Decode reads the value of a key as a destination. The key's rest behind the prefix is its name.
+// Decode decodes the value of a key as an endpoint. name is the part of the key after the prefix.
 func Decode(form, name string, value []byte) (routing.Member, error) {
 	if name == "" {
-		return routing.Member{}, fmt.Errorf("a key without a name behind the prefix")
+		return routing.Member{}, fmt.Errorf("key without a name after the prefix")
 	}
 	m := routing.Member{Name: name, State: balance.Ready, Weight: 1}
 	if form == FormNaming {
@@ -51,7 +51,7 @@
 		case "draining":
 			m.State = balance.Draining
 		default:
-			return m, fmt.Errorf("state: ready or draining, not %q", v.State)
+			return m, fmt.Errorf("state: must be ready or draining, not %q", v.State)
 		}
 		if v.Weight < 0 {
 			return m, fmt.Errorf("weight: must be above 0, not %g", v.Weight)
@@ -62,13 +62,13 @@
 		if v.Started != "" {
 			t, err := time.Parse(time.RFC3339, v.Started)
 			if err != nil {
-				return m, fmt.Errorf("started: a time like 2026-12-01T10:00:00Z is wanted, not %q", v.Started)
+				return m, fmt.Errorf("started: must be a time like 2026-12-01T10:00:00Z, not %q", v.Started)
 			}
 			m.StartedAt = max(0, time.Duration(t.UnixNano()))
 		}
 	}
 	if _, err := netip.ParseAddrPort(m.Address); err != nil {
-		return m, fmt.Errorf("address: an IP and a port are wanted, not %q", m.Address)
+		return m, fmt.Errorf("address: must be an IP address and a port, not %q", m.Address)
 	}
 	return m, nil
 }
--- a/internal/etcdsource/source.go
+++ b/internal/etcdsource/source.go
@@ -21,49 +21,54 @@
 	"kitewood/internal/routing"
 )
 
-// Options say what is followed.
+// Options configure a watch.
 type Options struct {
 	Endpoints []string // host:port or URL
 	Prefix    string
-	Form      string // Plain or Naming
+	Form      string // FormPlain or FormNaming
 	User      string
 	Password  string
 	TLS       *tls.Config
-	Seed      uint64 // of the spread of its attempts
+	Seed      uint64 // of the jitter between attempts
 	Log       *slog.Logger
 }
 
-// Taker takes what a source says; Whole and Changed tell whether it was taken, as membership.Merger does.
+// Receiver receives the updates of a source. ApplyList and ApplyChanges return whether the update was accepted, as those of
+// membership.Merger do.
 type Receiver interface {
-	// Whole takes a list, with the revision at which each name was last written.
+	// ApplyList receives a full list, with the revision at which each name was last written.
 	ApplyList(at membership.At, list []routing.Member, written map[string]int64) bool
+	// ApplyChanges receives the changes of one revision.
 	ApplyChanges(at membership.At, changes []routing.Member) bool
+	// SourceAlive reports that the watch has responded without a change.
 	SourceAlive()
+	// SourceLost reports that the watch has ended.
 	SourceLost()
 }
 
 const (
-	quiet   = time.Second     // without a response, after which a watch is asked for its progress
-	dead    = time.Second     // without an answer to that, after which it is dead
-	reading = 2 * time.Second // for a list, and for a watch to begin
-	least   = 50 * time.Millisecond
-	longest = 500 * time.Millisecond // between two attempts, half of it to half more: services that follow a cluster are few
-	maxList = 256 << 20              // bytes of a list
+	idleTimeout     = time.Second     // without a response, after which progress of the watch is requested
+	progressTimeout = time.Second     // without a response to that request, after which the watch counts as dead
+	requestTimeout  = 2 * time.Second // for a list, and for the creation of a watch
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = 500 * time.Millisecond // with a jitter of 50 % either way; short, as few services watch a cluster
+	maxListBytes    = 256 << 20              // response size of a list
 )
 
-// source is a prefix that is followed.
+// source is the state of the watch of a prefix.
 type source struct {
-	o       Options
-	take    Receiver
-	history string
-	last    int64                     // newest revision that was taken
-	known   map[string]routing.Member // by name; what has become unreadable keeps its last word
-	fallen  int                       // times that the revision fell back: each is another history
+	opts      Options
+	receiver  Receiver
+	history   string
+	revision  int64                     // newest revision that was accepted
+	members   map[string]routing.Member // by name; a key whose value has become invalid keeps its last valid one
+	rollbacks int                       // how often the revision went backwards; each time starts a new history
 }
 
-// Follow follows a prefix until the context ends. It returns an error only if the options are unusable.
-func Watch(ctx context.Context, o Options, take Receiver) error {
-	// One client for each endpoint: which one answers is decided here, where the others' revisions are known.
+// Watch watches a prefix until the context ends and passes the updates to a receiver. It returns an error only if the options
+// are invalid.
+func Watch(ctx context.Context, o Options, receiver Receiver) error {
+	// One client for each etcd member: the choice of the member is made here, where the revisions of the others are known.
 	var clients []*clientv3.Client
 	defer func() {
 		for _, c := range clients {
@@ -72,8 +77,8 @@
 	}()
 	for _, endpoint := range o.Endpoints {
 		c, err := clientv3.New(clientv3.Config{Endpoints: []string{endpoint}, Username: o.User, Password: o.Password, TLS: o.TLS,
-			DialTimeout: reading, DialKeepAliveTime: 10 * time.Second, DialKeepAliveTimeout: 3 * time.Second, Context: ctx, Logger: zap.NewNop(),
-			MaxCallRecvMsgSize: maxList, DialOptions: []grpc.DialOption{grpc.WithDisableServiceConfig()}})
+			DialTimeout: requestTimeout, DialKeepAliveTime: 10 * time.Second, DialKeepAliveTimeout: 3 * time.Second, Context: ctx, Logger: zap.NewNop(),
+			MaxCallRecvMsgSize: maxListBytes, DialOptions: []grpc.DialOption{grpc.WithDisableServiceConfig()}})
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -83,91 +88,92 @@
 		clients = append(clients, c)
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
-	s := &source{o: o, take: take, known: map[string]routing.Member{}}
-	for n, pause := rng.IntN(len(clients)), least; ; {
-		began := time.Now()
-		err := s.follow(ctx, clients[n])
+	s := &source{opts: o, receiver: receiver, members: map[string]routing.Member{}}
+	for n, backoff := rng.IntN(len(clients)), minBackoff; ; {
+		start := time.Now()
+		err := s.listAndWatch(ctx, clients[n])
 		if ctx.Err() != nil {
 			return nil
 		}
-		take.SourceLost()
-		o.Log.Warn("the watch of etcd has ended", "endpoint", o.Endpoints[n], "revision", s.last, "error", err)
-		if time.Since(began) > quiet+dead { // it had a watch
-			pause = least
+		receiver.SourceLost()
+		o.Log.Warn("etcd watch ended", "endpoint", o.Endpoints[n], "revision", s.revision, "error", err)
+		if time.Since(start) > idleTimeout+progressTimeout { // the watch had been established
+			backoff = minBackoff
 		}
-		if !errors.Is(err, rpctypes.ErrCompacted) { // that is no fault of the member: the list is read there at once
+		if !errors.Is(err, rpctypes.ErrCompacted) { // after a compaction the list is read again at once from the same member, which is healthy
 			n = (n + 1) % len(clients)
 			select {
-			case <-time.After(pause/2 + time.Duration(rng.Int64N(int64(pause)))):
+			case <-time.After(backoff/2 + time.Duration(rng.Int64N(int64(backoff)))):
 			case <-ctx.Done():
 				return nil
 			}
-			pause = min(2*pause, longest)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// within calls with a bound on its time.
-func within(ctx context.Context, call func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, reading)
+// withTimeout calls a function with a context that ends after requestTimeout.
+func withTimeout(ctx context.Context, call func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return call(ctx)
 }
 
-// follow reads the list at one member and watches from there to the watch's end.
-func (s *source) follow(ctx context.Context, c *clientv3.Client) error {
+// listAndWatch reads the list from one member and watches from its revision on. It returns when the watch ends.
+func (s *source) listAndWatch(ctx context.Context, c *clientv3.Client) error {
 	var list *clientv3.GetResponse
-	if err := within(ctx, func(ctx context.Context) (err error) {
-		list, err = c.Get(ctx, s.o.Prefix, clientv3.WithPrefix())
+	if err := withTimeout(ctx, func(ctx context.Context) (err error) {
+		list, err = c.Get(ctx, s.opts.Prefix, clientv3.WithPrefix())
 		return err
 	}); err != nil {
 		return err
 	}
-	if err := s.list(list); err != nil {
+	if err := s.applyList(list); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	ctx = clientv3.WithRequireLeader(ctx)
-	// Watch returns only once the member has said that the watch has begun, whatever time that takes: a member that stops
-	// answering between the list and that word would hold all that follows here.
+	// clientv3's Watch blocks without a time limit until the member confirms the creation of the watch. It runs in a goroutine,
+	// as a member that stops responding after the list would otherwise block this loop.
 	opened := make(chan clientv3.WatchChan, 1)
 	go func() {
-		opened <- c.Watch(ctx, s.o.Prefix, clientv3.WithPrefix(), clientv3.WithRev(list.Header.Revision+1), clientv3.WithProgressNotify(),
+		opened <- c.Watch(ctx, s.opts.Prefix, clientv3.WithPrefix(), clientv3.WithRev(list.Header.Revision+1), clientv3.WithProgressNotify(),
 			clientv3.WithCreatedNotify(), clientv3.WithFragment())
 	}()
 	var events clientv3.WatchChan
-	alarm := time.NewTimer(reading)
-	defer alarm.Stop()
-	for asked := true; ; { // its beginning is waited for as an answer is
+	timer := time.NewTimer(requestTimeout)
+	defer timer.Stop()
+	for awaiting := true; ; { // the creation of the watch is awaited like the response to a progress request
 		select {
 		case events = <-opened:
 		case r, open := <-events:
 			switch {
 			case !open:
-				return errors.New("the watch was closed")
+				return errors.New("watch closed")
 			case r.Err() != nil:
 				return r.Err()
 			case r.Canceled:
-				return errors.New("the watch was cancelled")
+				return errors.New("watch cancelled")
 			}
-			if err := s.heard(list.Header.ClusterId, r); err != nil {
+			if err := s.handleResponse(list.Header.ClusterId, r); err != nil {
 				return err
 			}
-			asked = false
-			alarm.Reset(quiet)
-		case <-alarm.C:
-			if asked {
-				return errors.New("the watch is silent")
+			awaiting = false
+			timer.Reset(idleTimeout)
+		case <-timer.C:
+			if awaiting {
+				return errors.New("watch did not respond in time")
 			}
-			// A quiet watch and a dead one look alike; so does that of a cluster that was restored to before its revision.
-			// The read is linearizable: a member that lags behind the cluster, and would for long, cannot answer it.
-			asked = true
-			alarm.Reset(dead)
+			// An idle watch cannot be told from a dead one, or from the watch of a cluster that was restored to an earlier
+			// revision. The read is linearizable, so a member that lags behind the cluster, possibly for long,
+			// cannot respond to it.
+			awaiting = true
+			timer.Reset(progressTimeout)
 			go func() {
-				ask, cancel := context.WithTimeout(ctx, dead)
+				readCtx, cancel := context.WithTimeout(ctx, progressTimeout)
 				defer cancel()
-				if _, err := c.Get(ask, s.o.Prefix, clientv3.WithCountOnly()); err == nil {
+				if _, err := c.Get(readCtx, s.opts.Prefix, clientv3.WithCountOnly()); err == nil {
 					c.RequestProgress(ctx)
 				}
 			}()
@@ -177,46 +183,47 @@
 	}
 }
 
-// list takes a whole list.
-func (s *source) list(r *clientv3.GetResponse) error {
+// applyList passes a full list to the receiver.
+func (s *source) applyList(r *clientv3.GetResponse) error {
 	history := fmt.Sprintf("%x", r.Header.ClusterId)
-	if s.fallen > 0 {
-		history += fmt.Sprintf("-%d", s.fallen)
+	if s.rollbacks > 0 {
+		history += fmt.Sprintf("-%d", s.rollbacks)
 	}
-	if history == s.history && r.Header.Revision < s.last {
-		// The read is linearizable, so no member that lags answered it: the cluster was restored in place, under its old id.
-		s.fallen++
-		history = fmt.Sprintf("%x-%d", r.Header.ClusterId, s.fallen)
+	if history == s.history && r.Header.Revision < s.revision {
+		// The read is linearizable, so this is not the response of a member that lags: the cluster was restored in place, under
+		// its old ID.
+		s.rollbacks++
+		history = fmt.Sprintf("%x-%d", r.Header.ClusterId, s.rollbacks)
 	}
-	now, written := map[string]routing.Member{}, map[string]int64{}
+	members, written := map[string]routing.Member{}, map[string]int64{}
 	for _, kv := range r.Kvs {
-		if m, ok := s.put(now, kv); ok {
+		if m, ok := s.decodeInto(members, kv); ok {
 			written[m.Name] = kv.ModRevision
 		}
 	}
-	all := make([]routing.Member, 0, len(now))
-	for _, m := range now {
+	all := make([]routing.Member, 0, len(members))
+	for _, m := range members {
 		all = append(all, m)
 	}
-	if !s.take.ApplyList(membership.At{History: history, Revision: r.Header.Revision}, all, written) {
-		return fmt.Errorf("the list of revision %d was not taken", r.Header.Revision)
+	if !s.receiver.ApplyList(membership.At{History: history, Revision: r.Header.Revision}, all, written) {
+		return fmt.Errorf("list of revision %d was not accepted", r.Header.Revision)
 	}
-	s.history, s.last, s.known = history, r.Header.Revision, now
-	s.o.Log.Info("list of destinations read from etcd", "prefix", s.o.Prefix, "destinations", len(all), "history", history, "revision", s.last)
+	s.history, s.revision, s.members = history, r.Header.Revision, members
+	s.opts.Log.Info("endpoint list read from etcd", "prefix", s.opts.Prefix, "destinations", len(all), "history", history, "revision", s.revision)
 	return nil
 }
 
-// name is a key's name.
-func (s *source) name(key []byte) string { return strings.TrimPrefix(string(key), s.o.Prefix) }
+// memberName is the part of a key after the prefix.
+func (s *source) memberName(key []byte) string { return strings.TrimPrefix(string(key), s.opts.Prefix) }
 
-// put reads a key into a list. What cannot be read keeps its last word: nobody said that it is gone.
-func (s *source) put(list map[string]routing.Member, kv *mvccpb.KeyValue) (routing.Member, bool) {
-	name := s.name(kv.Key)
-	m, err := Decode(s.o.Form, name, kv.Value)
+// decodeInto decodes a key into a list. A key whose value is invalid keeps its last valid value, as it has not been deleted.
+func (s *source) decodeInto(list map[string]routing.Member, kv *mvccpb.KeyValue) (routing.Member, bool) {
+	name := s.memberName(kv.Key)
+	m, err := Decode(s.opts.Form, name, kv.Value)
 	if err != nil {
-		s.o.Log.Error("a destination in etcd is not taken", "key", string(kv.Key), "revision", kv.ModRevision, "error", err)
-		old, there := s.known[name]
-		if there {
+		s.opts.Log.Error("ignoring an invalid endpoint in etcd", "key", string(kv.Key), "revision", kv.ModRevision, "error", err)
+		old, ok := s.members[name]
+		if ok {
 			list[name] = old
 		}
 		return old, false
@@ -225,42 +232,42 @@
 	return m, true
 }
 
-// heard takes a response of the watch.
-func (s *source) heard(cluster uint64, r clientv3.WatchResponse) error {
+// handleResponse passes the changes in a response of the watch to the receiver.
+func (s *source) handleResponse(cluster uint64, r clientv3.WatchResponse) error {
 	if r.Header.ClusterId != cluster {
-		return fmt.Errorf("the cluster is another: %x instead of %x", r.Header.ClusterId, cluster)
+		return fmt.Errorf("cluster ID changed: got %x, want %x", r.Header.ClusterId, cluster)
 	}
 	if len(r.Events) == 0 {
-		if r.Header.Revision < s.last {
-			return fmt.Errorf("the member is at revision %d, behind %d", r.Header.Revision, s.last)
+		if r.Header.Revision < s.revision {
+			return fmt.Errorf("member is at revision %d, behind %d", r.Header.Revision, s.revision)
 		}
-		s.take.SourceAlive()
+		s.receiver.SourceAlive()
 		return nil
 	}
-	for i := 0; i < len(r.Events); { // revision by revision: one transaction is one change
+	for i := 0; i < len(r.Events); { // one update for each revision, so that a transaction is applied as a whole
 		revision := r.Events[i].Kv.ModRevision
 		changed := map[string]routing.Member{}
 		for ; i < len(r.Events) && r.Events[i].Kv.ModRevision == revision; i++ {
 			e := r.Events[i]
 			if e.Type == clientv3.EventTypeDelete {
-				name := s.name(e.Kv.Key)
+				name := s.memberName(e.Kv.Key)
 				changed[name] = routing.Member{Name: name, State: balance.Gone}
-				delete(s.known, name)
-			} else if m, ok := s.put(s.known, e.Kv); ok {
+				delete(s.members, name)
+			} else if m, ok := s.decodeInto(s.members, e.Kv); ok {
 				changed[m.Name] = m
 			}
 		}
-		if revision <= s.last {
+		if revision <= s.revision {
 			continue
 		}
 		all := make([]routing.Member, 0, len(changed))
 		for _, m := range changed {
 			all = append(all, m)
 		}
-		if !s.take.ApplyChanges(membership.At{History: s.history, Revision: revision}, all) {
-			return fmt.Errorf("the changes of revision %d were not taken", revision)
+		if !s.receiver.ApplyChanges(membership.At{History: s.history, Revision: revision}, all) {
+			return fmt.Errorf("changes of revision %d were not accepted", revision)
 		}
-		s.last = revision
+		s.revision = revision
 	}
 	return nil
 }
--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -26,93 +26,94 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-// merged is a Taker over the core that it is written for.
-type merged struct {
-	mu     sync.Mutex
-	m      *membership.Merger
-	wholes int
-	lost   int
-	change int
-	listed func() // called with each whole list, if set
+// mergingReceiver is a Receiver that passes updates to a membership.Merger and counts them.
+type mergingReceiver struct {
+	mu      sync.Mutex
+	merger  *membership.Merger
+	lists   int
+	lost    int
+	changes int
+	onList  func() // called for each full list, if set
 }
 
-func newMerged() *merged {
-	return &merged{m: membership.New(membership.Config{Sources: []string{"etcd"}, Keep: time.Hour})}
+func newMergingReceiver() *mergingReceiver {
+	return &mergingReceiver{merger: membership.New(membership.Config{Sources: []string{"etcd"}, Keep: time.Hour})}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-func (x *merged) ApplyList(at membership.At, list []routing.Member, written map[string]int64) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.wholes++
-	if x.listed != nil {
-		x.listed()
+func (r *mergingReceiver) ApplyList(at membership.At, list []routing.Member, written map[string]int64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lists++
+	if r.onList != nil {
+		r.onList()
 	}
-	return x.m.WholeWritten(now(), "etcd", at, list, written)
+	return r.merger.WholeWritten(now(), "etcd", at, list, written)
 }
 
-func (x *merged) ApplyChanges(at membership.At, list []routing.Member) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.change++
-	return x.m.Changed(now(), "etcd", at, list)
+func (r *mergingReceiver) ApplyChanges(at membership.At, list []routing.Member) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.changes++
+	return r.merger.Changed(now(), "etcd", at, list)
 }
 
-func (x *merged) SourceAlive() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.m.Alive(now(), "etcd")
+func (r *mergingReceiver) SourceAlive() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.merger.Alive(now(), "etcd")
 }
 
-func (x *merged) SourceLost() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.lost++
-	x.m.Lost(now(), "etcd")
+func (r *mergingReceiver) SourceLost() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost++
+	r.merger.Lost(now(), "etcd")
 }
 
-// shows is the list: names, with a dash behind those that drain.
-func (x *merged) shows() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.m.Merge(now())
+// summary returns the names of the merged list; a draining endpoint has a dash after its name.
+func (r *mergingReceiver) summary() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.merger.Merge(now())
 	var out []string
-	for _, d := range x.m.List() {
+	for _, d := range r.merger.List() {
 		out = append(out, d.Name+map[balance.State]string{balance.Draining: "-"}[d.State])
 	}
 	return strings.Join(out, " ")
 }
 
-func (x *merged) lists() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.wholes
+func (r *mergingReceiver) listCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lists
 }
 
+// value is the JSON of an endpoint, which started long ago.
 func value(address, state string) string {
 	text, _ := json.Marshal(map[string]any{"address": address, "state": state, "started": "2026-01-01T00:00:00Z"})
 	return string(text)
 }
 
-// follow starts a cluster, a client that writes and a source that follows.
-func follow(t *testing.T, members int, form string) (*etcd.Cluster, *clientv3.Client, *merged) {
+// startWatch starts a cluster, a client that writes to it and a watch that ends with the test.
+func startWatch(t *testing.T, members int, form string) (*etcd.Cluster, *clientv3.Client, *mergingReceiver) {
 	t.Helper()
 	c, err := etcd.New(etcd.Options{Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	k, err := clientv3.New(clientv3.Config{Endpoints: c.Addresses(), Logger: zap.NewNop()})
+	client, err := clientv3.New(clientv3.Config{Endpoints: c.Addresses(), Logger: zap.NewNop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { k.Close() })
-	x := newMerged()
+	t.Cleanup(func() { client.Close() })
+	r := newMergingReceiver()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		done <- Watch(ctx, Options{Endpoints: c.Addresses(), Prefix: "/d/", Form: form, Seed: 1, Log: slog.New(slog.DiscardHandler)}, x)
+		done <- Watch(ctx, Options{Endpoints: c.Addresses(), Prefix: "/d/", Form: form, Seed: 1, Log: slog.New(slog.DiscardHandler)}, r)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -120,48 +121,49 @@
 			t.Error(err)
 		}
 	})
-	return c, k, x
+	return c, client, r
 }
 
-func until(t *testing.T, x *merged, want string) {
+func waitForSummary(t *testing.T, r *mergingReceiver, want string) {
 	t.Helper()
-	testkit.WaitUntil(t, "the list is "+want, func() bool { return x.shows() == want })
+	testkit.WaitUntil(t, "the list is "+want, func() bool { return r.summary() == want })
 }
 
-// Writes, drains, deletions and the end of a lease are seen as they come; a value that cannot be read keeps the last word.
-func TestFollow(t *testing.T) {
-	_, k, x := follow(t, 1, FormPlain)
+// The list follows writes, drains, deletions and the expiry of an etcd lease. A key whose value becomes invalid keeps its last
+// valid value.
+func TestWatch(t *testing.T) {
+	_, client, r := startWatch(t, 1, FormPlain)
 	put := func(name, text string, o ...clientv3.OpOption) {
 		t.Helper()
-		if _, err := k.Put(t.Context(), "/d/"+name, text, o...); err != nil {
+		if _, err := client.Put(t.Context(), "/d/"+name, text, o...); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put("a", value("10.0.0.1:1", ""))
-	until(t, x, "a")
-	lease, err := k.Grant(t.Context(), 1)
+	waitForSummary(t, r, "a")
+	lease, err := client.Grant(t.Context(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	put("b", value("10.0.0.2:1", "ready"), clientv3.WithLease(lease.ID))
-	until(t, x, "a b")
+	waitForSummary(t, r, "a b")
 	put("a", value("10.0.0.1:1", "draining"))
-	until(t, x, "a- b")
+	waitForSummary(t, r, "a- b")
 	put("a", "{spoilt")
 	put("new", value("no address", ""))
 	put("c", value("10.0.0.3:1", ""))
-	testkit.WaitUntil(t, "the lease ends", func() bool { return x.shows() == "a- c" })
-	k.Txn(t.Context()).Then(clientv3.OpDelete("/d/a"), clientv3.OpPut("/d/e", value("10.0.0.5:1", ""))).Commit()
-	until(t, x, "c e")
-	if x.lists() != 1 {
-		t.Errorf("%d whole lists were read", x.lists())
+	testkit.WaitUntil(t, "the lease has expired", func() bool { return r.summary() == "a- c" })
+	client.Txn(t.Context()).Then(clientv3.OpDelete("/d/a"), clientv3.OpPut("/d/e", value("10.0.0.5:1", ""))).Commit()
+	waitForSummary(t, r, "c e")
+	if r.listCount() != 1 {
+		t.Errorf("%d full lists were read, want 1", r.listCount())
 	}
 }
 
-// What gRPC's resolver would read is followed, too, written by the library's own manager.
+// The format of gRPC's resolver is supported: endpoints that etcd's own naming manager writes are in the list.
 func TestNamingForm(t *testing.T) {
-	_, k, x := follow(t, 1, FormNaming)
-	m, err := endpoints.NewManager(k, "/d")
+	_, client, r := startWatch(t, 1, FormNaming)
+	m, err := endpoints.NewManager(client, "/d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,46 +172,47 @@
 			t.Fatal(err)
 		}
 	}
-	until(t, x, "a b")
+	waitForSummary(t, r, "a b")
 	if err := m.DeleteEndpoint(t.Context(), "/d/a"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, x, "b")
+	waitForSummary(t, r, "b")
 }
 
-// A watch that breaks while history is compacted misses nothing: what was removed in the gap is gone.
+// A watch that breaks before the revisions it has not seen are compacted misses nothing: an endpoint that was removed meanwhile
+// is gone.
 func TestCompactedGap(t *testing.T) {
-	c, k, x := follow(t, 1, FormPlain)
+	c, client, r := startWatch(t, 1, FormPlain)
 	for _, name := range []string{"a", "b", "c"} {
-		k.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
+		client.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
-	until(t, x, "a b c")
+	waitForSummary(t, r, "a b c")
 	c.Members[0].Lag()
-	k.Delete(t.Context(), "/d/b")
-	k.Put(t.Context(), "/d/d", value("10.0.0.4:1", ""))
-	k.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
+	client.Delete(t.Context(), "/d/b")
+	client.Put(t.Context(), "/d/d", value("10.0.0.4:1", ""))
+	client.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Revision()); err != nil {
 		t.Fatal(err)
 	}
 	c.Members[0].CatchUp()
-	until(t, x, "a- c d")
-	if x.lists() != 2 {
-		t.Errorf("%d whole lists: the gap was not met", x.lists())
+	waitForSummary(t, r, "a- c d")
+	if r.listCount() != 2 {
+		t.Errorf("%d full lists were read, want 2: the watch met no compaction", r.listCount())
 	}
 }
 
-// A member that is silent, broken or behind is left for another; an older revision never counts.
+// The watch moves to another member when its member is frozen, lags or has stopped. An older revision is never applied.
 func TestFailover(t *testing.T) {
-	c, _, x := follow(t, 2, FormPlain)
+	c, _, r := startWatch(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
-	until(t, x, "a")
+	waitForSummary(t, r, "a")
 	for n, fault := range []func(*etcd.Member){(*etcd.Member).Freeze, (*etcd.Member).Lag, (*etcd.Member).Stop} {
-		for _, m := range c.Members { // whichever it is at
+		for _, m := range c.Members { // one of them serves the watch
 			fault(m)
 			c.Put("/d/a", value("10.0.0.1:1", []string{"draining", "ready"}[n%2]))
-			until(t, x, []string{"a-", "a"}[n%2])
+			waitForSummary(t, r, []string{"a-", "a"}[n%2])
 			c.Put("/d/a", value("10.0.0.1:1", []string{"ready", "draining"}[n%2]))
-			until(t, x, []string{"a", "a-"}[n%2])
+			waitForSummary(t, r, []string{"a", "a-"}[n%2])
 			m.Thaw()
 			m.CatchUp()
 			if n == 2 {
@@ -221,20 +224,20 @@
 	}
 }
 
-// A member that stops answering between its list and the beginning of its watch is left as any that is silent.
-func TestFrozenBeforeTheWatch(t *testing.T) {
-	c, _, x := follow(t, 2, FormPlain)
+// The watch moves to another member when its member stops responding between the list and the creation of the watch.
+func TestFreezeBetweenListAndWatch(t *testing.T) {
+	c, _, r := startWatch(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
-	until(t, x, "a")
-	x.mu.Lock()
-	before := x.lost
-	x.listed = func() {
+	waitForSummary(t, r, "a")
+	r.mu.Lock()
+	before := r.lost
+	r.onList = func() {
 		for _, m := range c.Members {
 			m.Freeze()
 		}
 	}
-	x.mu.Unlock()
-	for _, m := range c.Members { // the watch meets a gap, and the list is read again
+	r.mu.Unlock()
+	for _, m := range c.Members { // so that the watch meets a compaction, and the list is read again
 		m.Lag()
 	}
 	c.Put("/d/a", value("10.0.0.1:1", "draining"))
@@ -244,63 +247,63 @@
 	for _, m := range c.Members {
 		m.CatchUp()
 	}
-	testkit.WaitUntil(t, "the silent watch is given up", func() bool {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		return x.wholes > 1 && x.lost > before+1 // the gap, and the silence
+	testkit.WaitUntil(t, "the watch without a response has ended", func() bool {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return r.lists > 1 && r.lost > before+1 // lost once at the compaction, and once without a response
 	})
-	x.mu.Lock()
-	x.listed = nil
-	x.mu.Unlock()
+	r.mu.Lock()
+	r.onList = nil
+	r.mu.Unlock()
 	c.Put("/d/b", value("10.0.0.2:1", ""))
 	for _, m := range c.Members {
 		m.Thaw()
 	}
-	until(t, x, "a b")
+	waitForSummary(t, r, "a b")
 }
 
-// A cluster that is restored to an older state undoes no drain and no removal; what is written in it then counts.
-func TestRestored(t *testing.T) {
+// A cluster that is restored from a backup reverts neither a drain nor a removal. Values written after the restore apply.
+func TestRestoreFromBackup(t *testing.T) {
 	for name, restore := range map[string]func(*etcd.Cluster, etcd.Snapshot) error{"another id": (*etcd.Cluster).Restore, "the same id": (*etcd.Cluster).RestoreInPlace} {
-		t.Run(name, func(t *testing.T) { restored(t, restore) })
+		t.Run(name, func(t *testing.T) { testRestored(t, restore) })
 	}
 }
 
-func restored(t *testing.T, restore func(*etcd.Cluster, etcd.Snapshot) error) {
-	c, k, x := follow(t, 1, FormPlain)
+func testRestored(t *testing.T, restore func(*etcd.Cluster, etcd.Snapshot) error) {
+	c, client, r := startWatch(t, 1, FormPlain)
 	for _, name := range []string{"a", "b", "c"} {
-		k.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
+		client.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
-	until(t, x, "a b c")
+	waitForSummary(t, r, "a b c")
 	backup := c.Backup()
-	k.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
-	k.Delete(t.Context(), "/d/b")
-	until(t, x, "a- c")
+	client.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
+	client.Delete(t.Context(), "/d/b")
+	waitForSummary(t, r, "a- c")
 	if err := restore(c, backup); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitUntil(t, "the restored list is read", func() bool { return x.lists() == 2 })
-	if got := x.shows(); got != "a- c" {
-		t.Errorf("restored: %q", got)
+	testkit.WaitUntil(t, "the restored list has been read", func() bool { return r.listCount() == 2 })
+	if got := r.summary(); got != "a- c" {
+		t.Errorf("after the restore: list %q", got)
 	}
-	testkit.WaitUntil(t, "it takes writes", func() bool {
-		_, err := k.Put(t.Context(), "/d/b", value("10.0.0.1:1", ""))
+	testkit.WaitUntil(t, "the cluster accepts writes", func() bool {
+		_, err := client.Put(t.Context(), "/d/b", value("10.0.0.1:1", ""))
 		return err == nil
 	})
-	until(t, x, "a- b c")
-	// A write that is seen in a list only is known to be new by its revision.
+	waitForSummary(t, r, "a- b c")
+	// A write that is seen only in a full list is recognised as new by its revision.
 	c.Members[0].Lag()
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	c.Compact(c.Revision())
 	c.Members[0].CatchUp()
-	until(t, x, "a b c")
+	waitForSummary(t, r, "a b c")
 }
 
-// Whatever members do, the list comes to what the cluster says, and what it says is never older than what was seen.
-func TestChaos(t *testing.T) {
-	c, _, x := follow(t, 2, FormPlain)
+// Under random faults of the members the list converges to the state of the cluster.
+func TestRandomFaults(t *testing.T) {
+	c, _, r := startWatch(t, 2, FormPlain)
 	rng := rand.New(rand.NewPCG(3, 3))
-	truth := map[string]string{}
+	want := map[string]string{}
 	for i := range 60 {
 		name := fmt.Sprintf("n%d", rng.IntN(8))
 		m := c.Members[rng.IntN(2)]
@@ -318,23 +321,23 @@
 		case 3:
 			c.Compact(c.Revision())
 		}
-		if truth[name] != "" && rng.IntN(2) == 0 {
+		if want[name] != "" && rng.IntN(2) == 0 {
 			c.Delete("/d/" + name)
-			delete(truth, name)
+			delete(want, name)
 			continue
 		}
 		state := []string{"", "-"}[i%2]
 		c.Put("/d/"+name, value("10.0.0.1:1", map[string]string{"-": "draining"}[state]))
-		truth[name] = name + state
+		want[name] = name + state
 	}
 	for _, m := range c.Members {
 		m.Thaw()
 		m.CatchUp()
 	}
-	until(t, x, strings.Join(slices.Sorted(maps.Values(truth)), " "))
+	waitForSummary(t, r, strings.Join(slices.Sorted(maps.Values(want)), " "))
 }
 
-// Values that are not in the documented forms are errors that say why.
+// A value that is not in a documented format gives an error that names the reason.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct{ form, name, text, want string }{
 		{FormPlain, "a", `{"address":"10.0.0.1:1","weight":2,"zone":"z","kind":"k","group":3,"started":"1970-01-01T00:00:01Z"}`, ""},
