--- a/cmd/kitewood/main.go
+++ b/cmd/kitewood/main.go
@@ -1,5 +1,5 @@
-// Command kitewood is a sidecar: it takes clients' operations on its listener to the destinations that the
-// decision module chooses.
+// Command kitewood is the sidecar: it accepts the requests of clients on its listener and forwards them to the endpoints that
+// the decision module chooses.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
-		// One line, as supervisors show one.
+		// A single line, as process supervisors show only one.
 		fmt.Fprintln(os.Stderr, "kitewood:", yamlfile.OneLine(err))
 		os.Exit(1)
 	}
@@ -27,11 +27,11 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "kitewood",
-		Usage: "a sidecar that balances operations over destinations",
+		Usage: "a sidecar that balances requests over endpoints",
 		Commands: []*cli.Command{
 			{
 				Name:  "serve",
-				Usage: "run the sidecar that $ROUTER_CONFIG or --config describes until SIGTERM; at SIGHUP, read it again",
+				Usage: "run the sidecar with the configuration from $ROUTER_CONFIG or --config until SIGTERM; SIGHUP reloads it",
 				Flags: []cli.Flag{&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"}, configFlag()},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					var level slog.Level
@@ -47,7 +47,7 @@
 			},
 			{
 				Name:  "check-config",
-				Usage: "read the configuration as serve would, and say what is wrong with it; of a --config, print the whole with defaults",
+				Usage: "check the configuration as serve would and report errors; with --config, print it with all defaults",
 				Flags: []cli.Flag{configFlag()},
 				Action: func(_ context.Context, c *cli.Command) error {
 					if path := c.String("config"); path != "" {
@@ -57,18 +57,18 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.Root().Writer, "ok: %s on %s, tier %d, %d classes, %d destinations known\n", config.Name,
+					fmt.Fprintf(c.Root().Writer, "ok: %s on %s, tier %d, %d classes, %d endpoints cached\n", config.Name,
 						config.Listen, config.Balancer.Tier, len(config.Classes), len(config.CachedEndpoints.Endpoints))
 					return nil
 				},
 			},
 			{
 				Name:  "pools",
-				Usage: "show the pools of the process that serves a --config, from its admin socket",
+				Usage: "show the pools of the process that serves --config, as reported on its admin socket",
 				Flags: []cli.Flag{configFlag(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}},
 				Action: func(_ context.Context, c *cli.Command) error {
 					if c.String("config") == "" {
-						return errors.New("pools: --config names the configuration of the process")
+						return errors.New("pools: --config is required")
 					}
 					return program.ShowPools(c.String("config"), c.Bool("json"), c.Root().Writer)
 				},
@@ -85,7 +85,7 @@
 	}
 }
 
-// configFlag names a configuration of the product's own form.
+// configFlag returns the flag for a YAML configuration file.
 func configFlag() cli.Flag {
 	return &cli.StringFlag{Name: "config", Usage: "YAML configuration of pools and routes (docs/configuration.md), instead of $ROUTER_CONFIG"}
 }
