--- a/cmd/kitewood/crowdedlist_test.go
+++ b/cmd/kitewood/crowdedlist_test.go
@@ -11,209 +11,211 @@
 	"kitewood/internal/lab/model"
 )
 
-// failsAfter has each call wait and then fail, as in a queue that is too long.
-func failsAfter(wait time.Duration) func(*watcher) {
-	return func(w *watcher) {
-		w.wait(w.s.since() + wait)
-		w.refuse()
+// failAfter has each call wait and then fail, as in a queue that is too long.
+func failAfter(wait time.Duration) func(*watchCall) {
+	return func(c *watchCall) {
+		c.wait(c.test.elapsed() + wait)
+		c.reject()
 	}
 }
 
-// breaks ends the connection of a call or a watch without a word.
-func breaks(*watcher) { panic(http.ErrAbortHandler) }
+// breakConnection closes the connection of a call or a watch without a response.
+func breakConnection(*watchCall) { panic(http.ErrAbortHandler) }
 
-// watchedUntil tells the list as it was, keeps the watch until a time of the case and hands further calls on.
-func watchedUntil(end time.Duration, over, then func(*watcher)) func(*watcher) {
-	return func(w *watcher) {
-		if w.s.since() >= end {
-			then(w)
+// watchUntil sends the list without the drain and keeps the watch alive until a time of the test, at which it calls end. Later
+// calls are handled by then.
+func watchUntil(at time.Duration, end, then func(*watchCall)) func(*watchCall) {
+	return func(c *watchCall) {
+		if c.test.elapsed() >= at {
+			then(c)
 			return
 		}
-		w.tell(w.s.list(1, "Ready"))
-		w.beat(end)
-		over(w)
+		c.send(c.test.list(1, "Ready"))
+		c.keepAlive(at)
+		end(c)
 	}
 }
 
-// inTurn answers calls by one function after the other.
-func inTurn(answers ...func(*watcher)) func(*watcher) {
+// inTurn handles calls by each function in turn.
+func inTurn(handlers ...func(*watchCall)) func(*watchCall) {
 	var mu sync.Mutex
 	calls := 0
-	return func(w *watcher) {
+	return func(c *watchCall) {
 		mu.Lock()
-		answer := answers[calls%len(answers)]
+		handle := handlers[calls%len(handlers)]
 		calls++
 		mu.Unlock()
-		answer(w)
+		handle(c)
 	}
 }
 
-// Discovery is up and tells others of a drain, but none of the calls of this process gets through. However these calls end,
-// nothing is sent to the server that drains once this counts as told.
-func TestNoCallGetsThrough(t *testing.T) {
+// Discovery is up and notifies others of a drain, but all calls of this process fail. However they fail, no request is sent to the
+// draining endpoint once the drain counts as notified.
+func TestAllDiscoveryCallsFail(t *testing.T) {
 	t.Parallel()
 	const (
-		drained = 300 * time.Millisecond
-		long    = 18500 * time.Millisecond
-		usual   = 10 * time.Second
+		drained   = 300 * time.Millisecond
+		longTest  = 18500 * time.Millisecond
+		shortTest = 10 * time.Second
 	)
-	refuse := func(w *watcher) { w.refuse() }
-	stay := func(w *watcher) { w.wait(99 * time.Second) }
-	end := func(*watcher) {}
+	reject := func(c *watchCall) { c.reject() }
+	stall := func(c *watchCall) { c.wait(99 * time.Second) }
+	end := func(*watchCall) {}
 	for name, c := range map[string]struct {
-		fresh  bool // the process has never had a watch
-		answer func(*watcher)
-		told   time.Duration
-		last   time.Duration
+		newProcess bool // the process has never had a watch
+		handle     func(*watchCall)
+		notified   time.Duration // when the drain counts as notified
+		end        time.Duration
 	}{
-		"new process, calls are refused at once or after 3 s": {fresh: true, answer: inTurn(refuse, failsAfter(3*time.Second)),
-			told: toldAnyway, last: usual},
-		"watch reset, calls are refused at once for 18 s": {answer: watchedUntil(drained, breaks, refuse), told: drained + toldAnyway, last: long},
-		"watch reset, calls are refused at once or after 3 s": {answer: watchedUntil(drained, breaks, inTurn(refuse, failsAfter(3*time.Second))),
-			told: drained + toldAnyway, last: long},
-		"watch silent, calls fail after 3 s": {answer: watchedUntil(drained, stay, failsAfter(3*time.Second)), told: drained + toldAnyway, last: usual},
-		"watch ended in order, calls fail after 3 s": {answer: watchedUntil(drained, end, failsAfter(3*time.Second)), told: drained + toldAfterEnd,
-			last: usual},
+		"new process, calls are rejected at once or after 3 s": {newProcess: true, handle: inTurn(reject, failAfter(3*time.Second)),
+			notified: confirmWithin, end: shortTest},
+		"watch reset, calls are rejected at once for 18 s": {handle: watchUntil(drained, breakConnection, reject), notified: drained + confirmWithin, end: longTest},
+		"watch reset, calls are rejected at once or after 3 s": {handle: watchUntil(drained, breakConnection, inTurn(reject, failAfter(3*time.Second))),
+			notified: drained + confirmWithin, end: longTest},
+		"watch silent, calls fail after 3 s": {handle: watchUntil(drained, stall, failAfter(3*time.Second)), notified: drained + confirmWithin, end: shortTest},
+		"watch ended in order, calls fail after 3 s": {handle: watchUntil(drained, end, failAfter(3*time.Second)), notified: drained + confirmAfterEnd,
+			end: shortTest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &staleList{t: t, mode: "ask", ready: !c.fresh}
-			s.play(c.answer, func() {}, c.last)
-			s.holds(c.told)
+			s := &staleListTest{t: t, listMode: "ask", watchFirst: !c.newProcess}
+			s.run(c.handle, func() {}, c.end)
+			s.checkDrainHonoured(c.notified)
 		})
 	}
 }
 
-// A process has just started, or its watch was reset, and every further call fails after its whole wait or is reset. To one
-// process this looks like an outage, in which nothing is told; discovery is up, and the rule holds all the same.
+// A process has just started, or its watch was reset, and every further call times out or is reset. A single process cannot tell
+// this from an outage, during which no change counts as notified. But discovery is up and only overloaded, and the limits hold.
 func TestOutageThatIsACrowd(t *testing.T) {
 	t.Parallel()
 	const reset = 300 * time.Millisecond
 	for name, c := range map[string]struct {
-		fresh  bool
-		answer func(*watcher)
-		told   time.Duration
+		newProcess bool
+		handle     func(*watchCall)
+		notified   time.Duration
 	}{
-		"watch reset, calls fail after 3 s": {answer: watchedUntil(reset, breaks, failsAfter(3*time.Second)), told: reset + toldAnyway},
-		"new process, calls fail after 3 s": {fresh: true, answer: failsAfter(3 * time.Second), told: toldAnyway},
-		"new process, calls fail after 2 s": {fresh: true, answer: failsAfter(2 * time.Second), told: toldAnyway},
-		"new process, calls are reset":      {fresh: true, answer: breaks, told: toldAnyway},
-		"watch reset, the next call fails after 3 s, those after it are refused": {told: reset + toldAnyway,
-			answer: watchedUntil(reset, breaks, inTurn(failsAfter(3*time.Second), func(w *watcher) { w.refuse() }))},
-		"new process, its first call fails after 3 s, the next is refused": {fresh: true,
-			answer: inTurn(failsAfter(3*time.Second), func(w *watcher) { w.refuse() }), told: toldAnyway},
+		"watch reset, calls fail after 3 s": {handle: watchUntil(reset, breakConnection, failAfter(3*time.Second)), notified: reset + confirmWithin},
+		"new process, calls fail after 3 s": {newProcess: true, handle: failAfter(3 * time.Second), notified: confirmWithin},
+		"new process, calls fail after 2 s": {newProcess: true, handle: failAfter(2 * time.Second), notified: confirmWithin},
+		"new process, calls are reset":      {newProcess: true, handle: breakConnection, notified: confirmWithin},
+		"watch reset, the next call fails after 3 s, those after it are refused": {notified: reset + confirmWithin,
+			handle: watchUntil(reset, breakConnection, inTurn(failAfter(3*time.Second), func(c *watchCall) { c.reject() }))},
+		"new process, its first call fails after 3 s, the next is refused": {newProcess: true,
+			handle: inTurn(failAfter(3*time.Second), func(c *watchCall) { c.reject() }), notified: confirmWithin},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &staleList{t: t, mode: "ask", ready: !c.fresh}
-			s.play(c.answer, func() {}, 18*time.Second)
-			s.holds(c.told)
+			s := &staleListTest{t: t, listMode: "ask", watchFirst: !c.newProcess}
+			s.run(c.handle, func() {}, 18*time.Second)
+			s.checkDrainHonoured(c.notified)
 		})
 	}
 }
 
-// However such calls end, a list that nobody has confirmed is not used for over 13 s, and never again before it is.
-func TestPresumedOutageEnds(t *testing.T) {
+// However such calls fail, a list that discovery has not confirmed is used for at most 13 s, and then not until it is confirmed.
+func TestPresumedOutageIsBounded(t *testing.T) {
 	t.Parallel()
 	const (
-		most = 13 * time.Second
-		last = 19 * time.Second
+		maxUse = 13 * time.Second
+		end    = 19 * time.Second
 	)
-	for name, fresh := range map[string]bool{"new process": true, "watch reset": false} {
+	for name, newProcess := range map[string]bool{"new process": true, "watch reset": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &staleList{t: t, mode: "ask", ready: !fresh}
-			answer := failsAfter(2 * time.Second)
-			if !fresh {
-				answer = watchedUntil(300*time.Millisecond, breaks, answer)
+			s := &staleListTest{t: t, listMode: "ask", watchFirst: !newProcess}
+			handle := failAfter(2 * time.Second)
+			if !newProcess {
+				handle = watchUntil(300*time.Millisecond, breakConnection, handle)
 			}
-			s.play(answer, func() {}, last)
-			s.holds(most)
+			s.run(handle, func() {}, end)
+			s.checkDrainHonoured(maxUse)
 		})
 	}
 }
 
-// An outage of 8 s is served through: nothing can be told in it.
-func TestOutageIsServedThrough(t *testing.T) {
+// During an outage of 8 s requests are served on, as no change counts as notified meanwhile.
+func TestServesDuringOutage(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		t.Run(fmt.Sprintf("calls fail after %v", wait), func(t *testing.T) {
 			t.Parallel()
 			const down, up = 500 * time.Millisecond, 8500 * time.Millisecond
-			s := &staleList{t: t, mode: "ask", ready: true}
-			s.play(watchedUntil(down, breaks, func(w *watcher) {
-				if w.s.since() < up {
-					failsAfter(wait)(w)
+			s := &staleListTest{t: t, listMode: "ask", watchFirst: true}
+			s.run(watchUntil(down, breakConnection, func(c *watchCall) {
+				if c.test.elapsed() < up {
+					failAfter(wait)(c)
 					return
 				}
-				w.tell(w.s.list(2, "Terminating"))
-				w.beat(99 * time.Second)
+				c.send(c.test.list(2, "Terminating"))
+				c.keepAlive(99 * time.Second)
 			}), func() {}, up+5*time.Second)
-			s.serves(0.98)
-			s.holds(up + toldAnyway)
+			s.checkServedShare(0.98)
+			s.checkDrainHonoured(up + confirmWithin)
 		})
 	}
 }
 
-// crowd is a discovery that takes calls in turn.
-type crowd struct {
+// queuedDiscovery is a discovery that serves calls one after the other.
+type queuedDiscovery struct {
 	mu    sync.Mutex
-	began time.Time
+	start time.Time
 	queue *model.Discovery
 }
 
-// take takes a call: how long it waits, and whether it is served then.
-func (c *crowd) take() (wait time.Duration, served bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Since(c.began)
-	at, served := c.queue.Call(now)
+// enqueue adds a call to the queue and returns how long it waits, and whether it is served then.
+func (d *queuedDiscovery) enqueue() (wait time.Duration, served bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Since(d.start)
+	at, served := d.queue.Call(now)
 	return at - now, served
 }
 
-// answer serves a call in its turn.
-func (c *crowd) answer(w *watcher) {
-	wait, served := c.take()
-	w.wait(w.s.since() + wait)
+// answer handles a call after its time in the queue.
+func (d *queuedDiscovery) answer(c *watchCall) {
+	wait, served := d.enqueue()
+	c.wait(c.test.elapsed() + wait)
 	if !served {
-		w.refuse()
+		c.reject()
 		return
 	}
-	w.tell(w.s.list(2, "Terminating"))
-	w.beat(99 * time.Second)
+	c.send(c.test.list(2, "Terminating"))
+	c.keepAlive(99 * time.Second)
 }
 
-// Sixteen sidecars start together before a discovery that takes 5 s to serve each of them once, lets a call wait for 2 s, and
-// works off those that have waited for longer, too. A server drains. Calls that come again at once keep that queue too long for
-// good; when they are spread nearly all sidecars hear of the drain before it counts as told, and all of them soon after.
+// Sixteen sidecars start together with an overloaded discovery: it needs 5 s to serve each of them once, fails a call that waits
+// longer than 2 s, and spends time on such calls, too. An endpoint drains. Immediate retries would keep the queue too long
+// permanently. With jittered backoff nearly all sidecars receive the drain before it counts as notified, and all of them soon after.
 //
-// A sidecar whose first two calls fail takes this for an outage and may be late: 0.02 to 0.05 of them by TestPaceInACrowd.
-func TestCrowdBeforeDiscovery(t *testing.T) {
+// A sidecar whose first two calls fail presumes an outage and may be late: a share of 0.02 to 0.05 of them, according to
+// TestBackoffOfManyCallers.
+func TestOverloadedDiscovery(t *testing.T) {
 	const (
 		sidecars = 16
 		capacity = 3.2
-		last     = 15 * time.Second
-		mostLate = 4 // one run of a thousand has more if 0.05 of them are late
+		end      = 15 * time.Second
+		maxLate  = 4 // one run of a thousand has more if a share of 0.05 is late
 		latest   = 13 * time.Second
 	)
-	c := &crowd{began: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: 2 * time.Second,
+	d := &queuedDiscovery{start: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: 2 * time.Second,
 		WorksOffFailed: true}, nil)}
 	var fleet sync.WaitGroup
 	var late atomic.Int32
 	for range sidecars {
 		fleet.Go(func() {
-			s := &staleList{t: t, mode: "ask"}
-			s.play(c.answer, func() {}, last)
-			if s.late(toldAnyway) > 0 {
+			s := &staleListTest{t: t, listMode: "ask"}
+			s.run(d.answer, func() {}, end)
+			if s.lateness(confirmWithin) > 0 {
 				late.Add(1)
 			}
-			s.holds(latest)
-			s.servedLast(last - time.Second)
+			s.checkDrainHonoured(latest)
+			s.checkServedAfter(end - time.Second)
 		})
 	}
 	fleet.Wait()
-	if n := late.Load(); n > mostLate {
-		t.Errorf("%d of %d sidecars sent to the server that drains after this counted as told, at most %d may", n, sidecars, mostLate)
+	if n := late.Load(); n > maxLate {
+		t.Errorf("%d of %d sidecars sent to the draining endpoint after the drain counted as notified, at most %d may", n, sidecars, maxLate)
 	}
 	t.Logf("%d of %d sidecars were late", late.Load(), sidecars)
 }
--- a/cmd/kitewood/stalelist_test.go
+++ b/cmd/kitewood/stalelist_test.go
@@ -17,167 +17,173 @@
 	"kitewood/internal/testkit"
 )
 
-// What the protocol allows between a change and the last request that ignores it.
+// The limits of the protocol on the time between a change and the last request that may ignore it.
 const (
-	drainGrace    = 550 * time.Millisecond // after the sidecar was told, with the slack for sockets
-	toldAnyway    = 6 * time.Second        // a change counts as told so long after discovery had it and could be reached
-	toldAfterEnd  = 2 * time.Second        // and so long after the end of a watch that ended instead of telling it
-	toldAfterMove = 4 * time.Second        // and so long after a reload, where lists are pushed
+	drainGrace         = 550 * time.Millisecond // after the sidecar was notified, with the tolerance for sockets
+	confirmWithin      = 6 * time.Second        // a change counts as notified this long after discovery had it and was reachable,
+	confirmAfterEnd    = 2 * time.Second        // this long after a watch ended in order instead of sending it,
+	confirmAfterReload = 4 * time.Second        // and, in push mode, this long after a reload
 )
 
-// staleList is one sidecar process between a discovery that misbehaves and two servers, one of which goes.
-type staleList struct {
-	t       *testing.T
-	mode    string // of the lists: ask or push
-	began   atomic.Pointer[time.Time]
-	leaving net.Addr
-	staying net.Addr
-	first   string // address of the discovery that it starts with
-	config  string
-	listen  string
-	signal  func(syscall.Signal)
-	ready   bool // whether the sidecar has a watch before the case begins
+// staleListTest is one sidecar process with a faulty discovery and two endpoints, one of which drains. Times of the test are
+// relative to its start.
+type staleListTest struct {
+	t                *testing.T
+	listMode         string // ask or push
+	start            atomic.Pointer[time.Time]
+	draining         net.Addr
+	staying          net.Addr
+	discoveryAddress string // of the discovery that the sidecar starts with
+	configPath       string
+	listen           string
+	signal           func(syscall.Signal)
+	watchFirst       bool // whether the sidecar gets a watch before the test starts
 
-	mu     sync.Mutex
-	last   time.Duration // of a request that reached the server that goes, since began
-	sent   int           // requests of clients
-	served int
-	lastOK time.Duration // of a request that was served, since began
+	mu             sync.Mutex
+	lastToDraining time.Duration // when the last request reached the draining endpoint
+	sent           int           // requests of the clients
+	served         int
+	lastServed     time.Duration // when the last request was served
 }
 
-// since is the time since the case began.
-func (s *staleList) since() time.Duration { return time.Since(*s.began.Load()) }
+// elapsed is the time since the start of the test.
+func (s *staleListTest) elapsed() time.Duration { return time.Since(*s.start.Load()) }
 
-// begin makes now the beginning of the case.
-func (s *staleList) begin() { s.beginAfter(0) }
+// setStart starts the test now.
+func (s *staleListTest) setStart() { s.setStartAfter(0) }
 
-func (s *staleList) beginAfter(d time.Duration) {
-	at := time.Now().Add(d)
-	s.began.Store(&at)
+// setStartAfter has the test start after a time.
+func (s *staleListTest) setStartAfter(d time.Duration) {
+	start := time.Now().Add(d)
+	s.start.Store(&start)
 }
 
-// at waits for a time of the case.
-func (s *staleList) at(d time.Duration) { time.Sleep(d - s.since()) }
+// sleepUntil waits until a time of the test.
+func (s *staleListTest) sleepUntil(d time.Duration) { time.Sleep(d - s.elapsed()) }
 
-// list is the whole list, with the state of the server that goes.
-func (s *staleList) list(index int, state string) string {
-	leaving := strings.Replace(entry(s.leaving, state), `"s"`, `"leaving"`, 1)
-	staying := strings.Replace(entry(s.staying, "Ready"), `"s"`, `"staying"`, 1)
-	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`+"\n", index, leaving, staying)
+// list is a full list, in which the draining endpoint has the given state.
+func (s *staleListTest) list(index int, state string) string {
+	draining := strings.Replace(endpointJSON(s.draining, state), `"s"`, `"leaving"`, 1)
+	staying := strings.Replace(endpointJSON(s.staying, "Ready"), `"s"`, `"staying"`, 1)
+	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`+"\n", index, draining, staying)
 }
 
-// reload names another discovery and says so by SIGHUP.
-func (s *staleList) reload(discovery string) {
-	write(s.t, s.config, configured(s.listen, discovery, 256, s.mode, s.known()...))
+// reload writes a configuration with another discovery address and sends SIGHUP.
+func (s *staleListTest) reload(discovery string) {
+	writeFile(s.t, s.configPath, configJSON(s.listen, discovery, 256, s.listMode, s.cachedEndpoints()...))
 	s.signal(syscall.SIGHUP)
 }
 
-func (s *staleList) known() []string {
-	return []string{strings.Replace(entry(s.leaving, "Ready"), `"s"`, `"leaving"`, 1),
-		strings.Replace(entry(s.staying, "Ready"), `"s"`, `"staying"`, 1)}
+// cachedEndpoints are the endpoints in the configuration: both, ready.
+func (s *staleListTest) cachedEndpoints() []string {
+	return []string{strings.Replace(endpointJSON(s.draining, "Ready"), `"s"`, `"leaving"`, 1),
+		strings.Replace(endpointJSON(s.staying, "Ready"), `"s"`, `"staying"`, 1)}
 }
 
-// discovery starts a discovery of which each call is answered by a function.
-func (s *staleList) discovery(answer func(*watcher)) string {
+// discovery starts a discovery server that handles each call by a function.
+func (s *staleListTest) discovery(handle func(*watchCall)) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer(&watcher{w, r, s})
+		handle(&watchCall{w, r, s})
 	}))
 	s.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	return server.Listener.Addr().String()
 }
 
-// watcher is one call of the sidecar to discovery.
-type watcher struct {
-	answer http.ResponseWriter
-	call   *http.Request
-	s      *staleList
+// watchCall is one call of the sidecar to discovery.
+type watchCall struct {
+	response http.ResponseWriter
+	request  *http.Request
+	test     *staleListTest
 }
 
-func (w *watcher) tell(text string) {
-	io.WriteString(w.answer, text)
-	w.answer.(http.Flusher).Flush()
+func (c *watchCall) send(text string) {
+	io.WriteString(c.response, text)
+	c.response.(http.Flusher).Flush()
 }
 
-// wait keeps the call open without a word until a time of the case, or its end. The case may begin meanwhile.
-func (w *watcher) wait(until time.Duration) {
-	for w.s.since() < until && w.call.Context().Err() == nil {
+// wait keeps the call open without sending anything until a time of the test or the end of the call. The test may start
+// meanwhile.
+func (c *watchCall) wait(until time.Duration) {
+	for c.test.elapsed() < until && c.request.Context().Err() == nil {
 		select {
-		case <-time.After(min(until-w.s.since(), 20*time.Millisecond)):
-		case <-w.call.Context().Done():
+		case <-time.After(min(until-c.test.elapsed(), 20*time.Millisecond)):
+		case <-c.request.Context().Done():
 		}
 	}
 }
 
-// beat keeps the watch alive until a time of the case.
-func (w *watcher) beat(until time.Duration) {
-	for w.s.since() < until && w.call.Context().Err() == nil {
-		w.wait(min(until, w.s.since()+time.Second))
-		w.tell("\n")
+// keepAlive sends a sign of life every second until a time of the test.
+func (c *watchCall) keepAlive(until time.Duration) {
+	for c.test.elapsed() < until && c.request.Context().Err() == nil {
+		c.wait(min(until, c.test.elapsed()+time.Second))
+		c.send("\n")
 	}
 }
 
-func (w *watcher) refuse() { w.answer.WriteHeader(http.StatusServiceUnavailable) }
+func (c *watchCall) reject() { c.response.WriteHeader(http.StatusServiceUnavailable) }
 
-// tellsFrom answers calls from a time of the case on with the drain, and refuses them before.
-func tellsFrom(at time.Duration) func(*watcher) {
-	return func(w *watcher) {
-		if w.s.since() < at {
-			w.refuse()
+// drainFrom rejects calls before a time of the test, and from then on sends the list with the drain.
+func drainFrom(at time.Duration) func(*watchCall) {
+	return func(c *watchCall) {
+		if c.test.elapsed() < at {
+			c.reject()
 			return
 		}
-		w.tell(w.s.list(2, "Terminating"))
-		w.beat(99 * time.Second)
+		c.send(c.test.list(2, "Terminating"))
+		c.keepAlive(99 * time.Second)
 	}
 }
 
-// play starts the sidecar, has clients send all the time and runs a case.
-func (s *staleList) play(first func(*watcher), script func(), last time.Duration) {
+// run starts the sidecar and its first discovery, which handles calls by a function, and has clients send requests until a time of
+// the test while the script runs.
+func (s *staleListTest) run(handle func(*watchCall), script func(), end time.Duration) {
 	t := s.t
-	server := func(leaves bool) net.Addr {
-		h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	startEndpoint := func(drains bool) net.Addr {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if leaves {
-				s.last = s.since()
+			if drains {
+				s.lastToDraining = s.elapsed()
 			}
 		}))
-		t.Cleanup(h.Close)
-		return h.Listener.Addr()
+		t.Cleanup(server.Close)
+		return server.Listener.Addr()
 	}
-	s.leaving, s.staying = server(true), server(false)
-	if s.beginAfter(0); s.ready {
-		s.beginAfter(time.Hour) // nothing of the case happens before the sidecar has its list
+	s.draining, s.staying = startEndpoint(true), startEndpoint(false)
+	if s.setStartAfter(0); s.watchFirst {
+		s.setStartAfter(time.Hour) // the test does not start before the sidecar has its list
 	}
-	s.first = s.discovery(first)
-	s.config, s.listen = filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
-	write(t, s.config, configured(s.listen, s.first, 256, s.mode, s.known()...))
-	c, log := launch(t, s.config, 0)
+	s.discoveryAddress = s.discovery(handle)
+	s.configPath, s.listen = filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
+	writeFile(t, s.configPath, configJSON(s.listen, s.discoveryAddress, 256, s.listMode, s.cachedEndpoints()...))
+	c, log := startSidecar(t, s.configPath, 0)
 	s.signal = func(sig syscall.Signal) { c.Process.Signal(sig) }
-	testkit.WaitUntil(t, "it is ready", func() bool { return ready(s.listen) })
-	if s.ready {
-		testkit.WaitUntil(t, "it has a list", func() bool { return log.Count("kind=full") > 0 })
+	testkit.WaitUntil(t, "the sidecar is ready", func() bool { return isReady(s.listen) })
+	if s.watchFirst {
+		testkit.WaitUntil(t, "the sidecar has a list", func() bool { return log.Count("kind=full") > 0 })
 	}
-	s.begin()
-	var over atomic.Bool
+	s.setStart()
+	var done atomic.Bool
 	var clients sync.WaitGroup
 	for n := range 4 {
 		clients.Go(func() {
-			for i := 0; !over.Load(); i++ {
-				s.ask(fmt.Sprintf("%s-%d-%d", filepath.Base(s.config), n, i))
+			for i := 0; !done.Load(); i++ {
+				s.sendRequest(fmt.Sprintf("%s-%d-%d", filepath.Base(s.configPath), n, i))
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
 	}
 	script()
-	s.at(last)
-	over.Store(true)
+	s.sleepUntil(end)
+	done.Store(true)
 	clients.Wait()
 	if t.Failed() {
 		t.Log(log)
 	}
 }
 
-func (s *staleList) ask(id string) {
+// sendRequest sends one client request and counts it.
+func (s *staleListTest) sendRequest(id string) {
 	q, _ := http.NewRequest("GET", "http://"+s.listen+"/look", nil)
 	q.Header.Set("X-Correlation-Id", id)
 	q.Header.Set("X-Time-Left-Ms", "2500")
@@ -186,199 +192,200 @@
 	defer s.mu.Unlock()
 	s.sent++
 	if err != nil {
-		s.t.Errorf("a request has no answer: %v", err)
+		s.t.Errorf("a request got no response: %v", err)
 		return
 	}
 	r.Body.Close()
 	if r.StatusCode == 200 {
 		s.served++
-		s.lastOK = s.since()
+		s.lastServed = s.elapsed()
 	}
 }
 
-// servedLast checks that requests are served at the end, that is later than a time of the case.
-func (s *staleList) servedLast(after time.Duration) {
+// checkServedAfter checks that a request was served after a time of the test.
+func (s *staleListTest) checkServedAfter(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lastOK < after {
-		s.t.Errorf("the last request was served at %v, it is served on after %v", s.lastOK, after)
+	if s.lastServed < after {
+		s.t.Errorf("the last request was served at %v, want one after %v", s.lastServed, after)
 	}
 }
 
-// holds checks that no request reached the server that goes later than the protocol allows after it counted as told.
-func (s *staleList) holds(told time.Duration) {
-	if late := s.late(told); late > 0 {
-		s.t.Errorf("a request went to the server that drains %v after this counted as told, %v are allowed", late, drainGrace)
+// checkDrainHonoured checks that no request reached the draining endpoint later than the protocol allows after the time at which the
+// drain counted as notified.
+func (s *staleListTest) checkDrainHonoured(notified time.Duration) {
+	if late := s.lateness(notified); late > 0 {
+		s.t.Errorf("a request reached the draining endpoint %v after the drain counted as notified, at most %v is allowed", late, drainGrace)
 	}
 }
 
-// late is how long after the drain counted as told the last request reached the server that drains; 0 for in time.
-func (s *staleList) late(told time.Duration) time.Duration {
+// lateness is how long after the drain counted as notified the last request reached the draining endpoint; 0 if within the limit.
+func (s *staleListTest) lateness(notified time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last <= told+drainGrace {
+	if s.lastToDraining <= notified+drainGrace {
 		return 0
 	}
-	return s.last - told
+	return s.lastToDraining - notified
 }
 
-// serves checks that a share of the requests was served.
-func (s *staleList) serves(least float64) {
+// checkServedShare checks that at least a share of the requests was served.
+func (s *staleListTest) checkServedShare(minShare float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if share := float64(s.served) / float64(s.sent); share < least {
-		s.t.Errorf("%.2f of %d requests were served, at least %.2f are wanted", share, s.sent, least)
+	if share := float64(s.served) / float64(s.sent); share < minShare {
+		s.t.Errorf("a share of %.2f of %d requests was served, want at least %.2f", share, s.sent, minShare)
 	}
 }
 
-// down has a discovery break its watch and fail each call after a wait.
-func (s *staleList) down(wait time.Duration) {
-	s.play(func(w *watcher) {
-		if s.since() < 500*time.Millisecond {
-			w.tell(s.list(1, "Ready"))
-			w.wait(time.Second)
-			panic(http.ErrAbortHandler) // its connection breaks
+// runDiscoveryDown runs a test in which discovery breaks its watch and then fails each call after a wait.
+func (s *staleListTest) runDiscoveryDown(wait time.Duration) {
+	s.run(func(c *watchCall) {
+		if s.elapsed() < 500*time.Millisecond {
+			c.send(s.list(1, "Ready"))
+			c.wait(time.Second)
+			panic(http.ErrAbortHandler) // breaks the connection
 		}
-		w.wait(s.since() + wait)
-		w.refuse()
+		c.wait(s.elapsed() + wait)
+		c.reject()
 	}, func() {}, 14*time.Second)
-	s.serves(0.98)
+	s.checkServedShare(0.98)
 }
 
-// No request goes to a server that drains once this counts as told, whatever keeps the sidecar from hearing of it: the list
-// that it has may be used for so long and no longer. And no request is refused because a list is old while discovery is out
-// of reach: nothing can count as told then.
+// No request goes to a draining endpoint once the drain counts as notified, whatever kept the sidecar from receiving it: a list may
+// be used until its lease expires. While discovery is unreachable no request is rejected because of an old list, as no change can
+// count as notified then.
 func TestStaleListIsNotUsed(t *testing.T) {
 	t.Parallel()
-	const away = 9 * time.Second // for how long the sidecar hears nothing
-	for name, run := range map[string]func(s *staleList){
-		// The incident's report: the watch that works is ended by a reload, and nothing else tells for a long time.
-		"reload to a discovery that is silent, the old one tells": func(s *staleList) {
-			next := s.discovery(func(w *watcher) { w.wait(away); w.tell(s.list(2, "Terminating")); w.beat(99 * time.Second) })
-			told := 500 * time.Millisecond
-			s.play(func(w *watcher) {
-				w.tell(s.list(1, "Ready"))
-				w.wait(told)
-				w.tell(s.list(2, "Terminating"))
-				w.beat(99 * time.Second)
-			}, func() { s.reload(next) }, away)
-			s.holds(told)
-			s.serves(0.95)
+	const silence = 9 * time.Second // for how long the sidecar receives nothing
+	for name, run := range map[string]func(s *staleListTest){
+		// As in the incident: a reload ends a working watch, and the new discovery sends nothing for a long time.
+		"reload to a silent discovery, the old one sends the drain": func(s *staleListTest) {
+			next := s.discovery(func(c *watchCall) { c.wait(silence); c.send(s.list(2, "Terminating")); c.keepAlive(99 * time.Second) })
+			notified := 500 * time.Millisecond
+			s.run(func(c *watchCall) {
+				c.send(s.list(1, "Ready"))
+				c.wait(notified)
+				c.send(s.list(2, "Terminating"))
+				c.keepAlive(99 * time.Second)
+			}, func() { s.reload(next) }, silence)
+			s.checkDrainHonoured(notified)
+			s.checkServedShare(0.95)
 		},
-		"reloads in a row to a discovery that refuses, the old one ends": func(s *staleList) {
-			refusing := tellsFrom(away)
-			next := []string{s.discovery(refusing), s.discovery(refusing), s.discovery(refusing)}
-			s.play(func(w *watcher) { w.tell(s.list(1, "Ready")); w.wait(300 * time.Millisecond) }, func() {
+		"several reloads to a discovery that rejects calls, the old one ends the watch": func(s *staleListTest) {
+			rejecting := drainFrom(silence)
+			next := []string{s.discovery(rejecting), s.discovery(rejecting), s.discovery(rejecting)}
+			s.run(func(c *watchCall) { c.send(s.list(1, "Ready")); c.wait(300 * time.Millisecond) }, func() {
 				for i, n := range next {
-					s.at(time.Duration(i) * 400 * time.Millisecond)
+					s.sleepUntil(time.Duration(i) * 400 * time.Millisecond)
 					s.reload(n)
 				}
-			}, away+3*time.Second)
-			s.holds(300*time.Millisecond + toldAnyway)
-			s.serves(0.5)
+			}, silence+3*time.Second)
+			s.checkDrainHonoured(300*time.Millisecond + confirmWithin)
+			s.checkServedShare(0.5)
 		},
-		// The first replay: discovery ends the watch instead of telling, and the next call waits for its turn.
-		"watch ended instead of telling, the next call waits": func(s *staleList) {
+		// Discovery ends the watch instead of sending the drain, and queues the next call.
+		"watch ended instead of sending the drain, the next call waits": func(s *staleListTest) {
 			end := 1500 * time.Millisecond
-			s.play(func(w *watcher) {
-				if s.since() < end {
-					w.tell(s.list(1, "Ready"))
-					w.beat(end)
+			s.run(func(c *watchCall) {
+				if s.elapsed() < end {
+					c.send(s.list(1, "Ready"))
+					c.keepAlive(end)
 					return
 				}
-				w.wait(end + 2950*time.Millisecond)
-				w.tell(s.list(2, "Terminating"))
-				w.beat(99 * time.Second)
+				c.wait(end + 2950*time.Millisecond)
+				c.send(s.list(2, "Terminating"))
+				c.keepAlive(99 * time.Second)
 			}, func() {}, end+5*time.Second)
-			s.holds(end + toldAfterEnd)
-			s.serves(0.8)
+			s.checkDrainHonoured(end + confirmAfterEnd)
+			s.checkServedShare(0.8)
 		},
-		// Found by the bench: an answer that has begun, or half a list, tells nothing yet.
-		"watch ended instead of telling, the next answer comes in pieces": func(s *staleList) {
+		// The beginning of a response, or half a list, does not count as a report of discovery.
+		"watch ended instead of sending the drain, the next response comes in pieces": func(s *staleListTest) {
 			end := 1500 * time.Millisecond
-			s.play(func(w *watcher) {
-				if s.since() < end {
-					w.tell(s.list(1, "Ready"))
-					w.beat(end)
+			s.run(func(c *watchCall) {
+				if s.elapsed() < end {
+					c.send(s.list(1, "Ready"))
+					c.keepAlive(end)
 					return
 				}
-				w.wait(end + 500*time.Millisecond)
+				c.wait(end + 500*time.Millisecond)
 				text := s.list(2, "Terminating")
-				w.tell("")
-				w.wait(end + 2500*time.Millisecond)
-				w.tell(text[:len(text)/2])
-				w.wait(end + 3500*time.Millisecond)
-				w.tell(text[len(text)/2:])
-				w.beat(99 * time.Second)
+				c.send("")
+				c.wait(end + 2500*time.Millisecond)
+				c.send(text[:len(text)/2])
+				c.wait(end + 3500*time.Millisecond)
+				c.send(text[len(text)/2:])
+				c.keepAlive(99 * time.Second)
 			}, func() {}, end+5*time.Second)
-			s.holds(end + toldAfterEnd)
-			s.serves(0.6)
+			s.checkDrainHonoured(end + confirmAfterEnd)
+			s.checkServedShare(0.6)
 		},
-		"new process, discovery refuses": func(s *staleList) {
-			s.ready = false
-			s.play(tellsFrom(away), func() {}, away+2*time.Second)
-			s.holds(toldAnyway)
-			s.serves(0.5)
+		"new process, discovery rejects calls": func(s *staleListTest) {
+			s.watchFirst = false
+			s.run(drainFrom(silence), func() {}, silence+2*time.Second)
+			s.checkDrainHonoured(confirmWithin)
+			s.checkServedShare(0.5)
 		},
-		"watch falls silent, discovery refuses": func(s *staleList) {
-			s.play(func(w *watcher) {
+		"watch falls silent, discovery rejects calls": func(s *staleListTest) {
+			s.run(func(c *watchCall) {
 				switch {
-				case s.since() < time.Second:
-					w.tell(s.list(1, "Ready"))
-					w.wait(99 * time.Second)
+				case s.elapsed() < time.Second:
+					c.send(s.list(1, "Ready"))
+					c.wait(99 * time.Second)
 				default:
-					tellsFrom(away)(w)
+					drainFrom(silence)(c)
 				}
-			}, func() {}, away+2*time.Second)
-			s.holds(toldAnyway)
-			s.serves(0.5)
+			}, func() {}, silence+2*time.Second)
+			s.checkDrainHonoured(confirmWithin)
+			s.checkServedShare(0.5)
 		},
-		"pushed: reload to an agent that answers late": func(s *staleList) {
-			s.mode = "push"
-			next := s.discovery(tellsFrom(6 * time.Second))
-			s.play(func(w *watcher) { w.tell(s.list(1, "Ready")); w.beat(99 * time.Second) }, func() { s.reload(next) }, 8*time.Second)
-			s.holds(toldAfterMove)
-			s.serves(0.6)
+		"push mode: reload to an agent that responds late": func(s *staleListTest) {
+			s.listMode = "push"
+			next := s.discovery(drainFrom(6 * time.Second))
+			s.run(func(c *watchCall) { c.send(s.list(1, "Ready")); c.keepAlive(99 * time.Second) }, func() { s.reload(next) }, 8*time.Second)
+			s.checkDrainHonoured(confirmAfterReload)
+			s.checkServedShare(0.6)
 		},
-		// Found by the soak: what waits on the watch when the process wakes is read, although the watch's time is over.
-		"process stands still while it is told, the next call waits": func(s *staleList) {
-			const still = 4 * time.Second
-			s.play(func(w *watcher) {
-				if s.since() > time.Second {
-					w.wait(still + 3*time.Second)
-					w.refuse()
+		// When a suspended process resumes, it reads what has arrived on the watch, although the time-out of the watch has passed.
+		"process is suspended while the drain arrives, the next call waits": func(s *staleListTest) {
+			const resume = 4 * time.Second
+			s.run(func(c *watchCall) {
+				if s.elapsed() > time.Second {
+					c.wait(resume + 3*time.Second)
+					c.reject()
 					return
 				}
-				w.tell(s.list(1, "Ready"))
-				w.wait(1500 * time.Millisecond)
-				w.tell(s.list(2, "Terminating"))
-				w.beat(99 * time.Second)
+				c.send(s.list(1, "Ready"))
+				c.wait(1500 * time.Millisecond)
+				c.send(s.list(2, "Terminating"))
+				c.keepAlive(99 * time.Second)
 			}, func() {
-				s.at(200 * time.Millisecond)
+				s.sleepUntil(200 * time.Millisecond)
 				s.signal(syscall.SIGSTOP)
-				s.at(still)
+				s.sleepUntil(resume)
 				s.signal(syscall.SIGCONT)
-			}, still+2*time.Second)
-			s.holds(still)
+			}, resume+2*time.Second)
+			s.checkDrainHonoured(resume)
 		},
-		// Nothing can be told by a discovery that is out of reach, so nothing is held back.
-		"discovery down: calls wait for 3 s and fail": func(s *staleList) { s.down(3 * time.Second) },
-		// Another installation's discovery lets calls wait for 2 s.
-		"discovery down: calls wait for 2 s and fail": func(s *staleList) { s.down(2 * time.Second) },
-		"discovery down: connections break": func(s *staleList) {
-			s.play(func(w *watcher) {
-				if s.since() < 500*time.Millisecond {
-					w.tell(s.list(1, "Ready"))
-					w.wait(time.Second)
+		// An unreachable discovery notifies nobody of changes, so requests are sent on.
+		"discovery down: calls wait for 3 s and fail": func(s *staleListTest) { s.runDiscoveryDown(3 * time.Second) },
+		// The discovery of another installation has calls wait for 2 s.
+		"discovery down: calls wait for 2 s and fail": func(s *staleListTest) { s.runDiscoveryDown(2 * time.Second) },
+		"discovery down: connections break": func(s *staleListTest) {
+			s.run(func(c *watchCall) {
+				if s.elapsed() < 500*time.Millisecond {
+					c.send(s.list(1, "Ready"))
+					c.wait(time.Second)
 				}
 				panic(http.ErrAbortHandler)
 			}, func() {}, 14*time.Second)
-			s.serves(0.98)
+			s.checkServedShare(0.98)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			run(&staleList{t: t, mode: "ask", ready: true})
+			run(&staleListTest{t: t, listMode: "ask", watchFirst: true})
 		})
 	}
 }
