--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module and speaks the simulator's wire on standard input and
-// output.
+// Command adapter runs instances of the decision module under the control of the simulator, whose binary protocol it speaks
+// on standard input and output.
 package main
 
 import (
@@ -14,14 +14,15 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // many instances share this process; collecting less often is cheaper
+	debug.SetGCPercent(400) // many instances share this process; less frequent garbage collection saves CPU time
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// serve answers batches until the input ends. On malformed input it returns an error and writes no reply.
+// serve reads batches from in and writes a reply to each until the input ends. For a malformed batch it returns an error and
+// writes no reply.
 func serve(in io.Reader, out io.Writer) error {
 	var (
 		reader    = wire.NewReader(in)
@@ -48,7 +49,7 @@
 			if !more {
 				break
 			}
-			if err := deliver(instances, &writer, &event, clock); err != nil {
+			if err := dispatch(instances, &writer, &event, clock); err != nil {
 				return fmt.Errorf("batch %d, instance %d: %w", batch, event.Instance, err)
 			}
 		}
@@ -58,23 +59,23 @@
 	}
 }
 
-// deliver hands one event to its instance. Events for an instance that does not run are passed over.
-func deliver(instances map[int]*balance.Balancer, w *wire.Writer, e *wire.Event, now time.Duration) error {
+// dispatch passes an event to its instance. Events for an instance that is not running are ignored.
+func dispatch(instances map[int]*balance.Balancer, w *wire.Writer, e *wire.Event, now time.Duration) error {
 	switch e.Kind {
-	case wire.Catalog:
+	case wire.ListDefined:
 		return nil
-	case wire.Start:
-		set, err := wire.Settings(e.Settings, e.Seed)
+	case wire.InstanceStarted:
+		settings, err := wire.ParseSettings(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
-		b, err := balance.New(set, &wire.Instance{Writer: w, Who: e.Instance}, now)
+		b, err := balance.New(settings, &wire.Instance{Writer: w, ID: e.Instance}, now)
 		if err != nil {
 			return err
 		}
 		instances[e.Instance] = b
 		return nil
-	case wire.Exit:
+	case wire.InstanceExited:
 		delete(instances, e.Instance)
 		return nil
 	}
@@ -84,22 +85,22 @@
 	}
 	o := &e.Outcome
 	switch e.Kind {
-	case wire.PeersKnown:
-		b.Members(now, e.List, e.Servers)
-	case wire.Gone:
-		b.GoneClient(now, e.Request.ID)
-	case wire.Due:
-		b.Timer(now, e.Token)
-	case wire.AckFirst:
-		b.First(now, o.ID, o.Server, o.Attempt, o.Latency)
+	case wire.EndpointsUpdated:
+		b.UpdateEndpoints(now, e.ListKind, e.Endpoints)
+	case wire.ClientGone:
+		b.ClientGone(now, e.Request.ID)
+	case wire.TimerFired:
+		b.TimerFired(now, e.Token)
+	case wire.StreamStarted:
+		b.StreamStarted(now, o.ID, o.Endpoint, o.Attempt, o.Latency)
 	case wire.ProbeDone:
-		b.Probed(now, o.Server, o.Latency, o.Status, o.Load)
-	case wire.Mail:
-		b.Peer(now, e.From, e.Data)
-	case wire.Demand:
-		b.Request(now, e.Request)
-	case wire.Answer:
-		b.Outcome(now, *o)
+		b.ProbeDone(now, o.Endpoint, o.Latency, o.Status, o.Load)
+	case wire.PeerMessage:
+		b.PeerMessage(now, e.From, e.Data)
+	case wire.RequestArrived:
+		b.RequestArrived(now, e.Request)
+	case wire.AttemptDone:
+		b.AttemptDone(now, *o)
 	}
 	return nil
 }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,5 +1,6 @@
-// Package orca asks destinations for their load out of band: one stream of the ORCA service (xds.service.orca.v3, the
-// protocol's OpenRcaService) to each, over which it tells its load as often as it is asked to, whether or not requests come.
+// Package orca receives out-of-band load reports from endpoints. It opens one stream of the ORCA service (xds.service.orca.v3,
+// OpenRcaService) to each endpoint, over which the endpoint reports its load at the requested interval, independent of
+// requests.
 package orca
 
 import (
@@ -21,55 +22,56 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Report is what a destination told of itself.
+// Report is a load report of an endpoint.
 type Report struct {
-	QPS, EPS float64 // requests and failures a second, 0 where it does not say
-	// Metrics by name: those that the protocol names, and named metrics and utilisations under their own names. What is no
-	// finite number above 0 is left out: the protocol writes what is not told as 0.
+	QPS, EPS float64 // requests and errors per second, 0 if not reported
+	// Metrics by name: the standard metrics of the protocol, and named metrics and utilizations under their own names. Values
+	// that are not finite numbers above 0 are left out, as the protocol encodes a missing value as 0.
 	Metrics map[string]float64
 }
 
 const (
-	leastPause = time.Second      // before a stream that broke is opened again, at the least; it doubles
-	mostPause  = 30 * time.Second // up to this
-	without    = 5 * time.Minute  // before a destination that does not offer the service is asked again
-	maxReport  = 64 << 10         // bytes
+	minBackoff       = time.Second      // initial backoff before a failed stream is reopened; it doubles with each failure
+	maxBackoff       = 30 * time.Second // maximum backoff
+	unsupportedRetry = 5 * time.Minute  // retry interval for an endpoint that does not offer the service
+	maxReportBytes   = 64 << 10         // maximum message size in bytes
 )
 
-// Watcher holds the streams of one pool. Any goroutine may call it.
+// Watcher manages the streams to the endpoints of one pool. It is safe for concurrent use.
 type Watcher struct {
-	ctx   context.Context
-	every time.Duration
-	seed  uint64
-	take  func(address string, r Report)
-	log   *slog.Logger
+	ctx      context.Context
+	interval time.Duration
+	seed     uint64
+	onReport func(address string, r Report)
+	log      *slog.Logger
 
 	mu      sync.Mutex
 	streams map[string]*stream // by address
 }
 
-// stream is that of one destination.
+// stream is the state of the stream to one endpoint.
 type stream struct {
-	end     context.CancelFunc
-	told    uint64 // reports
-	without bool   // it does not offer the service
+	cancel      context.CancelFunc
+	reports     uint64 // number of reports received
+	unsupported bool   // the endpoint does not offer the service
 }
 
-// Counts tell how the streams of a Watcher stand.
+// Counts summarizes the streams of a Watcher.
 type Counts struct {
-	Asked   int `json:"asked"`   // destinations
-	Told    int `json:"told"`    // of them that have told their load
-	Without int `json:"without"` // of them that do not offer the service
+	Watched     int `json:"asked"`   // endpoints
+	Reporting   int `json:"told"`    // endpoints that have reported their load
+	Unsupported int `json:"without"` // endpoints that do not offer the service
 }
 
-// New returns a Watcher that asks for a report at every interval until the context ends, and hands each to take, which may
-// be called from several goroutines. The spread of its attempts comes from the seed.
-func New(ctx context.Context, every time.Duration, seed uint64, take func(address string, r Report), log *slog.Logger) *Watcher {
-	return &Watcher{ctx: ctx, every: every, seed: seed, take: take, log: log, streams: map[string]*stream{}}
+// New returns a Watcher that requests reports at the given interval until the context ends, and passes each to onReport, which
+// may be called concurrently. The jitter of reconnection attempts is derived from the seed.
+func New(ctx context.Context, interval time.Duration, seed uint64, onReport func(address string, r Report),
+	log *slog.Logger) *Watcher {
+	return &Watcher{ctx: ctx, interval: interval, seed: seed, onReport: onReport, log: log, streams: map[string]*stream{}}
 }
 
-// Follow asks exactly these addresses from now on. Streams to those that were asked already stay.
-func (w *Watcher) Follow(addresses []string) {
+// SetAddresses replaces the watched addresses. Streams to addresses that remain are kept open.
+func (w *Watcher) SetAddresses(addresses []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	wanted := make(map[string]bool, len(addresses))
@@ -77,111 +79,112 @@
 		wanted[a] = true
 		if w.streams[a] == nil {
 			ctx, cancel := context.WithCancel(w.ctx)
-			s := &stream{end: cancel}
+			s := &stream{cancel: cancel}
 			w.streams[a] = s
 			go w.run(ctx, a, s)
 		}
 	}
 	for a, s := range w.streams {
 		if !wanted[a] {
-			s.end()
+			s.cancel()
 			delete(w.streams, a)
 		}
 	}
 }
 
-// Counts tell how the streams stand.
+// Counts returns a summary of the streams.
 func (w *Watcher) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := Counts{Asked: len(w.streams)}
+	c := Counts{Watched: len(w.streams)}
 	for _, s := range w.streams {
-		if s.told > 0 {
-			c.Told++
+		if s.reports > 0 {
+			c.Reporting++
 		}
-		if s.without {
-			c.Without++
+		if s.unsupported {
+			c.Unsupported++
 		}
 	}
 	return c
 }
 
-// run keeps a stream open.
+// run keeps the stream to an address open until ctx ends.
 func (w *Watcher) run(ctx context.Context, address string, s *stream) {
 	rng := rand.New(rand.NewPCG(w.seed, xxhash.Sum64String(address)))
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReport)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReportBytes)))
 	if err != nil {
-		w.log.Error("load out of band", "address", address, "error", err)
+		w.log.Error("cannot create client for out-of-band load reports", "address", address, "error", err)
 		return
 	}
 	defer conn.Close()
-	for pause := leastPause; ; {
-		told, err := w.listen(ctx, conn, address, s)
+	for backoff := minBackoff; ; {
+		received, err := w.readStream(ctx, conn, address, s)
 		if ctx.Err() != nil {
 			return
 		}
-		wait := pause
-		pause = min(2*pause, mostPause)
+		wait := backoff
+		backoff = min(2*backoff, maxBackoff)
 		switch {
-		case told:
-			wait, pause = leastPause, leastPause
+		case received:
+			wait, backoff = minBackoff, minBackoff
 		case status.Code(err) == codes.Unimplemented:
 			w.mu.Lock()
-			s.without = true
+			s.unsupported = true
 			w.mu.Unlock()
-			wait = without
+			wait = unsupportedRetry
 		}
-		w.log.Debug("the stream of load reports has ended", "address", address, "error", err, "again_in", wait)
+		w.log.Debug("load report stream ended, reopening it", "address", address, "error", err, "again_in", wait)
 		select {
-		case <-time.After(wait/2 + time.Duration(rng.Int64N(int64(wait)))): // spread: all may have broken together
+		case <-time.After(wait/2 + time.Duration(rng.Int64N(int64(wait)))): // jitter: all streams may have failed at once
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// errSilent ends a stream on which nothing comes.
-var errSilent = errors.New("nothing came on the stream of load reports")
+// errNoReport is the cause when a stream is ended for lack of reports.
+var errNoReport = errors.New("no load report received in time")
 
-// silence is after how long a stream without a report is dead. Servers may have a least interval of their own, whatever
-// they are asked for: gRPC's is 30 s.
-func (w *Watcher) silence() time.Duration { return max(3*w.every, 65*time.Second) }
+// silenceTimeout returns the time without a report after which a stream is considered dead. Servers may enforce a minimum
+// interval above the requested one; that of gRPC is 30 s.
+func (w *Watcher) silenceTimeout() time.Duration { return max(3*w.interval, 65*time.Second) }
 
-// listen reads one stream to its end and tells whether it brought anything.
-func (w *Watcher) listen(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (told bool, err error) {
+// readStream opens a stream, reads it to its end and returns whether any report was received.
+func (w *Watcher) readStream(ctx context.Context, conn *grpc.ClientConn, address string, s *stream) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	dead := time.AfterFunc(w.silence(), func() { cancel(errSilent) })
-	defer dead.Stop()
-	in, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx, &service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.every)})
+	watchdog := time.AfterFunc(w.silenceTimeout(), func() { cancel(errNoReport) })
+	defer watchdog.Stop()
+	reports, err := service.NewOpenRcaServiceClient(conn).StreamCoreMetrics(ctx,
+		&service.OrcaLoadReportRequest{ReportInterval: durationpb.New(w.interval)})
 	if err != nil {
 		return false, err
 	}
 	for {
-		r, err := in.Recv()
+		r, err := reports.Recv()
 		if err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return told, err
+			return received, err
 		}
-		dead.Reset(w.silence())
+		watchdog.Reset(w.silenceTimeout())
 		w.mu.Lock()
-		s.told++
-		s.without = false
+		s.reports++
+		s.unsupported = false
 		w.mu.Unlock()
-		told = true
-		w.take(address, reportOf(r))
+		received = true
+		w.onReport(address, parseReport(r))
 	}
 }
 
-// reportOf reads a report of the protocol.
-func reportOf(r *data.OrcaLoadReport) Report {
-	out := Report{QPS: sound(r.GetRpsFractional()), EPS: sound(r.GetEps()), Metrics: map[string]float64{}}
+// parseReport converts a report of the protocol.
+func parseReport(r *data.OrcaLoadReport) Report {
+	report := Report{QPS: finiteOrZero(r.GetRpsFractional()), EPS: finiteOrZero(r.GetEps()), Metrics: map[string]float64{}}
 	add := func(name string, v float64) {
-		if v = sound(v); v > 0 {
-			out.Metrics[name] = v
+		if v = finiteOrZero(v); v > 0 {
+			report.Metrics[name] = v
 		}
 	}
 	for name, v := range r.GetNamedMetrics() {
@@ -190,17 +193,17 @@
 	for name, v := range r.GetUtilization() {
 		add(name, v)
 	}
-	// Last: a named metric must not pass for one of the protocol's own.
+	// These come last, so that a named metric cannot replace a standard metric of the protocol.
 	for name, v := range map[string]float64{"application_utilization": r.GetApplicationUtilization(), "cpu_utilization": r.GetCpuUtilization(),
 		"mem_utilization": r.GetMemUtilization()} {
-		delete(out.Metrics, name)
+		delete(report.Metrics, name)
 		add(name, v)
 	}
-	return out
+	return report
 }
 
-// sound is a figure, 0 if it is none.
-func sound(v float64) float64 {
+// finiteOrZero returns v, or 0 if v is negative, infinite or NaN.
+func finiteOrZero(v float64) float64 {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -15,33 +15,33 @@
 	"kitewood/internal/transport"
 )
 
-// pool is one service.
+// pool is one set of endpoints with its own event loop, connections and endpoint source.
 type pool struct {
-	name         string
-	conf         config.Pool // as last applied; under Set.mu
-	ctx          context.Context
-	cancel       context.CancelFunc
-	loop         *routing.Loop
-	log          *slog.Logger
-	destinations *transport.Destinations
-	watch        routing.Directory
-	discovery    *transport.Directory // nil where the list is a file
-	classes      []protocol.Class
-	service      transport.Service
+	name            string
+	conf            config.Pool // as last applied; guarded by Set.mu
+	ctx             context.Context
+	cancel          context.CancelFunc
+	loop            *routing.Loop
+	log             *slog.Logger
+	connections     *transport.ConnectionPool
+	source          routing.Discovery
+	discoveryClient *transport.DiscoveryClient // nil if the endpoint list is a file
+	classes         []protocol.Class
+	backend         transport.Backend
 }
 
-// idleShare of the time that destinations keep an idle connection is how long it is used here: one that its peer closes
-// as a request is written counts as one that may have run.
-const idleShare = 0.7
+// idleTimeoutFraction is the part of the endpoints' idle timeout after which the pool stops using an idle connection. A request
+// written to a connection that the endpoint closes at the same moment may have run and counts as such.
+const idleTimeoutFraction = 0.7
 
-// fullAdvice is when to come back to a pool that is full or stuck, where its settings allow so much.
-const fullAdvice = time.Second
+// overloadRetryAfter is the Retry-After of a pool that is at its limit or unresponsive; the pool's settings may lower it.
+const overloadRetryAfter = time.Second
 
-// prepare makes a pool that does not run yet. Its list has been read if it is a file.
-func (s *Set) prepare(f *config.File, conf *config.Pool) (*pool, error) {
+// newPool returns a pool that does not run yet. An endpoint list in a file has been read.
+func (s *Set) newPool(f *config.File, conf *config.Pool) (*pool, error) {
 	log := s.log.With("pool", conf.Name)
-	module := conf.Module(f.SeedOf(conf.Name))
-	loop, err := routing.New(module, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
+	settings := conf.BalancerSettings(f.SeedOf(conf.Name))
+	loop, err := routing.New(settings, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
 	if err != nil {
 		return nil, err
 	}
@@ -49,41 +49,41 @@
 	p := &pool{name: conf.Name, conf: *conf, loop: loop, log: log}
 	p.ctx, p.cancel = context.WithCancel(s.ctx)
 	if conf.Members.Discovery != "" {
-		p.discovery = transport.NewDirectory(p.ctx, conf.Members.Discovery, loop, log)
-		p.discovery.Clock, p.discovery.OnHold = s.clock, loop.Hold
-		p.discovery.AtOnce = true // the pool has no list of its own
-		p.discovery.Seed, p.discovery.Grace = f.SeedOf(conf.Name+"/discovery"), module.Rules.DrainGrace
-		p.watch = p.discovery
-	} else if p.watch, err = s.source(p.ctx, conf.Members.File, loop, log); err != nil {
+		p.discoveryClient = transport.NewDiscoveryClient(p.ctx, conf.Members.Discovery, loop, log)
+		p.discoveryClient.Clock, p.discoveryClient.OnLeaseExpiry = s.clock, loop.SetLeaseExpiry
+		p.discoveryClient.NoInitialDelay = true // the pool has no cached list
+		p.discoveryClient.Seed, p.discoveryClient.DrainGrace = f.SeedOf(conf.Name+"/discovery"), settings.Rules.DrainGrace
+		p.source = p.discoveryClient
+	} else if p.source, err = s.openListFile(p.ctx, conf.Members.File, loop, log); err != nil {
 		p.cancel()
 		return nil, err
 	}
-	options := transport.Options{Clock: s.clock, ConnectTimeout: conf.Connections.Timeout.D(),
-		IdleFor: time.Duration(float64(conf.Connections.Idle) * idleShare), Room: room{s.limits, conf.Name}, PassErrors: true,
-		Fields: conf.Reports.Fields, ProbePath: "/health/live", Log: log}
-	if conf.Reports.Via != "none" {
+	options := transport.ConnectionPoolOptions{Clock: s.clock, ConnectTimeout: conf.Connections.Timeout.D(),
+		IdleTimeout: time.Duration(float64(conf.Connections.Idle) * idleTimeoutFraction), ConnectionLimiter: connLimiter{s.limits, conf.Name}, ForwardClientErrors: true,
+		LoadFields: conf.Reports.Fields, ProbePath: "/health/live", Log: log}
+	if conf.Reports.Source != "none" {
 		options.ProbePath = "/stats"
 	}
-	var worths []float64
+	var utilities []float64
 	for _, c := range conf.Classes {
-		worths = append(worths, c.Worth)
+		utilities = append(utilities, c.Utility)
 	}
-	p.service = transport.Service{Loop: loop, Gate: gate{s.limits, conf.Name}, Advice: min(fullAdvice, conf.RetryAfter.D()), Worths: worths,
+	p.backend = transport.Backend{Loop: loop, Admission: admissionController{s.limits, conf.Name}, RetryAfter: min(overloadRetryAfter, conf.RetryAfter.D()), Utilities: utilities,
 		Origin: textproto.CanonicalMIMEHeaderKey(conf.Origin)}
 	if c := conf.Chain; c != nil {
-		options.Chain, options.PassDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RepeatDeclined
-		p.service.Chain = transport.NewChain(options.Chain, chain.Limits{Service: c.Service, Hops: c.Hops, Repeats: c.Repeats},
+		options.ChainHeader, options.ForwardDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RetryDeclined
+		p.backend.Chain = transport.NewChain(options.ChainHeader, chain.Limits{Service: c.Service, MaxHops: c.MaxHops, MaxRetries: c.MaxRetries},
 			f.SeedOf(conf.Name+"/chain"), s.clock.Now, log)
 	}
-	p.destinations = transport.NewDestinations(options)
+	p.connections = transport.NewConnectionPool(options)
 	for _, c := range conf.Classes {
 		p.classes = append(p.classes, protocol.Class{Name: c.Name, Methods: c.Methods, Deadline: c.Deadline.D()})
 	}
 	return p, nil
 }
 
-// source watches a list file, by the one watcher of the process, which is made for the first.
-func (s *Set) source(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Directory, error) {
+// openListFile watches an endpoint list file. All files share one watcher, which the first call creates.
+func (s *Set) openListFile(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Discovery, error) {
 	if s.watcher == nil {
 		var err error
 		if s.watcher, err = filewatch.New(s.ctx, s.log); err != nil {
@@ -93,32 +93,32 @@
 	return listfile.Open(ctx, s.watcher, path, loop, log)
 }
 
-// succeed has the pool take the place of another. Where both ask discovery it goes on with the list that the other had, until
-// discovery tells it one.
-func (p *pool) succeed(old *pool) {
-	p.loop.Succeed(old.loop)
-	if p.discovery == nil || old.discovery == nil {
+// takeOver makes the pool the successor of another. If both use discovery, the pool starts with the endpoint list of its
+// predecessor and uses it until discovery reports a new one.
+func (p *pool) takeOver(old *pool) {
+	p.loop.TakeOver(old.loop)
+	if p.discoveryClient == nil || old.discoveryClient == nil {
 		return
 	}
-	p.discovery.Succeed(old.discovery)
-	if !p.loop.Inherit(old.loop, viewWithin) {
-		p.log.Warn("the list of the pool before is not known: its loop does not answer")
+	p.discoveryClient.TakeOver(old.discoveryClient)
+	if !p.loop.InheritEndpoints(old.loop, viewTimeout) {
+		p.log.Warn("cannot inherit the endpoint list: the event loop of the previous pool did not respond")
 	}
 }
 
-// run starts the pool's Loop.
-func (p *pool) run() { go p.loop.Run(p.ctx, p.destinations, p.watch) }
+// run starts the pool's event loop.
+func (p *pool) run() { go p.loop.Run(p.ctx, p.connections, p.source) }
 
-// adopt takes what may change while the pool runs.
-func (p *pool) adopt(conf *config.Pool) {
-	if p.discovery != nil && conf.Members.Discovery != p.conf.Members.Discovery {
-		p.discovery.Move(conf.Members.Discovery)
+// updateConfig applies the settings that may change while the pool runs: see canKeep.
+func (p *pool) updateConfig(conf *config.Pool) {
+	if p.discoveryClient != nil && conf.Members.Discovery != p.conf.Members.Discovery {
+		p.discoveryClient.SwitchAddress(conf.Members.Discovery)
 	}
 	p.conf = *conf
 }
 
-// longest is the longest deadline of a class.
-func (p *pool) longest() (d time.Duration) {
+// maxDeadline returns the longest deadline of the pool's classes.
+func (p *pool) maxDeadline() (d time.Duration) {
 	for _, c := range p.classes {
 		d = max(d, c.Deadline)
 	}
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -20,34 +20,34 @@
 	"kitewood/internal/transport"
 )
 
-// Set is the pools of a process, behind its listeners.
+// Set is the set of pools of a process, with the listeners in front of them.
 type Set struct {
 	log    *slog.Logger
 	ctx    context.Context
 	clock  routing.Clock
-	limits *limits
+	limits *sharedLimits
 	guard  *guard.Guard
 
-	mu        sync.Mutex // held by Apply, and by those who look
-	file      *config.File
-	front     *transport.Front
-	listeners map[string]net.Listener
-	watcher   *filewatch.Watcher // nil until a pool needs it
-	pools     map[string]*pool
-	retired   map[*pool]bool
-	last      map[string]*pool // the last one of a name that was retired, while it runs
+	mu          sync.Mutex // held by Apply and by readers
+	file        *config.File
+	server      *transport.Server
+	listeners   map[string]net.Listener
+	watcher     *filewatch.Watcher // nil until a pool has a list file
+	pools       map[string]*pool
+	retired     map[*pool]bool
+	lastRetired map[string]*pool // by name, the pool that was retired last, while it still runs
 }
 
-// New returns a Set without pools. The context ends all of it at once.
+// New returns a Set without pools. Cancelling the context ends all of its pools at once, without draining.
 func New(ctx context.Context, log *slog.Logger) *Set {
 	s := &Set{log: log, ctx: ctx, clock: routing.NewClock(), guard: guard.New(log), listeners: map[string]net.Listener{}, pools: map[string]*pool{},
-		retired: map[*pool]bool{}, last: map[string]*pool{}}
-	s.limits = newLimits(s.clock.Now, s.evict)
+		retired: map[*pool]bool{}, lastRetired: map[string]*pool{}}
+	s.limits = newSharedLimits(s.clock.Now, s.evictIdle)
 	return s
 }
 
-// Apply takes a configuration, the first or another one, while it serves. Pools that are no longer named, or named with
-// other settings, take nothing new and end what is open in them by the rules. On an error nothing is changed.
+// Apply applies a configuration: the first one, or another one while the Set serves. Pools that the configuration removes or
+// changes accept no new requests and finish those in flight within their deadlines. On an error nothing changes.
 func (s *Set) Apply(f *config.File) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 	var started []func()
 	undo := func(err error) error {
-		for _, end := range started {
-			end()
+		for _, stop := range started {
+			stop()
 		}
 		return err
 	}
@@ -78,42 +78,42 @@
 	pools := map[string]*pool{}
 	for i := range f.Pools {
 		conf := &f.Pools[i]
-		if old := s.pools[conf.Name]; old != nil && old.same(conf) {
+		if old := s.pools[conf.Name]; old != nil && old.canKeep(conf) {
 			pools[conf.Name] = old
 			continue
 		}
-		p, err := s.prepare(f, conf)
+		p, err := s.newPool(f, conf)
 		if err != nil {
 			return undo(fmt.Errorf("pool %q: %w", conf.Name, err))
 		}
 		started = append(started, p.cancel)
 		pools[conf.Name] = p
 	}
-	if err := s.limits.set(f); err != nil {
+	if err := s.limits.update(f); err != nil {
 		return undo(err)
 	}
-	// From here on nothing fails.
+	// Nothing below can fail.
 	for _, p := range pools {
 		if old := s.pools[p.name]; old != p {
 			if old == nil {
-				old = s.last[p.name]
+				old = s.lastRetired[p.name]
 			}
 			if old != nil {
-				p.succeed(old)
+				p.takeOver(old)
 			}
 			p.run()
 		}
 	}
 	for i := range f.Pools {
-		pools[f.Pools[i].Name].adopt(&f.Pools[i])
+		pools[f.Pools[i].Name].updateConfig(&f.Pools[i])
 	}
-	find := directions(f, table, pools)
-	if s.front == nil {
-		s.front = transport.NewFront(s.clock, find, f.Budget(), s.log)
-		s.front.UseGuard(s.guard)
+	router := newRouter(f, table, pools)
+	if s.server == nil {
+		s.server = transport.NewServer(s.clock, router, f.Budget(), s.log)
+		s.server.UseGuard(s.guard)
 	} else {
-		s.front.Lead(find)
-		s.front.Keep(f.Budget())
+		s.server.SetRoutes(router)
+		s.server.SetBudget(f.Budget())
 	}
 	for address, ln := range s.listeners {
 		if listeners[address] == nil {
@@ -122,7 +122,7 @@
 	}
 	for address, ln := range listeners {
 		if s.listeners[address] == nil {
-			go s.front.Serve(ln)
+			go s.server.Serve(ln)
 		}
 	}
 	for name, old := range s.pools {
@@ -131,101 +131,103 @@
 		}
 	}
 	if s.file != nil && s.file.Admin != f.Admin {
-		s.log.Warn("the admin socket moves at the next start only", "admin", s.file.Admin)
+		s.log.Warn("the admin socket path changes only after a restart", "admin", s.file.Admin)
 	}
 	s.file, s.listeners, s.pools = f, listeners, pools
-	FitRuntime(f.Limits.Cores, f.Limits.MemoryMB)
+	ConfigureRuntime(f.Limits.Cores, f.Limits.MemoryMB)
 	return nil
 }
 
-// directions lead requests by a table to the pools of a configuration.
-func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Directions {
-	type way struct {
-		to      *transport.Service
-		classes []protocol.Class
-		as      string
-	}
-	ways := make([]way, len(f.Routes))
+// newRouter returns a router that sends requests to the pools of a configuration as the table says.
+func newRouter(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
+	type target struct {
+		backend      *transport.Backend
+		classes      []protocol.Class
+		defaultClass string
+	}
+	targets := make([]target, len(f.Routes))
 	for i, r := range f.Routes {
 		p := pools[r.Pool]
-		ways[i] = way{&p.service, p.classes, r.As}
+		targets[i] = target{&p.backend, p.classes, r.DefaultClass}
 	}
-	return func(m *protocol.Message) (*transport.Service, protocol.Operation, error) {
-		i, bad := table.Match(route.Request{Target: m.Start[1], Header: m.Header, Class: m.Stated()})
-		if bad != nil {
-			return nil, protocol.Operation{}, &protocol.Error{Status: bad.Status, Why: bad.Why}
+	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
+		i, rejection := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
+		if rejection != nil {
+			return nil, protocol.RequestMeta{}, &protocol.Error{Status: rejection.Status, Reason: rejection.Reason}
 		}
-		m.Origin()
-		op, err := protocol.ReadRouted(m, ways[i].classes, ways[i].as)
-		return ways[i].to, op, err
+		m.ToOriginForm()
+		meta, err := protocol.ReadRoutedRequestMeta(m, targets[i].classes, targets[i].defaultClass)
+		return targets[i].backend, meta, err
 	}
 }
 
-// retire lets a pool that takes nothing new end what is open in it. Each operation has its answer by its deadline.
+// retire lets a pool that receives no new requests finish those in flight, and then ends it. Each request is answered by its
+// deadline.
 func (s *Set) retire(p *pool) {
-	s.retired[p], s.last[p.name] = true, p
-	p.destinations.Close()
-	time.AfterFunc(p.longest()+endMargin, func() {
+	s.retired[p], s.lastRetired[p.name] = true, p
+	p.connections.Close()
+	time.AfterFunc(p.maxDeadline()+retireMargin, func() {
 		p.cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.retired, p)
-		if s.last[p.name] == p {
-			delete(s.last, p.name)
+		if s.lastRetired[p.name] == p {
+			delete(s.lastRetired, p.name)
 		}
 	})
 }
 
-// endMargin is how long after the longest deadline a pool's last answers may come.
-const endMargin = time.Second
+// retireMargin is how long after the longest deadline the last responses of a pool may arrive.
+const retireMargin = time.Second
 
-// evict closes an idle connection of a pool, for another that has lent it.
-func (s *Set) evict(name string) bool {
+// evictIdle closes an idle connection of a pool so that its lender can have it back.
+func (s *Set) evictIdle(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[name]
-	return p != nil && p.destinations.Evict()
+	return p != nil && p.connections.EvictOldestIdle()
 }
 
-// Owed tells how many operations have no answer yet.
-func (s *Set) Owed() (n int) {
+// PendingRequests returns the number of requests that have no answer yet, those of retired pools included.
+func (s *Set) PendingRequests() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pools {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	for p := range s.retired {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	return n
 }
 
-// Stop ends the listeners as transport.Front.Stop does, within the longest deadline of a class and a margin.
+// Stop stops the listeners like transport.Server.Stop, within the longest deadline of a class and a margin.
 func (s *Set) Stop(ctx context.Context) {
 	s.mu.Lock()
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, p := range s.pools {
-		longest = max(longest, p.longest())
+		maxDeadline = max(maxDeadline, p.maxDeadline())
 	}
 	var lns []net.Listener
 	for _, ln := range s.listeners {
 		lns = append(lns, ln)
 	}
-	front := s.front
+	server := s.server
 	s.mu.Unlock()
-	front.Stop(ctx, longest+endMargin/2, lns...)
+	server.Stop(ctx, maxDeadline+retireMargin/2, lns...)
 }
 
-// FitRuntime fits the runtime to the machine's part that the process may use.
-func FitRuntime(cores float64, memoryMB int) {
+// ConfigureRuntime sets the runtime's processor count, garbage collection and memory limit for the given resources.
+func ConfigureRuntime(cores float64, memoryMB int) {
 	runtime.GOMAXPROCS(max(1, int(cores+0.5)))
-	// Next to nothing lives long here. At 400% the heap grew for minutes towards its first collection, like a leak.
+	// Few objects live long here. At 400% the heap grew for minutes before its first collection, which looked like a leak.
 	debug.SetGCPercent(50)
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * 3 / 4)
 }
 
-// same tells whether a pool can go on under another configuration: its shares and the address of its discovery may change.
-func (p *pool) same(conf *config.Pool) bool {
+// canKeep reports whether the pool can continue with another configuration: only its shares and the address of its discovery
+// may differ.
+func (p *pool) canKeep(conf *config.Pool) bool {
 	a, b := p.conf, *conf
 	a.Shares, b.Shares = config.Shares{}, config.Shares{}
 	if a.Members.Discovery != "" && b.Members.Discovery != "" {
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -1,4 +1,4 @@
-// Package program puts the sidecar together: its configuration, its parts, its limits, and the signals that stop it.
+// Package program assembles the sidecar: configuration, components, limits, and the handling of signals.
 package program
 
 import (
@@ -18,21 +18,21 @@
 	"kitewood/internal/wire"
 )
 
-// Config is what a sidecar is told when it starts.
+// Config is the configuration of a sidecar that is started from the environment.
 type Config struct {
 	Name, Listen, Discovery string
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   protocol.EndpointList // the list as this sidecar last had it; it may be old
-	Module                  balance.Settings
+	CachedEndpoints         protocol.EndpointList // the last endpoint list of this sidecar; it may be out of date
+	Balancer                balance.Settings
 	Classes                 []protocol.Class
 	Zones, Kinds            []string
 	LoadFields              []string
 	ConnIdle, ConnTimeout   time.Duration
 }
 
-// file is the form of $ROUTER_CONFIG.
-type file struct {
+// configFile is the JSON format of the file that ROUTER_CONFIG names.
+type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
 		Cores    float64
@@ -43,8 +43,8 @@
 	Settings json.RawMessage
 }
 
-// socketSettings are the settings that the module does not need and the sockets do.
-type socketSettings struct {
+// connectionSettings are the settings that package balance does not use and the connections do.
+type connectionSettings struct {
 	Profiles []struct {
 		Name, Repeat string
 		GiveUpS      float64
@@ -55,8 +55,8 @@
 	Shapes      []string
 }
 
-// Reload reads the configuration again. The file was replaced since the environment was set, so what it says of
-// discovery goes before ROUTER_DISCOVERY.
+// Reload reads the configuration again. The file may have been replaced since the environment was set, so its discovery
+// address takes precedence over ROUTER_DISCOVERY.
 func Reload(env func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -66,8 +66,8 @@
 	})
 }
 
-// Load reads the configuration that the environment names. What ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY say
-// goes before the file.
+// Load reads the configuration file that the environment names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY take
+// precedence over the file.
 func Load(env func(string) string) (*Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -77,13 +77,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for name, to := range map[string]*string{"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery} {
+	for name, field := range map[string]*string{"ROUTER_NAME": &f.Name, "ROUTER_LISTEN": &f.Listen, "ROUTER_DISCOVERY": &f.Discovery} {
 		if v := env(name); v != "" {
-			*to = v
+			*field = v
 		}
 	}
 	c, err := f.config()
@@ -93,7 +93,8 @@
 	return c, nil
 }
 
-func (f *file) config() (*Config, error) {
+// config checks the file and converts it to a Config.
+func (f *configFile) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Cores: f.Limits.Cores,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets)}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
@@ -112,20 +113,20 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, errors.New("seed: it must be up to 16 hexadecimal digits")
+		return nil, errors.New("seed: must be up to 16 hexadecimal digits")
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = protocol.ReadEndpointList(f.Known); err != nil {
+		if c.CachedEndpoints, err = protocol.ReadEndpointList(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings are missing")
 	}
-	if c.Module, err = wire.Settings(f.Settings, seed); err != nil {
+	if c.Balancer, err = wire.ParseSettings(f.Settings, seed); err != nil {
 		return nil, err
 	}
-	var s socketSettings
+	var s connectionSettings
 	if err := json.Unmarshal(f.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -144,11 +145,12 @@
 	if c.ConnIdle <= 0 || c.ConnTimeout <= 0 {
 		return nil, errors.New("settings: permissions.connIdleS and permissions.connectTimeoutS must be above 0")
 	}
-	// A module that does not take its settings says so here, not when the sidecar already serves.
-	if _, err := routing.New(c.Module, routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
+	// Settings that package balance rejects are reported here, not when the sidecar already serves.
+	if _, err := routing.New(c.Balancer, routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -19,124 +19,125 @@
 	"kitewood/internal/yamlfile"
 )
 
-// A stopping sidecar is killed no sooner than the longest deadline, or 3 s where that is longer, and 0.7 s after the word.
+// After the signal to stop, a sidecar is not killed before the longest deadline of a class, or 3 s if that is shorter, plus 0.7 s.
 const (
-	stopLongest = 3 * time.Second
-	stopMargin  = 500 * time.Millisecond
-	stuckAdvice = time.Second           // when clients should come back while the loop is stuck
-	viewWithin  = 50 * time.Millisecond // the loop may take so long to tell what it counts
+	maxStopWait            = 3 * time.Second
+	stopMargin             = 500 * time.Millisecond
+	unresponsiveRetryAfter = time.Second           // Retry-After while the event loop does not respond
+	viewTimeout            = 50 * time.Millisecond // for the event loop to report its metrics
 )
 
-// Serve runs the sidecar that the environment describes until a signal stops it and nothing is owed to a client any more.
-// At SIGHUP it reads the configuration again and moves to the discovery named there.
+// Serve runs the sidecar that the environment describes until a signal stops it and no requests are pending. On SIGHUP it reads
+// the configuration again and switches to the discovery address in it.
 func Serve(ctx context.Context, env func(string) string, log *slog.Logger) error {
-	// First of all: a signal that comes while the configuration is read waits until it can be answered. SIGHUP would end
-	// the process.
-	signals := listen()
+	// Before all else, so that a signal that arrives while the configuration is read is handled later. Without a handler
+	// SIGHUP would end the process.
+	signals := notifySignals()
 	defer signal.Stop(signals)
 	c, err := Load(env)
 	if err != nil {
 		return err
 	}
-	pools.FitRuntime(c.Cores, c.MemoryMB)
+	pools.ConfigureRuntime(c.Cores, c.MemoryMB)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
 	clock := routing.NewClock()
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
-	options := transport.Options{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleFor: c.ConnIdle * 7 / 10,
-		Room: transport.NewRoom(budget.Destinations), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
-	if c.Module.Report.Via != balance.NoReports {
+	options := transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleTimeout: c.ConnIdle * 7 / 10,
+		ConnectionLimiter: transport.NewConnLimiter(budget.UpstreamConns), LoadFields: c.LoadFields, ProbePath: "/health/live", Log: log}
+	if c.Balancer.Report.Source != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
-	destinations := transport.NewDestinations(options)
-	loop, err := routing.New(c.Module, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
+	connections := transport.NewConnectionPool(options)
+	loop, err := routing.New(c.Balancer, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
 	if err != nil {
 		return err
 	}
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
-	directory := transport.NewDirectory(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
-	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
-	directory.Clock, directory.OnHold = clock, loop.Hold
-	directory.AtOnce = len(c.Known.Destinations) == 0
-	service := &transport.Service{Loop: loop}
-	if c.Module.Limits.RetryAfter {
-		service.Advice = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
+	discovery := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
+	discovery.Pushed, discovery.DrainGrace = !c.Balancer.PollDiscovery, c.Balancer.Rules.DrainGrace
+	discovery.Seed = c.Balancer.Seed ^ xxhash.Sum64String(c.Listen) // sidecars with the same seed must not call discovery at the same time
+	discovery.Clock, discovery.OnLeaseExpiry = clock, loop.SetLeaseExpiry
+	discovery.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
+	backend := &transport.Backend{Loop: loop}
+	if c.Balancer.Limits.RetryAfter {
+		backend.RetryAfter = min(unresponsiveRetryAfter, c.Balancer.Limits.MaxRetryAfter)
 	}
-	front := transport.NewFront(clock, transport.OnePool(service, c.Classes), budget, log)
+	server := transport.NewServer(clock, transport.SinglePoolRouter(backend, c.Classes), budget, log)
 
-	front.UseGuard(invariants)
+	server.UseGuard(invariants)
 
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	go loop.Run(ctx, destinations, directory)
-	loop.Pool(balance.Cached, c.Known.Index, transport.Members(c.Known))
-	if directory.Pushed { // the module asks for no watch; what the agent beside the sidecar has counts as told already
-		directory.Follow(c.Known.Index)
+	go loop.Run(ctx, connections, discovery)
+	loop.UpdateEndpoints(balance.Cached, c.CachedEndpoints.Index, transport.Members(c.CachedEndpoints))
+	if discovery.Pushed { // the balancer requests no watch; the cached list of the local agent counts as received
+		discovery.Watch(c.CachedEndpoints.Index)
 	}
-	go front.Serve(ln)
-	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Destinations))
+	go server.Serve(ln)
+	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Balancer.Tier, "destinations", len(c.CachedEndpoints.Endpoints))
 
-	untilStopped(ctx, signals, log, loop.Owed, func() error {
+	waitForStop(ctx, signals, log, loop.PendingRequests, func() error {
 		next, err := Reload(env)
 		if err != nil {
 			return err
 		}
-		log.Info("configuration read again: discovery is taken from it, all else at the next start", "discovery", next.Discovery)
-		directory.Move(next.Discovery)
+		log.Info("configuration reloaded: the discovery address is in use, other changes need a restart", "discovery", next.Discovery)
+		discovery.SwitchAddress(next.Discovery)
 		return nil
 	})
-	longest := time.Duration(0)
+	maxDeadline := time.Duration(0)
 	for _, class := range c.Classes {
-		longest = max(longest, class.Deadline)
+		maxDeadline = max(maxDeadline, class.Deadline)
 	}
-	front.Stop(ctx, min(longest, stopLongest)+stopMargin, ln)
-	if v, ok := loop.View(viewWithin); ok {
-		log.Info("counts", "requests", &v.Metrics, "connections", front.Closings(), "violations", invariants.Violations(), "denials", invariants.Denials(),
-			"discovery", directory.State())
+	server.Stop(ctx, min(maxDeadline, maxStopWait)+stopMargin, ln)
+	if v, ok := loop.View(viewTimeout); ok {
+		log.Info("counts", "requests", &v.Metrics, "connections", server.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
+			"discovery", discovery.State())
 	}
-	log.Info("stopped", "owed", loop.Owed())
+	log.Info("stopped", "owed", loop.PendingRequests())
 	return nil
 }
 
-// listen has the signals that a sidecar knows come to a channel.
-func listen() chan os.Signal {
+// notifySignals returns a channel that receives the signals that a sidecar handles.
+func notifySignals() chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
 
-// A configuration that is bad at SIGHUP may be half written: it is read again after these pauses, until it is good.
+// A configuration that is invalid at SIGHUP may be only partly written. It is read again with exponential backoff until it is
+// valid.
 const (
-	firstReread = 100 * time.Millisecond // doubled each time,
-	mostReread  = time.Second            // up to this
-	rereads     = 12                     // about 9 s in all
+	initialReloadDelay = 100 * time.Millisecond // doubled after each retry
+	maxReloadDelay     = time.Second            // upper bound of the delay
+	maxReloadRetries   = 12                     // about 9 s in total
 )
 
-// untilStopped waits for the signal to stop, and reads the configuration again at each SIGHUP.
-func untilStopped(ctx context.Context, signals chan os.Signal, log *slog.Logger, owed func() int, reload func() error) {
-	again := time.NewTimer(time.Hour)
-	defer again.Stop()
-	pause, left, last := firstReread, 0, ""
-	try := func() {
+// waitForStop waits for a signal to stop or the end of the context. It calls reload on each SIGHUP, and again while that fails.
+func waitForStop(ctx context.Context, signals chan os.Signal, log *slog.Logger, pending func() int, reload func() error) {
+	retryTimer := time.NewTimer(time.Hour)
+	defer retryTimer.Stop()
+	delay, retriesLeft, lastError := initialReloadDelay, 0, ""
+	tryReload := func() {
 		err := reload()
 		if err == nil {
-			left = 0
+			retriesLeft = 0
 			return
 		}
-		// A file that is half written or wrong must not take a sidecar down that serves.
-		if text := yamlfile.OneLine(err); text != last {
-			last = text
-			log.Error("the configuration is not taken, the old one stays", "error", text, "reread", left > 0)
+		// A partly written or invalid file must not end a sidecar that serves.
+		if text := yamlfile.OneLine(err); text != lastError {
+			lastError = text
+			log.Error("the configuration is not taken, the old one stays", "error", text, "reread", retriesLeft > 0)
 		}
-		if left > 0 {
-			again.Reset(pause)
-			pause = min(2*pause, mostReread)
+		if retriesLeft > 0 {
+			retryTimer.Reset(delay)
+			delay = min(2*delay, maxReloadDelay)
 		}
 	}
 	for {
@@ -145,16 +146,16 @@
 			return
 		case s := <-signals:
 			if s != syscall.SIGHUP {
-				log.Info("stopping", "signal", s.String(), "owed", owed())
+				log.Info("stopping", "signal", s.String(), "owed", pending())
 				return
 			}
-			pause, left, last = firstReread, rereads, ""
-			again.Stop()
-			try()
-		case <-again.C:
-			if left > 0 {
-				left--
-				try()
+			delay, retriesLeft, lastError = initialReloadDelay, maxReloadRetries, ""
+			retryTimer.Stop()
+			tryReload()
+		case <-retryTimer.C:
+			if retriesLeft > 0 {
+				retriesLeft--
+				tryReload()
 			}
 		}
 	}
--- a/internal/protocol/write.go
+++ b/internal/protocol/write.go
@@ -7,26 +7,28 @@
 	"time"
 )
 
-// hopByHop are the fields that end at this sidecar, and those that it writes itself.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-	"Content-Length", "Expect", "Host", headerTimeLeft, headerLoad}
+// hopByHopFields are the fields that a sidecar does not forward, including those that it writes itself.
+var hopByHopFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
+	"Content-Length", "Expect", "Host", headerTimeLeft, headerLoadReport}
 
-// OwnFields are the names of the fields that mean something to this program or end here.
-func OwnFields() []string {
-	return append([]string{headerID, headerKey, headerClass, headerRepeat, headerHint, headerFacts, headerNotRun}, hopByHop...)
+// ReservedFields returns the names of the fields that this program interprets or does not forward.
+func ReservedFields() []string {
+	return append([]string{headerCorrelationID, headerIdempotencyKey, headerClass, headerClientRetry, headerCostHint, headerFacts,
+		headerUnprocessed}, hopByHopFields...)
 }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// endToEnd tells whether a field passes even where Connection names it as one for this hop alone. Destinations know a request by its
-// id, and drop repeats by its key: without the key a repeat would run again.
-func endToEnd(name string) bool { return name == headerID || name == headerKey }
+// isEndToEnd reports whether a field is forwarded even if Connection lists it as hop-by-hop. Endpoints identify a
+// request by its correlation ID and drop duplicates by its idempotency key: without the key, a retry would run a second
+// time.
+func isEndToEnd(name string) bool { return name == headerCorrelationID || name == headerIdempotencyKey }
 
-// appendFields writes all fields that pass this sidecar, but one.
-func appendFields(b []byte, h textproto.MIMEHeader, but string) []byte {
+// appendFields appends all fields that are forwarded, except the named one.
+func appendFields(b []byte, h textproto.MIMEHeader, except string) []byte {
 	for name, values := range h {
-		if name == but || slices.Contains(hopByHop, name) || hasToken(h["Connection"], name) && !endToEnd(name) {
+		if name == except || slices.Contains(hopByHopFields, name) || hasToken(h["Connection"], name) && !isEndToEnd(name) {
 			continue
 		}
 		for _, v := range values {
@@ -36,85 +38,88 @@
 	return b
 }
 
-// RequestHead is the head of a client's request for a destination. The body follows as it is, so that no copy of it is
-// made. A chain's word goes in the field that carries it, in place of the one that the client sent.
+// RequestHead returns the head of a client's request as sent to an endpoint. The body is not included, which avoids copying
+// it. A non-empty chain field replaces the field of that name sent by the client.
 func RequestHead(m *Message, timeLeft time.Duration, chain Field) []byte {
 	host := "backend.local"
 	if h := m.Header["Host"]; len(h) == 1 {
 		host = h[0]
 	}
-	b := []byte(m.Start[0] + " " + m.Start[1] + " HTTP/1.1\r\nHost: " + host + "\r\n")
+	b := []byte(m.StartLine[0] + " " + m.StartLine[1] + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	b = appendFields(b, m.Header, chain.Name)
 	if chain.Name != "" {
 		b = append(b, chain.Name+": "+chain.Value+"\r\n"...)
 	}
 	b = append(append(b, headerTimeLeft+": "...), strconv.FormatInt(max(timeLeft.Milliseconds(), 0), 10)...)
 	b = append(b, "\r\n"...)
-	if len(m.Body) > 0 || m.Start[0] != "GET" {
-		b = appendLength(b, len(m.Body))
+	if len(m.Body) > 0 || m.StartLine[0] != "GET" {
+		b = appendContentLength(b, len(m.Body))
 	}
 	return append(b, "\r\n"...)
 }
 
-// GetText is a request of the sidecar's own.
-func GetText(host, target string) []byte {
+// GetRequest returns a GET request sent on behalf of the sidecar itself.
+func GetRequest(host, target string) []byte {
 	return []byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
 }
 
-// ServedHead is the head of a destination's answer for the client. The body follows as it is.
-func ServedHead(m *Message, last bool) []byte {
+// ResponseHead returns the head of an endpoint's response as sent to the client. The body is not included. With last set,
+// the response announces that the connection closes.
+func ResponseHead(m *Message, last bool) []byte {
 	status := m.Status()
-	why := reason(status)
-	if why == "Error" {
-		why = m.Start[2]
+	text := statusText(status)
+	if text == "Error" {
+		text = m.StartLine[2]
 	}
-	b := appendFields([]byte("HTTP/1.1 "+strconv.Itoa(status)+" "+why+"\r\n"), m.Header, "")
-	if status == 204 || status == 304 { // neither has a body, nor its length
+	b := appendFields([]byte("HTTP/1.1 "+strconv.Itoa(status)+" "+text+"\r\n"), m.Header, "")
+	if status == 204 || status == 304 { // these have neither a body nor a Content-Length
 		if last {
 			b = append(b, "Connection: close\r\n"...)
 		}
 		return append(b, "\r\n"...)
 	}
-	return appendEnd(b, len(m.Body), last)
+	return appendHeadEnd(b, len(m.Body), last)
 }
 
-// Reply is an answer that the sidecar words itself.
-type Reply struct {
+// LocalReply is a response generated by this program rather than by an endpoint.
+type LocalReply struct {
 	Status     int
-	RetryAfter time.Duration // 0 for none
-	Allow      string        // the method that a 405 wants
-	Chain      string        // the field that says that the answer is final for all who are above; empty for none
-	Why        string        // its body
+	RetryAfter time.Duration // 0 for no Retry-After field
+	Allow      string        // with status 405: the allowed methods
+	ChainField string        // chain header field that marks the response as final for all callers up the chain; empty for none
+	Reason     string        // the body, as plain text
 }
 
-// Text is the whole answer.
-func (r Reply) Text(last bool) []byte {
-	b := []byte("HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reason(r.Status) + "\r\n")
+// Encode returns the complete response. With last set, the response announces that the connection closes.
+func (r LocalReply) Encode(last bool) []byte {
+	b := []byte("HTTP/1.1 " + strconv.Itoa(r.Status) + " " + statusText(r.Status) + "\r\n")
 	if r.RetryAfter > 0 {
 		b = append(b, "Retry-After: "+strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', -1, 64)+"\r\n"...)
 	}
 	if r.Allow != "" {
 		b = append(b, "Allow: "+r.Allow+"\r\n"...)
 	}
-	if r.Chain != "" {
-		b = append(b, r.Chain+": "+Declined+"\r\n"...)
+	if r.ChainField != "" {
+		b = append(b, r.ChainField+": "+Declined+"\r\n"...)
 	}
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
-	return append(appendEnd(b, len(r.Why)+1, last), r.Why+"\n"...)
+	return append(appendHeadEnd(b, len(r.Reason)+1, last), r.Reason+"\n"...)
 }
 
-func appendEnd(b []byte, length int, last bool) []byte {
+// appendHeadEnd appends the framing fields and the empty line that ends a head.
+func appendHeadEnd(b []byte, length int, last bool) []byte {
 	if last {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	return append(appendLength(b, length), "\r\n"...)
+	return append(appendContentLength(b, length), "\r\n"...)
 }
 
-func appendLength(b []byte, n int) []byte {
+func appendContentLength(b []byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, "Content-Length: "...), int64(n), 10), "\r\n"...)
 }
 
-func reason(status int) string {
+// statusText returns the reason phrase of a status code, or "Error" if the code is not used by the platform.
+func statusText(status int) string {
 	switch status {
 	case 200:
 		return "OK"
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -15,10 +15,11 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+// discardLog is a logger without output.
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// server listens on loopback and hands each connection to a function.
-func server(t *testing.T, serve func(net.Conn)) string {
+// startTestServer listens on loopback, calls serve for each connection and returns its address.
+func startTestServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,8 +38,8 @@
 	return ln.Addr().String()
 }
 
-// head reads one request without a body and returns its text.
-func head(c net.Conn) string {
+// readRequest reads one request without a body and returns its text, which is empty if the connection ends first.
+func readRequest(c net.Conn) string {
 	var text []byte
 	for b := make([]byte, 1); !strings.HasSuffix(string(text), "\r\n\r\n"); text = append(text, b[0]) {
 		if _, err := c.Read(b); err != nil {
@@ -48,14 +49,15 @@
 	return string(text)
 }
 
-func destinations(clock routing.Clock) *Destinations {
-	return NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+// newTestPool returns a connection pool of up to four connections.
+func newTestPool(clock routing.Clock) *ConnectionPool {
+	return NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ConnectionLimiter: NewConnLimiter(4), Log: discardLog})
 }
 
-// probe runs one exchange and returns how it ended.
-func probe(u *Destinations, d *routing.Destination) balance.Status {
+// runProbe sends one probe and returns its status.
+func runProbe(pool *ConnectionPool, endpoint *routing.Endpoint) balance.Status {
 	ended := make(chan routing.Result, 1)
-	u.Probe(d, func(r routing.Result) { ended <- r })
+	pool.Probe(endpoint, func(r routing.Result) { ended <- r })
 	r := <-ended
 	if r.Err != nil {
 		return r.Err.Status()
