--- a/balance/admission/throttle.go
+++ b/balance/admission/throttle.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Rejects tells whether a request with a draw in 0..1 is rejected. The lowest draws are rejected first.
+// Rejects reports whether a request with a draw in 0..1 is rejected. The lowest draws are rejected first.
 //
 // Rejected clients retry, possibly with the same draw. Counting their retries as arrivals would leave less capacity than
 // minRate to new requests, and the end of the overload would be noticed late. Therefore arrivals are estimated from admitted
--- a/balance/api.go
+++ b/balance/api.go
@@ -38,7 +38,7 @@
 	UnitsAreCapacity bool          // Units of an endpoint tell its capacity; otherwise they are ignored
 }
 
-// Effect tells whether a request may run more than once.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 // The effects of a request.
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -327,12 +327,12 @@
 		b.openRequests, b.burstStart = rapid.IntRange(0, 400).Draw(r, "open"), -time.Hour
 		b.completionRate = eventRate{rapid.Float64Range(1, 100).Draw(r, "rate"), now}
 		b.classes[1].protected = true
-		rejects := func(class int, repeat bool, origin uint64) bool {
-			_, rejected := b.shouldShed(&request{Request: Request{Class: class, ClientRetry: repeat, Origin: origin}}, now)
+		rejects := func(class int, clientRetry bool, origin uint64) bool {
+			_, rejected := b.shouldShed(&request{Request: Request{Class: class, ClientRetry: clientRetry, Origin: origin}}, now)
 			return rejected
 		}
-		repeat, origin := rapid.Bool().Draw(r, "repeat"), rapid.Uint64Min(1).Draw(r, "origin")
-		if rejects(1, repeat, origin) && !rejects(0, repeat, origin) {
+		clientRetry, origin := rapid.Bool().Draw(r, "repeat"), rapid.Uint64Min(1).Draw(r, "origin")
+		if rejects(1, clientRetry, origin) && !rejects(0, clientRetry, origin) {
 			r.Fatalf("at pressure %g only the protected class is rejected", b.pressure(now))
 		}
 	})
--- a/balance/hold.go
+++ b/balance/hold.go
@@ -26,7 +26,7 @@
 	b.retryQueued(now)
 }
 
-// sendingSuspended tells whether nothing may be sent now.
+// sendingSuspended reports whether nothing may be sent now.
 func (b *Balancer) sendingSuspended(now time.Duration) bool {
 	if now < b.expiry.at || b.expiry.at == 0 {
 		return false
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -54,7 +54,7 @@
 // utility, as waiting is worth more there.
 func (b *Balancer) slots() float64 { return baseSlots * float64(b.usefulWait) / float64(b.meanTarget) }
 
-// atLimit tells whether an endpoint holds so many own attempts that one more would be answered too late and
+// atLimit reports whether an endpoint holds so many own attempts that one more would be answered too late and
 // delay all others. This protects the last endpoint when few are left. Where many balancers share an endpoint
 // each has its share of the limit, at least one attempt: four from each of a dozen balancers overloaded it.
 func (b *Balancer) atLimit(s *endpointState, now time.Duration) bool {
@@ -66,9 +66,9 @@
 		float64(len(s.inFlight)) >= max(min(ownLimit, b.slots()/b.balancersPerEndpoint()), 1)
 }
 
-// overloaded tells whether an endpoint's last report predicts late answers: its requests in flight, from all
-// balancers, over the rate at which it answers. The own attempts of a balancer with few requests would show
-// that only when they time out.
+// overloaded reports whether an endpoint's last report predicts late answers: its requests in flight, from
+// all balancers, over the rate at which it answers. The own attempts of a balancer with few requests would
+// show that only when they time out.
 func (b *Balancer) overloaded(s *endpointState, now time.Duration) bool {
 	inFlight := b.reportedValue(s, Inflight)
 	fresh := s.hasReport && now-s.reportedAt < time.Duration(overloadMaxReportAge*float64(b.meanTarget))
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -306,7 +306,7 @@
 	token uint64
 }
 
-// mayHaveRun tells whether an attempt with this outcome may have run.
+// mayHaveRun reports whether an attempt with this outcome may have run.
 func mayHaveRun(s Status) bool { return s != Rejected && s != ConnectFailed && s != NotSent }
 
 func (c *checker) StartTimer(delay time.Duration, token uint64) {
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -49,7 +49,7 @@
 	return worst + shedAll*b.rejectedRatio // an attempt is rejected where the endpoint is at its limit
 }
 
-// shouldShed tells whether to reject a request early, and the time after which to retry, as it will not be
+// shouldShed reports whether to reject a request early, and the time after which to retry, as it will not be
 // answered in time. It acts only at the tier that clients reach: when all endpoints slow down the mean moves
 // with them, and no signal helps. Requests beyond a tenant's share and client retries are rejected first,
 // then classes by utility per work.
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -41,7 +41,7 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// slowStartAllows tells whether an endpoint is past slow start or this balancer may send to it now. A send
+// slowStartAllows reports whether an endpoint is past slow start or this balancer may send to it now. A send
 // that is not used in time expires, as otherwise all balancers could send at once what they had saved up. A
 // send that is far off is drawn anew when the interval has become shorter.
 func (b *Balancer) slowStartAllows(s *endpointState, now time.Duration) bool {
--- a/balance/state.go
+++ b/balance/state.go
@@ -186,7 +186,7 @@
 	v.count++
 }
 
-// outside tells whether a value lies outside the range by more than slack. Before any value, none does.
+// outside reports whether a value lies outside the range by more than slack. Before any value, none does.
 func (v *recentRange) outside(x, slack time.Duration) bool {
 	return v.count > 0 && (x < min(v.smallest[0], v.smallest[1])-slack || x > max(v.largest[0], v.largest[1])+slack)
 }
@@ -359,7 +359,7 @@
 // drawPeriod is how long an origin keeps its draw.
 const drawPeriod = time.Minute
 
-// triedOn tells whether r was sent to s.
+// triedOn reports whether r was sent to s.
 func (r *request) triedOn(s *endpointState) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endpoint == s })
 }
@@ -384,7 +384,7 @@
 	return 0
 }
 
-// reportsUtilisation tells whether reports contain utilisation.
+// reportsUtilisation reports whether reports contain utilisation.
 func (b *Balancer) reportsUtilisation() bool {
 	return b.set.Report.Source != NoReports && slices.Contains(b.set.Report.Fields, Util)
 }
--- a/balance/trend.go
+++ b/balance/trend.go
@@ -45,7 +45,7 @@
 	s.lastReading = now
 }
 
-// readReport reads a load report and tells whether it has a valid utilisation. An unchanged report is
+// readReport reads a load report and reports whether it has a valid utilisation. An unchanged report is
 // ignored.
 func (b *Balancer) readReport(s *endpointState, load []float32, now time.Duration) bool {
 	fields := b.set.Report.Fields
--- a/cmd/kitewood-control/main.go
+++ b/cmd/kitewood-control/main.go
@@ -94,7 +94,7 @@
 				},
 			},
 			{
-				Name: "members", Usage: "show the merged endpoint lists, what each source reports and which entries are held",
+				Name: "members", Usage: "show the merged endpoint lists, what each source reports and why a state differs from the reports",
 				Flags: []cli.Flag{configFlag(), &cli.BoolFlag{Name: "json", Usage: "print JSON"}, &cli.BoolFlag{Name: "follow", Usage: "print each change as it happens"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					socket, err := adminSocket(c)
--- a/cmd/kitewood-control/members.go
+++ b/cmd/kitewood-control/members.go
@@ -60,7 +60,7 @@
 	return w.Flush()
 }
 
-// describe returns what each source reports about an endpoint, and why the entry is held.
+// describe returns what each source reports about an endpoint, and why its state differs from the reports, if it does.
 func describe(e membership.EntryView) string {
 	var out []string
 	for _, w := range e.Reports {
--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// MemberChange is an endpoint whose state, address or hold status has changed.
+// MemberChange is an endpoint whose state, address or override reason has changed.
 type MemberChange struct {
 	Pool string               `json:"pool"`
 	Now  membership.EntryView `json:"now"`
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -93,14 +93,14 @@
 	})
 }
 
-// An endpoint's state maps to the xDS health status, and the safety hash covers only endpoints that may get new requests.
+// An endpoint's state maps to the xDS health status, and the urgent hash covers only endpoints that may get new requests.
 func TestLoadAssignment(t *testing.T) {
 	view := func(state balance.State, ejectedFor time.Duration, probation bool) routing.View {
 		return routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
 			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: ejectedFor, Probation: probation}}}}
 	}
 	p := &config.Pool{Name: "p"}
-	safety := map[uint64]bool{}
+	urgentHashes := map[uint64]bool{}
 	for _, c := range []struct {
 		v      routing.View
 		status core.HealthStatus
@@ -124,10 +124,10 @@
 			a.Endpoints[0].LoadBalancingWeight.Value == 0 {
 			t.Errorf("%+v: %v", c.v, &a)
 		}
-		safety[r.UrgentHash] = true
+		urgentHashes[r.UrgentHash] = true
 	}
-	if len(safety) != 2 {
-		t.Errorf("got %d safety hashes, want 2: one with the endpoint accepting requests and one without", len(safety))
+	if len(urgentHashes) != 2 {
+		t.Errorf("got %d urgent hashes, want 2: one with the endpoint accepting requests and one without", len(urgentHashes))
 	}
 }
 
@@ -225,20 +225,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	clock, quiet := routing.NewClock(), slog.New(slog.DiscardHandler)
+	clock, discardLog := routing.NewClock(), slog.New(slog.DiscardHandler)
 	hub := xdsserver.NewHub(clock.Now)
 	g := grpc.NewServer()
 	ln := bufconn.Listen(1 << 20)
-	service, err := Start(ctx, f, newWatcher(t), hub, clock, quiet)
+	service, err := Start(ctx, f, newWatcher(t), hub, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, discardLog)
 	go g.Serve(ln)
 	defer g.Stop()
 	for _, delta := range []bool{false, true} {
 		table := proxy.NewTable()
-		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
+		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: discardLog, Dial: ln.DialContext}
 		go client.Run(ctx)
 		testkit.WaitUntil(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
 		pickedAddrs := func() map[string]bool {
@@ -296,19 +296,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock, quiet := routing.NewClock(), slog.New(slog.DiscardHandler)
+	clock, discardLog := routing.NewClock(), slog.New(slog.DiscardHandler)
 	hub := xdsserver.NewHub(clock.Now)
-	service, err := Start(t.Context(), f, newWatcher(t), hub, clock, quiet)
+	service, err := Start(t.Context(), f, newWatcher(t), hub, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln := bufconn.Listen(1 << 20)
 	g := grpc.NewServer()
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, discardLog)
 	go g.Serve(ln)
 	defer g.Stop()
 	table, loads := proxy.NewTable(), proxy.NewTracker()
-	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: quiet, Dial: ln.DialContext}
+	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: discardLog, Dial: ln.DialContext}
 	go client.Run(t.Context())
 	testkit.WaitUntil(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
@@ -407,8 +407,8 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		clock, quiet := routing.NewClock(), slog.New(slog.DiscardHandler)
-		service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, quiet)
+		clock, discardLog := routing.NewClock(), slog.New(slog.DiscardHandler)
+		service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/endpointload.go
+++ b/internal/control/endpointload.go
@@ -10,7 +10,7 @@
 	"kitewood/internal/orca"
 )
 
-// mergeDelay is how long a load report of an endpoint waits for those of others, so that a pool's readings are merged once for
+// mergeDelay is how long a load report of an endpoint waits for those of others, so that a pool's reports are merged once for
 // all of them.
 const mergeDelay = 100 * time.Millisecond
 
@@ -61,7 +61,7 @@
 	observe(p, pending, r.merge(p))
 }
 
-// merge returns the current readings of a pool's endpoints, by address, merged from all reports.
+// merge returns the current loads of a pool's endpoints, by address, merged from all reports.
 func (r *reports) merge(p *pool) map[string]loads.EndpointLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -268,10 +268,10 @@
 	})
 }
 
-// etcdFeed passes lists and changes from etcd to the merger. It implements etcdsource.Taker.
+// etcdFeed passes lists and changes from etcd to the merger. It implements etcdsource.Receiver.
 type etcdFeed struct{ m *members }
 
-// Whole passes a complete list to the merger and reports whether it was accepted.
+// ApplyList passes a full list to the merger and reports whether it was accepted.
 func (f *etcdFeed) ApplyList(at membership.Position, list []routing.Member, written map[string]int64) (accepted bool) {
 	f.m.update(func(now time.Duration) {
 		accepted = f.m.merger.ApplyListWithRevisions(now, sourceEtcd, at, list, written)
@@ -279,18 +279,18 @@
 	return accepted
 }
 
-// Changed passes changes to the merger and reports whether they were accepted.
+// ApplyChanges passes changes to the merger and reports whether they were accepted.
 func (f *etcdFeed) ApplyChanges(at membership.Position, changes []routing.Member) (accepted bool) {
 	f.m.update(func(now time.Duration) { accepted = f.m.merger.ApplyChanges(now, sourceEtcd, at, changes) })
 	return accepted
 }
 
-// Alive records that the watch is alive.
+// SourceAlive records that the watch is alive.
 func (f *etcdFeed) SourceAlive() {
 	f.m.update(func(now time.Duration) { f.m.merger.SourceAlive(now, sourceEtcd) })
 }
 
-// Lost records that the watch is lost.
+// SourceLost records that the watch is lost.
 func (f *etcdFeed) SourceLost() {
 	f.m.update(func(now time.Duration) { f.m.merger.SourceLost(now, sourceEtcd) })
 }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -37,8 +37,8 @@
 	defer cluster.Stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	quiet := slog.New(slog.DiscardHandler)
-	discovery := directory.NewServer(1, quiet)
+	discardLog := slog.New(slog.DiscardHandler)
+	discovery := directory.NewServer(1, discardLog)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,23 +82,23 @@
 		t.Fatal(err)
 	}
 	clock := routing.NewClock()
-	service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, quiet)
+	service, err := Start(ctx, f, newWatcher(t), xdsserver.NewHub(clock.Now), clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	socket := filepath.Join(dir, "s")
-	if err := serveAdmin(ctx, socket, service, quiet); err != nil {
+	if err := serveAdmin(ctx, socket, service, discardLog); err != nil {
 		t.Fatal(err)
 	}
 	set := service.pools["a"].settings
 	set.PollDiscovery = true // as in a sidecar with discovery, whose first call comes before the list is known
-	sidecar, err := routing.New(set, routing.Names{}, clock, quiet)
+	sidecar, err := routing.New(set, routing.Names{}, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
+	client := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, discardLog)
 	client.Watch(0)
-	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: quiet}), client)
+	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: discardLog}), client)
 	endpointsOf := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
 		if !ok {
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -9,7 +9,7 @@
 	"kitewood/internal/routing"
 )
 
-// reports merges load reports of proxies and endpoints and passes the result to the pools. It implements xdsserver.Reports.
+// reports merges load reports of proxies and endpoints and passes the result to the pools. It implements xdsserver.LoadReportHandler.
 type reports struct {
 	service *Service
 
@@ -18,7 +18,7 @@
 	pending map[*pool]map[string]bool // addresses whose own reports have not been passed to the pool yet
 }
 
-// Take stores a proxy's load report and passes the merged readings of the reported endpoints to the pool.
+// OnReport stores a proxy's load report and passes the merged loads of the reported endpoints to the pool.
 func (r *reports) OnReport(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats) {
 	p := r.service.pools[cluster]
 	if p == nil {
@@ -37,7 +37,7 @@
 	observe(p, stats, merged)
 }
 
-// observe passes the merged readings of the endpoints in reported to a pool; those of the others have been passed before.
+// observe passes the merged loads of the endpoints in reported to a pool; those of the others have been passed before.
 func observe[V any](p *pool, reported map[string]V, merged map[string]loads.EndpointLoad) {
 	observations := make([]routing.Observation, 0, len(reported))
 	for address := range reported {
@@ -48,7 +48,7 @@
 	p.loop.Observe(observations)
 }
 
-// Leave removes a proxy's reports.
+// OnDisconnect removes a proxy's reports.
 func (r *reports) OnDisconnect(proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,26 +66,26 @@
 // then the platform's.
 var utilisationMetrics = []string{"application_utilization", "cpu_utilization", "util"}
 
-// newObservation converts a reading to an observation whose load has the order of the pool's report fields. Where the fields
-// include utilisation and the reading has none, the observation carries no load.
-func newObservation(set balance.Settings, address string, reading loads.EndpointLoad) routing.Observation {
+// newObservation converts an endpoint load to an observation whose load has the order of the pool's report fields. Where the fields
+// include utilisation and the metrics have none, the observation carries no load.
+func newObservation(set balance.Settings, address string, endpointLoad loads.EndpointLoad) routing.Observation {
 	o := routing.Observation{Address: address, FailureShare: -1}
-	if reading.Outcomes > 0 {
-		o.FailureShare = reading.FailureShare
+	if endpointLoad.Outcomes > 0 {
+		o.FailureShare = endpointLoad.FailureShare
 	}
 	load := make([]float32, len(set.Report.Fields))
 	for i, f := range set.Report.Fields {
 		switch f {
 		case balance.Inflight:
-			load[i] = float32(reading.Inflight)
+			load[i] = float32(endpointLoad.Inflight)
 		case balance.QPS:
-			load[i] = float32(reading.QPS)
+			load[i] = float32(endpointLoad.QPS)
 		case balance.EPS:
-			load[i] = float32(reading.EPS)
+			load[i] = float32(endpointLoad.EPS)
 		case balance.Util:
 			known := false
 			for _, name := range utilisationMetrics {
-				if v, ok := reading.Metrics[name]; ok && !known {
+				if v, ok := endpointLoad.Metrics[name]; ok && !known {
 					load[i], known = float32(v), true
 				}
 			}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -21,7 +21,7 @@
 	"kitewood/internal/xdsserver"
 )
 
-// minViewInterval is the minimum time between two evaluations of a pool, so that a burst of load readings or list updates causes
+// minViewInterval is the minimum time between two evaluations of a pool, so that a burst of load reports or list updates causes
 // one evaluation.
 const minViewInterval = 10 * time.Millisecond
 
--- a/internal/control/tls.go
+++ b/internal/control/tls.go
@@ -159,7 +159,7 @@
 	l.log.Warn("a proxy is not let in", "peer", from.String(), "error", err)
 }
 
-// identify returns the rights of a proxy by the certificate of its connection. It implements xdsserver.Identify.
+// identify returns the rights of a proxy by the certificate of its connection. It implements xdsserver.Authorize.
 func (t *TLS) identify(ctx context.Context) (*xdsserver.Rights, error) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -47,7 +47,7 @@
 
 var statesByName = map[string]balance.State{"": balance.Ready, "ready": balance.Ready, "draining": balance.Draining}
 
-// Read parses a list. Its errors are yamlfile.Problems.
+// Read parses a list. Invalid entries are reported as *yamlfile.Problem errors, joined if there are several.
 func Read(path string, text []byte) ([]routing.Member, error) {
 	var list fileFormat
 	f, err := yamlfile.Read(path, text, &list)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -224,44 +224,44 @@
 	states := []balance.State{balance.Ready, balance.Ready, balance.Draining, balance.Gone}
 	rapid.Check(t, func(t *rapid.T) {
 		sources := []string{"a", "b", "c"}
-		type op struct {
+		type update struct {
 			full bool
 			pos  Position
 			list []routing.Member
 		}
-		scripts := map[string][]op{}
+		scripts := map[string][]update{}
 		for _, name := range sources {
 			rev, history := int64(1), 0
 			for i := range rapid.IntRange(1, 5).Draw(t, "ops") {
 				rev++
-				o := op{full: i == 0 || rapid.Bool().Draw(t, "whole")}
-				if i > 0 && o.full && rapid.IntRange(0, 3).Draw(t, "restored") == 0 {
+				u := update{full: i == 0 || rapid.Bool().Draw(t, "whole")}
+				if i > 0 && u.full && rapid.IntRange(0, 3).Draw(t, "restored") == 0 {
 					history, rev = history+1, 1
 				}
-				o.pos = Position{fmt.Sprint(history), rev}
+				u.pos = Position{fmt.Sprint(history), rev}
 				seen := map[string]bool{}
 				for range rapid.IntRange(0, 4).Draw(t, "words") {
 					e := member(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"), rapid.SampledFrom(states).Draw(t, "state"),
 						time.Duration(rapid.IntRange(1, 3).Draw(t, "since"))*s)
 					e.Address = "10.0.0.1:" + name // shows whose report is effective
 					if !seen[e.Name] {
-						o.list = append(o.list, e)
+						u.list = append(u.list, e)
 					}
 					seen[e.Name] = true
 				}
-				scripts[name] = append(scripts[name], o)
+				scripts[name] = append(scripts[name], u)
 			}
 		}
 		run := func(order []string) []routing.Member {
 			m := New(Config{Sources: sources})
 			next := map[string]int{}
 			for _, name := range order {
-				o := scripts[name][next[name]]
+				u := scripts[name][next[name]]
 				next[name]++
-				if o.full {
-					m.ApplyList(100*s, name, o.pos, o.list)
+				if u.full {
+					m.ApplyList(100*s, name, u.pos, u.list)
 				} else {
-					m.ApplyChanges(100*s, name, o.pos, o.list)
+					m.ApplyChanges(100*s, name, u.pos, u.list)
 				}
 				m.Merge(100 * s)
 			}
@@ -281,14 +281,14 @@
 		for _, e := range first {
 			for _, name := range sources { // no source's last report about this start or a newer one is more severe
 				last := member("", balance.Ready, 0)
-				for _, o := range scripts[name] {
+				for _, u := range scripts[name] {
 					named := false
-					for _, listed := range o.list {
-						if listed.Name == e.Name && !(o.full && listed.State == balance.Gone) {
+					for _, listed := range u.list {
+						if listed.Name == e.Name && !(u.full && listed.State == balance.Gone) {
 							last, named = listed, true
 						}
 					}
-					if o.full && !named && last.Name != "" {
+					if u.full && !named && last.Name != "" {
 						last.State = balance.Gone
 					}
 				}
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -17,7 +17,7 @@
 	h.send(id, endpoint, timeout)
 }
 
-// Refuse answers the client immediately with Rejected.
+// Reject answers the client immediately with Rejected.
 func (h host) Reject(id balance.RequestID, retryAfter time.Duration, reason balance.Reason) {
 	h.metrics.Rejected[reason]++
 	h.answerWithReason(h.requests[id], Answer{Verdict: Rejected, RetryAfter: retryAfter}, reason.String())
@@ -55,7 +55,7 @@
 	h.followUps = append(h.followUps, func() { report(Result{Status: balance.NotSent}) })
 }
 
-// Close closes the idle connections to an endpoint.
+// CloseIdle closes the idle connections to an endpoint.
 func (h host) CloseIdle(endpoint balance.EndpointID) {
 	if ep := h.endpoints.byID[endpoint]; ep != nil {
 		h.transport.CloseIdle(ep)
@@ -65,10 +65,10 @@
 // Watch opens a watch of the endpoint list from the version that is known.
 func (h host) Watch() { h.discovery.Watch(h.endpoints.index) }
 
-// Tell does nothing: sidecars cannot send messages to each other, and the settings tell package balance so.
+// SendToPeer does nothing: sidecars cannot send messages to each other, and the settings given to package balance do not allow it.
 func (h host) SendToPeer(int, []byte) {}
 
-// Timer schedules a timer event; a negative delay counts as 0.
+// StartTimer schedules a timer event; a negative delay counts as 0.
 func (h host) StartTimer(delay time.Duration, token uint64) {
 	h.timersRequested++
 	heap.Push(&h.timers, timer{at: h.Now() + max(delay, 0), seq: h.timersRequested, token: token})
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -73,7 +73,7 @@
 // Closed reports whether the endpoint accepts no new requests. Any goroutine may call it.
 func (ep *Endpoint) Closed() bool { return ep.closed.Load() }
 
-// Attempt is one try to have a request served by an endpoint.
+// Attempt is a request sent to one endpoint, with a deadline of its own.
 type Attempt struct {
 	Request          *Request
 	Endpoint         *Endpoint
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -1,6 +1,6 @@
 package routing
 
-// Observation is what others measured at an endpoint over some time: see balance.Balancer.Observed.
+// Observation is what others measured at an endpoint over some time: see balance.Balancer.EndpointObserved.
 type Observation struct {
 	Address      string
 	FailureShare float64
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -12,7 +12,7 @@
 type View struct {
 	Index                     int64   // version of the latest endpoint list
 	Pending, Queued           int     // requests without a final answer, and those of them that wait for an endpoint
-	ShedLevel, DownstreamShed float64 // load shedding: see balance.Balancer.Level
+	ShedLevel, DownstreamShed float64 // load shedding: see balance.Balancer.AdmissionLevel
 	Endpoints                 []EndpointView
 	Metrics                   Metrics
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -12,7 +12,7 @@
 // Share is a pool's share of a limit.
 type Share struct {
 	Guaranteed int // units that others cannot withhold: while they are lent out, the pool gets the next ones released
-	Max        int // most units the pool may hold, including borrowed ones; 0 for no maximum but the total
+	Max        int // maximum number of units the pool may hold, including borrowed ones; 0 for no maximum but the total
 }
 
 // claimDuration is how long units are reserved for a pool that was rejected within its guaranteed share. It is limited, as the
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -47,7 +47,7 @@
 	os.Exit(code)
 }
 
-// RunProgram runs a program in a temporary directory and returns its output; ok tells whether it exited with status 0.
+// RunProgram runs a program in a temporary directory and returns its output; ok reports whether it exited with status 0.
 func RunProgram(t *testing.T, program string, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
 	var outBuf, errBuf bytes.Buffer
--- a/internal/transport/backoff_test.go
+++ b/internal/transport/backoff_test.go
@@ -36,7 +36,7 @@
 // balancerSpread is the spread with which package balance delays the first calls.
 const balancerSpread = 1250 * time.Millisecond
 
-// minCapacity is the least capacity of discovery in calls per second, as a handful of callers has it.
+// minCapacity is the minimum capacity of discovery in calls per second, as a handful of callers has it.
 const minCapacity = 3.3
 
 // fleetCase is a fleet whose sidecars all call discovery together, simulated in virtual time.
--- a/internal/transport/connectionpool.go
+++ b/internal/transport/connectionpool.go
@@ -48,7 +48,7 @@
 
 var _ routing.Transport = (*ConnectionPool)(nil)
 
-// Carry starts an attempt and returns at once. It implements routing.Transport.
+// Send starts an attempt and returns at once. It implements routing.Transport.
 func (p *ConnectionPool) Send(a *routing.Attempt, done func(routing.Result)) {
 	go func() {
 		e := &exchange{done: done, deadline: p.Clock.At(a.Deadline), onConnect: a.ConnectionOpened}
@@ -102,7 +102,7 @@
 		e.fail(err)
 		return
 	}
-	// Sending may have become invalid since the decision, so this is checked once more before the first byte.
+	// Sending may have become invalid since the decision, so this is checked again before the first byte.
 	if stale() {
 		uc.release(e)
 		e.fail(errStale)
@@ -190,7 +190,7 @@
 	return nil, err
 }
 
-// minDialTimeout is the least time that dialing may take, with what goes on in the background after the attempt has failed.
+// minDialTimeout is the minimum time that dialing may take, with what goes on in the background after the attempt has failed.
 const minDialTimeout = 2 * time.Second
 
 // popNewestIdle removes and returns the most recently used idle connection to an endpoint, nil if there is none.
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -32,8 +32,8 @@
 	entry := func(name, status string) string {
 		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":%q,"weight":1}`, name, endpoint, status)
 	}
-	list := func(index int, whole bool, entries ...string) string {
-		return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, whole, strings.Join(entries, ","))
+	list := func(index int, snapshot bool, entries ...string) string {
+		return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 	}
 	var manyEntries []string
 	for i := range 4000 {
@@ -107,10 +107,10 @@
 
 // startWatching runs a Loop that watches discovery, with settings under which package balance calls as seldom as possible. It
 // returns the Loop and its DiscoveryClient.
-func startWatching(t *testing.T, address string, ask bool) (*routing.Loop, *DiscoveryClient) {
+func startWatching(t *testing.T, address string, poll bool) (*routing.Loop, *DiscoveryClient) {
 	t.Helper()
 	set := testSettings()
-	set.PollDiscovery, set.Rules.DiscoveryInterval = ask, 100*time.Second
+	set.PollDiscovery, set.Rules.DiscoveryInterval = poll, 100*time.Second
 	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	d := NewDiscoveryClient(ctx, address, loop, discardLog)
-	d.Pushed = !ask
+	d.Pushed = !poll
 	go loop.Run(ctx, newTestPool(routing.NewClock()), d)
 	loop.UpdateEndpoints(balance.Cached, 1, nil)
 	if d.Pushed {
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -249,8 +249,8 @@
 
 // isConnectionEnd reports whether an error means that the connection has ended: EOF or any error of the network operation.
 func isConnectionEnd(err error) bool {
-	var op *net.OpError
-	return errors.Is(err, io.EOF) || errors.As(err, &op)
+	var opErr *net.OpError
+	return errors.Is(err, io.EOF) || errors.As(err, &opErr)
 }
 
 // isLocalFailure reports whether a connection could not be opened because this machine lacks a resource, which says nothing
--- a/internal/transport/discoveryclient.go
+++ b/internal/transport/discoveryclient.go
@@ -39,7 +39,7 @@
 	subscriptions    []*subscription // oldest first, so the last one is of the configured address
 	created          time.Time
 	initialListTime  time.Time // when the list that the client starts with was current
-	started          bool      // Follow or SwitchAddress has started a subscription
+	started          bool      // Watch or SwitchAddress has started a subscription
 	lease            *lease.Lease
 	unconfirmedSince time.Time // time of the first reload whose discovery has delivered no list yet; zero for none
 	rng              *rand.Rand
@@ -84,14 +84,14 @@
 
 var _ routing.Discovery = (*DiscoveryClient)(nil)
 
-// NewDiscoveryClient returns a client of discovery at an address. It makes no call before Follow or SwitchAddress.
+// NewDiscoveryClient returns a client of discovery at an address. It makes no call before Watch or SwitchAddress.
 func NewDiscoveryClient(ctx context.Context, address string, receiver routing.EndpointListReceiver, log *slog.Logger) *DiscoveryClient {
 	d := &DiscoveryClient{Context: ctx, Receiver: receiver, Log: log, Clock: routing.NewClock(), created: time.Now(), initialListTime: time.Now()}
 	d.addSubscription(0, address)
 	return d
 }
 
-// Follow starts the subscription at the configured address; further calls do nothing. It implements routing.Discovery. The
+// Watch starts the subscription at the configured address; further calls do nothing. It implements routing.Discovery. The
 // version is that of the list that the sidecar started with. It is not used after a reload with another address, as each
 // address counts its own versions.
 func (d *DiscoveryClient) Watch(since int64) {
@@ -131,7 +131,7 @@
 	d.startSubscription(next)
 }
 
-// TakeOver has the client start with the list of another client, and with that list's age. It is called before Follow.
+// TakeOver has the client start with the list of another client, and with that list's age. It is called before Watch.
 func (d *DiscoveryClient) TakeOver(old *DiscoveryClient) {
 	old.mu.Lock()
 	defer old.mu.Unlock()
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -336,7 +336,7 @@
 	i.buf = append(i.buf, data...)
 }
 
-// Close writes a hang_up action, which closes the idle connections to an endpoint.
+// CloseIdle writes a hang_up action, which closes the idle connections to an endpoint.
 func (i *Instance) CloseIdle(endpoint balance.EndpointID) { i.beginAction(1); i.u32(uint32(endpoint)) }
 
 // Fail writes a fail action, which ends a request that may have run.
@@ -366,21 +366,21 @@
 // Watch writes a track action, which subscribes to the endpoint list.
 func (i *Instance) Watch() { i.beginAction(7); i.buf = append(i.buf, 1) }
 
-// Timer writes a schedule action, which fires a timer event with the token after the delay.
+// StartTimer writes a schedule action, which fires a timer event with the token after the delay.
 func (i *Instance) StartTimer(delay time.Duration, token uint64) {
 	i.beginAction(8)
 	i.duration(delay)
 	i.u64(token)
 }
 
-// Refuse writes a say_no action, which ends a request that has not run, so that a retry is safe.
+// Reject writes a say_no action, which ends a request that has not run, so that a retry is safe.
 func (i *Instance) Reject(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
 	i.beginAction(9)
 	i.u32(uint32(id))
 	i.duration(retryAfter)
 }
 
-// Tell writes a publish action, which sends a message to one peer or to all.
+// SendToPeer writes a publish action, which sends a message to one peer or to all.
 func (i *Instance) SendToPeer(peer int, data []byte) {
 	i.beginAction(11)
 	if peer == balance.AllPeers {
--- a/internal/xdsserver/server_test.go
+++ b/internal/xdsserver/server_test.go
@@ -65,11 +65,11 @@
 func TestSlowProxyDoesNotDelayOthers(t *testing.T) {
 	hub, conn, log := startTestServer(t)
 	api := discovery.NewAggregatedDiscoveryServiceClient(conn)
-	stuck, err := api.StreamAggregatedResources(t.Context())
+	slow, err := api.StreamAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := stuck.Send(endpointRequest); err != nil { // this proxy never receives
+	if err := slow.Send(endpointRequest); err != nil { // this proxy never receives
 		t.Fatal(err)
 	}
 	good, err := endpointservice.NewEndpointDiscoveryServiceClient(conn).StreamEndpoints(t.Context())
--- a/internal/yamlfile/read.go
+++ b/internal/yamlfile/read.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
 }
 
-// OneLine returns the text of an error, also of several joined Problems, on one line for logs and supervisors.
+// OneLine returns the text of an error, also of several joined ones, on one line for logs and supervisors.
 func OneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
 // Load reads the file at path and parses it with read.
