--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,8 +8,8 @@
 	"kitewood/internal/yamlfile"
 )
 
-// Load reads a configuration file, sets the defaults and checks it. Invalid settings are reported as
-// *yamlfile.Problem errors, joined if there are several.
+// Load reads a configuration file, sets the defaults and checks it. Invalid settings are reported as *yamlfile.Problem errors,
+// joined if there are several.
 func Load(path string) (*File, error) { return yamlfile.Load(path, Read) }
 
 // Read parses the text of a configuration file like Load; path is the name of the file.
--- a/internal/control/program.go
+++ b/internal/control/program.go
@@ -33,8 +33,8 @@
 	TLS *TLS `yaml:"tls,omitempty"`
 }
 
-// Load reads a configuration file, fills in defaults and validates it. Invalid settings are reported as
-// *yamlfile.Problem errors, joined if there are several.
+// Load reads a configuration file, fills in defaults and validates it. Invalid settings are reported as *yamlfile.Problem
+// errors, joined if there are several.
 func Load(path string) (*File, error) { return yamlfile.Load(path, Read) }
 
 // Read parses the text of a configuration file as Load does.
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -9,7 +9,8 @@
 	"kitewood/internal/routing"
 )
 
-// reports merges load reports of proxies and endpoints and passes the result to the pools. It implements xdsserver.LoadReportHandler.
+// reports merges load reports of proxies and endpoints and passes the result to the pools. It implements
+// xdsserver.LoadReportHandler.
 type reports struct {
 	service *Service
 
@@ -66,8 +67,8 @@
 // then the platform's.
 var utilisationMetrics = []string{"application_utilization", "cpu_utilization", "util"}
 
-// newObservation converts an endpoint load to an observation whose load has the order of the pool's report fields. Where the fields
-// include utilisation and the metrics have none, the observation carries no load.
+// newObservation converts an endpoint load to an observation whose load has the order of the pool's report fields. Where the
+// fields include utilisation and the metrics have none, the observation carries no load.
 func newObservation(set balance.Settings, address string, endpointLoad loads.EndpointLoad) routing.Observation {
 	o := routing.Observation{Address: address, FailureShare: -1}
 	if endpointLoad.Outcomes > 0 {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -117,7 +117,7 @@
 	for name, ep := range l.endpoints.byName {
 		switch {
 		case listed[name]:
-		case kind != balance.Delta: // a complete list omits endpoints that are gone
+		case kind != balance.Delta: // a full list omits endpoints that are gone
 			if l.setClosed(ep, true) {
 				closed = append(closed, name)
 			}
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -65,7 +65,8 @@
 // Watch opens a watch of the endpoint list from the version that is known.
 func (h host) Watch() { h.discovery.Watch(h.endpoints.index) }
 
-// SendToPeer does nothing: sidecars cannot send messages to each other, and the settings given to package balance do not allow it.
+// SendToPeer does nothing: sidecars cannot send messages to each other, and the settings given to package balance do not allow
+// it.
 func (h host) SendToPeer(int, []byte) {}
 
 // StartTimer schedules a timer event; a negative delay counts as 0.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -210,7 +210,7 @@
 		t.Errorf("second watch started at version %d, want 9", since)
 	}
 	if ep := <-network.closedIdle; ep.Name != "b" || !ep.Closed() {
-		t.Errorf("idle connections of endpoint %s were closed, want those of b, which the complete list omits, and b closed", ep.Name)
+		t.Errorf("idle connections of endpoint %s were closed, want those of b, which the full list omits, and b closed", ep.Name)
 	}
 }
 
