--- a/internal/lab/drill/leftovers.go
+++ b/internal/lab/drill/leftovers.go
@@ -35,7 +35,7 @@
 		}
 		took := time.Since(left)
 		out := &Outcome{}
-		out.Hold("marked as cut short", b2f(r.Cut), "1", r.Cut)
+		out.Hold("marked as cut short", b2f(r.CutShort), "1", r.CutShort)
 		out.Hold("seconds to end", took.Seconds(), "at most 8", took <= 8*time.Second)
 		out.Hold("entries kept", float64(len(r.Entries)), "above 0", len(r.Entries) > 0)
 		processes, err := Children(dir)
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Cut {
+		if r.CutShort {
 			return nil, context.Cause(ctx)
 		}
 		for _, b := range ledger.Judge(r.Entries, s.Rules()) {
