--- a/cmd/kitewood-lab/main_test.go
+++ b/cmd/kitewood-lab/main_test.go
@@ -23,13 +23,13 @@
 var lab string
 
 func TestMain(m *testing.M) {
-	testkit.WithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
+	testkit.MainWithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
 }
 
 // call runs the lab and gives what it wrote.
 func call(t *testing.T, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
-	return testkit.Run(t, lab, args...)
+	return testkit.RunProgram(t, lab, args...)
 }
 
 // Each drill keeps its promise in its short form, and says so in the form that other programs read.
--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -42,14 +42,14 @@
 	if err != nil {
 		return err
 	}
-	var members []listfile.Destination
+	var members []listfile.Endpoint
 	for n := range 8 {
 		i, err := newInstance(fmt.Sprintf("d-%d", n), false)
 		if err != nil {
 			return err
 		}
 		defer i.stop()
-		members = append(members, listfile.Destination{Name: i.name, Address: i.address})
+		members = append(members, listfile.Endpoint{Name: i.name, Address: i.address})
 	}
 	last, counts := 6*time.Second, []int{64, 256, 1000}
 	if o.Short {
@@ -57,7 +57,7 @@
 	}
 	for _, callers := range counts {
 		var seen [2]*loop
-		for n, start := range []func(string, string, []listfile.Destination, Options) (*child.Child, error){startKitewood, startPlain} {
+		for n, start := range []func(string, string, []listfile.Endpoint, Options) (*child.Child, error){startKitewood, startPlain} {
 			address, err := child.Reserve()
 			if err != nil {
 				return err
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func startKitewood(dir, address string, members []listfile.Destination, o Options) (*child.Child, error) {
+func startKitewood(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	if err := listfile.Write(filepath.Join(dir, "list.yaml"), members); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 	return c, untilReady(c, address)
 }
 
-func startPlain(dir, address string, members []listfile.Destination, o Options) (*child.Child, error) {
+func startPlain(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	var endpoints []map[string]any
 	for _, m := range members {
 		endpoints = append(endpoints, map[string]any{"name": m.Name, "address": m.Address, "status": "Ready", "weight": 1})
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -111,7 +111,7 @@
 		began := time.Now()
 		wrong := ""
 		err := r.until(ctx, "the list is the truth", func() bool {
-			all, err := control.AskMembers(r.admin)
+			all, err := control.QueryMembers(r.admin)
 			if err != nil || len(all) != 1 {
 				return false
 			}
@@ -145,7 +145,7 @@
 	}
 	// read is what the service has read of etcd.
 	read := func() (out membership.SourceView) {
-		if all, err := control.AskMembers(r.admin); err == nil && len(all) == 1 {
+		if all, err := control.QueryMembers(r.admin); err == nil && len(all) == 1 {
 			out = all[0].Sources[0]
 		}
 		return out
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -117,7 +117,7 @@
 	if r.service, err = child.StartControl(o.Control, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
 		return r, err
 	}
-	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.AskMembers(r.admin); return err == nil }); err != nil {
+	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.QueryMembers(r.admin); return err == nil }); err != nil {
 		return r, err
 	}
 	if told == nil && sidecars+proxies == 0 { // nobody asks what was seen when, and following costs the service a look at all
--- a/internal/lab/drill/xdsscale.go
+++ b/internal/lab/drill/xdsscale.go
@@ -149,9 +149,9 @@
 
 // many writes the list of a pool with the mark of its last change.
 func many(dir, pool string, endpoints, change int) error {
-	all := make([]listfile.Destination, endpoints)
+	all := make([]listfile.Endpoint, endpoints)
 	for n := range all {
-		all[n] = listfile.Destination{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
+		all[n] = listfile.Endpoint{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
 	}
 	all[0].Zone = marker + strconv.Itoa(change)
 	return listfile.Write(filepath.Join(dir, pool+".yaml"), all)
