--- a/cmd/kitewood-lab/main_test.go
+++ b/cmd/kitewood-lab/main_test.go
@@ -222,7 +222,7 @@
 	if !json.Valid(out.Bytes()) {
 		t.Errorf("%s", out.String())
 	}
-	if left, err := drill.Children(dir); err != nil || len(left) > 0 {
+	if left, err := drill.SidecarProcesses(dir); err != nil || len(left) > 0 {
 		t.Errorf("left: %v %v", left, err)
 	}
 }
@@ -235,7 +235,7 @@
 		t.Fatal(err)
 	}
 	count := func() int {
-		left, err := drill.Children(dir)
+		left, err := drill.SidecarProcesses(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -27,8 +27,8 @@
 
 // closedLoopDrill is the part of fleet-overload that needs no fleet.
 var closedLoopDrill = Drill{
-	Name:  "closed-loop",
-	About: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
+	Name:        "closed-loop",
+	Description: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		out := &Outcome{}
 		return out, closedLoops(ctx, o, out)
@@ -135,7 +135,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return nil, err
 	}
-	c, err := child.Start(filepath.Join(dir, "plain.log"), []string{"ROUTER_CONFIG=" + path, "GOMAXPROCS=1"}, o.Lab, "proxy", "--policy", dataplane.RoundRobin)
+	c, err := child.Start(filepath.Join(dir, "plain.log"), []string{"ROUTER_CONFIG=" + path, "GOMAXPROCS=1"}, o.LabBinary, "proxy", "--policy", dataplane.RoundRobin)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -16,10 +16,10 @@
 
 // etcdChaosDrill breaks a cluster in all ways that the stand-in knows.
 var etcdChaosDrill = Drill{
-	Name:    "etcd-chaos",
-	About:   "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
-	Control: true,
-	Run:     runEtcdChaos,
+	Name:         "etcd-chaos",
+	Description:  "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
+	NeedsControl: true,
+	Run:          runEtcdChaos,
 }
 
 // chaosOracle knows what the list has to be: what was written, and bad words that a restored state does not take back.
--- a/internal/lab/drill/xdsscale.go
+++ b/internal/lab/drill/xdsscale.go
@@ -30,10 +30,10 @@
 // xdsScaleDrill changes many pools before many proxies.
 var xdsScaleDrill = Drill{
 	Name: "xds-scale",
-	About: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: from a change to its last answer, and " +
+	Description: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: from a change to its last answer, and " +
 		"what it costs",
-	Control: true,
-	Run:     runXDSScale,
+	NeedsControl: true,
+	Run:          runXDSScale,
 }
 
 // crowd is many proxies that apply nothing and answer everything.
