--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -17,13 +17,13 @@
 )
 
 // loop is what callers in a closed loop saw: each asks again as soon as it has its answer.
-type loop struct {
-	asked, refused, failed int
-	latency                *hdrhistogram.Histogram // in microseconds
-	notes                  []string                // of what was not served
+type closedLoopResult struct {
+	requests, rejected, failed int
+	latency                    *hdrhistogram.Histogram // in microseconds
+	notes                      []string                // of what was not served
 }
 
-func (l *loop) p99() float64 { return float64(l.latency.ValueAtQuantile(99)) / 1000 }
+func (l *closedLoopResult) p99() float64 { return float64(l.latency.ValueAtQuantile(99)) / 1000 }
 
 // closedLoopDrill is the part of fleet-overload that needs no fleet.
 var closedLoopDrill = Drill{
@@ -31,14 +31,14 @@
 	Description: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		out := &Outcome{}
-		return out, closedLoops(ctx, o, out)
+		return out, compareClosedLoops(ctx, o, out)
 	},
 }
 
 // closedLoops has callers in closed loops ask a kitewood process and a plain proxy, which serves what comes first first,
 // before the same destinations, one after the other: each has one core.
-func closedLoops(ctx context.Context, o Options, out *Outcome) error {
-	dir, err := scratch(o, "closed")
+func compareClosedLoops(ctx context.Context, o Options, out *Outcome) error {
+	dir, err := makeDir(o, "closed")
 	if err != nil {
 		return err
 	}
@@ -56,8 +56,8 @@
 		last, counts = 2*time.Second, []int{256}
 	}
 	for _, callers := range counts {
-		var seen [2]*loop
-		for n, start := range []func(string, string, []listfile.Endpoint, Options) (*child.Child, error){startKitewood, startPlain} {
+		var seen [2]*closedLoopResult
+		for n, start := range []func(string, string, []listfile.Endpoint, Options) (*child.Child, error){startKitewood, startPlainProxy} {
 			address, err := child.Reserve()
 			if err != nil {
 				return err
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			seen[n], err = callInLoops(ctx, address.String(), callers, last)
+			seen[n], err = runClosedLoop(ctx, address.String(), callers, last)
 			c.Kill()
 			if err != nil {
 				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Said())
@@ -75,23 +75,23 @@
 		}
 		kite, plain := seen[0], seen[1]
 		at := fmt.Sprintf("%d callers in a closed loop: ", callers)
-		out.Tell(at+"answers", float64(kite.asked))
-		out.Tell(at+"answers by the plain proxy", float64(plain.asked))
+		out.Report(at+"answers", float64(kite.requests))
+		out.Report(at+"answers by the plain proxy", float64(plain.requests))
 		// The short form runs beside other tests: a machine that stands still for a moment may cost a few.
-		lost, bound := kite.refused+kite.failed, 0
+		lost, bound := kite.rejected+kite.failed, 0
 		if o.Short {
-			bound = kite.asked / 500
+			bound = kite.requests / 500
 		}
-		out.Hold(at+"refused or failed", float64(lost), fmt.Sprintf("at most %d", bound), lost <= bound)
+		out.Check(at+"refused or failed", float64(lost), fmt.Sprintf("at most %d", bound), lost <= bound)
 		out.Notes = append(out.Notes, kite.notes[:min(len(kite.notes), 5)]...)
-		out.Tell(at+"longest, ms", float64(kite.latency.Max())/1000)
+		out.Report(at+"longest, ms", float64(kite.latency.Max())/1000)
 		times := kite.p99() / plain.p99()
-		out.Tell(at+"p99, ms", kite.p99())
-		out.Tell(at+"p99 by the plain proxy, ms", plain.p99())
+		out.Report(at+"p99, ms", kite.p99())
+		out.Report(at+"p99 by the plain proxy, ms", plain.p99())
 		if o.Short {
-			out.Tell(at+"p99, times the plain proxy's", times)
+			out.Report(at+"p99, times the plain proxy's", times)
 		} else {
-			out.Hold(at+"p99, times the plain proxy's", times, "at most 1.2", times <= 1.2)
+			out.Check(at+"p99, times the plain proxy's", times, "at most 1.2", times <= 1.2)
 		}
 	}
 	return nil
@@ -118,10 +118,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, untilReady(c, address)
+	return c, waitReady(c, address)
 }
 
-func startPlain(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
+func startPlainProxy(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	var endpoints []map[string]any
 	for _, m := range members {
 		endpoints = append(endpoints, map[string]any{"name": m.Name, "address": m.Address, "status": "Ready", "weight": 1})
@@ -139,13 +139,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, untilReady(c, address)
+	return c, waitReady(c, address)
 }
 
 // untilReady waits until a process says that it is ready.
-func untilReady(c *child.Child, address string) error {
+func waitReady(c *child.Child, address string) error {
 	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
-	for until := time.Now().Add(controlWait); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		pool := httpc.NewPool(httpc.Options{Address: address})
 		r := pool.Do("", "GET", text, time.Now().Add(time.Second))
 		pool.Close()
@@ -158,18 +158,18 @@
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %s: %s", controlWait, c.Said())
+	return fmt.Errorf("not ready within %s: %s", waitTimeout, c.Said())
 }
 
 // callInLoops has callers ask for a time.
-func callInLoops(ctx context.Context, address string, callers int, last time.Duration) (*loop, error) {
-	all := &loop{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func runClosedLoop(ctx context.Context, address string, callers int, last time.Duration) (*closedLoopResult, error) {
+	all := &closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	var mu sync.Mutex
 	var open sync.WaitGroup
 	until := time.Now().Add(last)
 	for n := range callers {
 		open.Go(func() {
-			mine := loop{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+			mine := closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 			pool := httpc.NewPool(httpc.Options{Address: address, ConnectTimeout: 5 * time.Second})
 			defer pool.Close()
 			for k := 0; time.Now().Before(until) && ctx.Err() == nil; k++ {
@@ -178,12 +178,12 @@
 					httpc.Field{Name: "X-Time-Left-Ms", Value: "2500"})
 				began := time.Now()
 				r := pool.Do(id, "GET", text, began.Add(5*time.Second))
-				mine.asked++
+				mine.requests++
 				switch r.Status {
 				case 200:
 					mine.latency.RecordValue(max(time.Since(began).Microseconds(), 1))
 				case 503:
-					mine.refused++
+					mine.rejected++
 				default:
 					mine.failed++
 				}
@@ -194,7 +194,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.asked, all.refused, all.failed = all.asked+mine.asked, all.refused+mine.refused, all.failed+mine.failed
+			all.requests, all.rejected, all.failed = all.requests+mine.requests, all.rejected+mine.rejected, all.failed+mine.failed
 			all.latency.Merge(mine.latency)
 			all.notes = append(all.notes, mine.notes...)
 		})
--- a/internal/lab/drill/controlservice.go
+++ b/internal/lab/drill/controlservice.go
@@ -33,11 +33,11 @@
 func (c *controlService) stop() bool { return c.Stop(20*time.Second) == "" }
 
 // controlWait is how long until waits.
-const controlWait = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // until waits until something is so. It gives up where the control service ends.
-func until(ctx context.Context, service *child.Control, what string, is func() bool) error {
-	for end := time.Now().Add(controlWait); !is(); {
+func waitUntil(ctx context.Context, service *child.Control, what string, is func() bool) error {
+	for end := time.Now().Add(waitTimeout); !is(); {
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-service.Ended:
@@ -46,7 +46,7 @@
 			return context.Cause(ctx)
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %s: %s", controlWait, what)
+			return fmt.Errorf("not within %s: %s", waitTimeout, what)
 		}
 	}
 	return nil
--- a/internal/lab/drill/drill.go
+++ b/internal/lab/drill/drill.go
@@ -23,7 +23,7 @@
 }
 
 // times is how often a drill causes its failure: as often as it was asked to, or its own number for the form.
-func (o *Options) times(long, short int) int {
+func (o *Options) repeats(long, short int) int {
 	switch {
 	case o.Repeats > 0:
 		return o.Repeats
@@ -34,7 +34,7 @@
 }
 
 // Figure is one figure of a drill, with the bound that it was held to, if any.
-type Figure struct {
+type Metric struct {
 	Name   string
 	Value  float64
 	Bound  string // empty for a figure that is only told
@@ -43,18 +43,18 @@
 
 // Outcome is what a drill found. Its promise held if every bounded figure did.
 type Outcome struct {
-	Metrics []Figure
+	Metrics []Metric
 	Notes   []string // what an operator should see of a broken promise
 }
 
 // Tell adds a figure without a bound.
-func (o *Outcome) Tell(name string, v float64) {
-	o.Metrics = append(o.Metrics, Figure{Name: name, Value: v, Passed: true})
+func (o *Outcome) Report(name string, v float64) {
+	o.Metrics = append(o.Metrics, Metric{Name: name, Value: v, Passed: true})
 }
 
 // Hold adds a figure with the bound that it is held to.
-func (o *Outcome) Hold(name string, v float64, bound string, held bool) {
-	o.Metrics = append(o.Metrics, Figure{name, v, bound, held})
+func (o *Outcome) Check(name string, v float64, bound string, held bool) {
+	o.Metrics = append(o.Metrics, Metric{name, v, bound, held})
 }
 
 // Pass tells whether the promise held. A drill that held nothing to a bound has proved nothing.
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -19,23 +19,23 @@
 }
 
 const (
-	burstSize    = 80
-	burstRemoved = 40
-	burstAdded   = 30
-	burstWithin  = 900 * time.Millisecond
+	burstSize     = 80
+	burstRemoved  = 40
+	burstAdded    = 30
+	burstDuration = 900 * time.Millisecond
 )
 
 // bystanders are instances that are listed.
-type bystanders struct {
-	rig  *etcdRig
-	next int
-	all  map[string]*listed // by name
+type etcdPool struct {
+	rig       *etcdRig
+	nextIndex int
+	instances map[string]*etcdInstance // by name
 }
 
 // startBystanders starts a rig with instances that are listed and have long been up, two proxies and some sidecars, and waits until
 // all can send.
-func startBystanders(ctx context.Context, o Options, name string, n, sidecars int, told func(control.MemberChange)) (*bystanders, error) {
-	dir, err := scratch(o, name)
+func startEtcdPool(ctx context.Context, o Options, name string, n, sidecars int, told func(control.MemberChange)) (*etcdPool, error) {
+	dir, err := makeDir(o, name)
 	if err != nil {
 		return nil, err
 	}
@@ -43,14 +43,14 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bystanders{rig: r, all: map[string]*listed{}}
+	b := &etcdPool{rig: r, instances: map[string]*etcdInstance{}}
 	for range n {
 		if _, err = b.add(time.Time{}); err != nil {
 			break
 		}
 	}
 	if err == nil {
-		err = r.ready(ctx)
+		err = r.waitReady(ctx)
 	}
 	if err != nil {
 		b.stop()
@@ -60,37 +60,37 @@
 }
 
 // add starts an instance and lists it.
-func (b *bystanders) add(started time.Time) (*listed, error) {
-	i, err := newListed(fmt.Sprintf("i%04d", b.next))
+func (b *etcdPool) add(started time.Time) (*etcdInstance, error) {
+	i, err := newEtcdInstance(fmt.Sprintf("i%04d", b.nextIndex))
 	if err != nil {
 		return nil, err
 	}
-	b.next++
-	b.all[i.name] = i
-	b.rig.cluster.Put(etcdPrefix+i.name, i.value("ready", started))
+	b.nextIndex++
+	b.instances[i.name] = i
+	b.rig.cluster.Put(etcdPrefix+i.name, i.etcdValue("ready", started))
 	return i, nil
 }
 
 // remove takes an instance from the list. It runs on, so that it sees who sends to it still.
-func (b *bystanders) remove(i *listed) {
-	i.word = time.Now()
+func (b *etcdPool) remove(i *etcdInstance) {
+	i.removedAt = time.Now()
 	b.rig.cluster.Delete(etcdPrefix + i.name)
-	delete(b.all, i.name)
+	delete(b.instances, i.name)
 }
 
 // some are instances drawn at random.
-func (b *bystanders) some(rng *rand.Rand, n int) (out []*listed) {
-	for _, i := range b.all { // the order of a map is random, but not by the seed
+func (b *etcdPool) sample(rng *rand.Rand, n int) (out []*etcdInstance) {
+	for _, i := range b.instances { // the order of a map is random, but not by the seed
 		out = append(out, i)
 	}
-	sortListed(out)
+	sortByName(out)
 	rng.Shuffle(len(out), func(x, y int) { out[x], out[y] = out[y], out[x] })
 	return out[:min(n, len(out))]
 }
 
-func (b *bystanders) stop() {
+func (b *etcdPool) stop() {
 	b.rig.stop()
-	for _, i := range b.all {
+	for _, i := range b.instances {
 		i.server.Close()
 	}
 }
@@ -98,8 +98,8 @@
 // platformTells are how long after each removal the platform's discovery tells of it, by the lab's model of it with its usual
 // figures: what it is told it sees later, and publishes together with what else has changed meanwhile. Calls and watches come
 // on top.
-func platformTells(rng *rand.Rand, removals []time.Duration) ([]time.Duration, error) {
-	s, err := find("calm")
+func platformDelays(rng *rand.Rand, removals []time.Duration) ([]time.Duration, error) {
+	s, err := findScenario("calm")
 	if err != nil {
 		return nil, err
 	}
@@ -124,14 +124,14 @@
 }
 
 func runEtcdBurst(ctx context.Context, o Options) (*Outcome, error) {
-	repeats := o.times(50, 5)
-	b, err := startBystanders(ctx, o, "etcd-burst", burstSize, 2, nil)
+	repeats := o.repeats(50, 5)
+	b, err := startEtcdPool(ctx, o, "etcd-burst", burstSize, 2, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer b.stop()
 	r := b.rig
-	ended := r.load(ctx)
+	ended := r.startLoad(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	out := &Outcome{}
 	seen, last := map[string][]time.Duration{}, map[string][]time.Duration{}
@@ -139,15 +139,15 @@
 	began := time.Now()
 	var removals []time.Duration
 	for range repeats {
-		removed := b.some(rng, burstRemoved)
-		var added []*listed
-		came := map[*listed]time.Time{}
-		gap := burstWithin / (burstRemoved + burstAdded)
+		removed := b.sample(rng, burstRemoved)
+		var added []*etcdInstance
+		came := map[*etcdInstance]time.Time{}
+		gap := burstDuration / (burstRemoved + burstAdded)
 		for n, i := range removed {
 			time.Sleep(gap)
-			before += len(i.last(time.Now().Add(-drainGrace)))
+			before += len(i.lastRequests(time.Now().Add(-drainGrace)))
 			b.remove(i)
-			removals = append(removals, i.word.Sub(began))
+			removals = append(removals, i.removedAt.Sub(began))
 			if n < burstAdded {
 				time.Sleep(gap)
 				now := time.Now()
@@ -165,18 +165,18 @@
 			return nil, context.Cause(ctx)
 		}
 		note := func(who, what string, from time.Time) {
-			if t, is := r.when(who, what); is {
+			if t, is := r.seenAt(who, what); is {
 				seen[who] = append(seen[who], t.Sub(from))
 			} else {
 				unseen++
 			}
 		}
 		for _, i := range removed {
-			note("service", i.name+" gone", i.word)
+			note("service", i.name+" gone", i.removedAt)
 			for n := range r.tables {
-				note(fmt.Sprintf("proxy-%d", n), i.address+" out", i.word)
+				note(fmt.Sprintf("proxy-%d", n), i.address+" out", i.removedAt)
 			}
-			for who, d := range i.last(i.word) {
+			for who, d := range i.lastRequests(i.removedAt) {
 				last[who[:len(who)-2]] = append(last[who[:len(who)-2]], d)
 				if d > drainGrace {
 					late++
@@ -196,19 +196,19 @@
 			}
 		}
 	}
-	platform, err := platformTells(rng, removals)
+	platform, err := platformDelays(rng, removals)
 	if err != nil {
 		return nil, err
 	}
-	spread(out, "the same removals told by the platform's discovery, as the lab models it", platform)
+	reportPercentiles(out, "the same removals told by the platform's discovery, as the lab models it", platform)
 	ended(out)
-	out.Hold("changes that somebody has not seen", float64(unseen), "0", unseen == 0)
-	out.Hold("senders at those that left, in the 500 ms before", float64(before), "above 0", before > 0)
-	out.Hold("senders at them after 500 ms", float64(late), "0", late == 0)
+	out.Check("changes that somebody has not seen", float64(unseen), "0", unseen == 0)
+	out.Check("senders at those that left, in the 500 ms before", float64(before), "above 0", before > 0)
+	out.Check("senders at them after 500 ms", float64(late), "0", late == 0)
 	for _, who := range []string{"service", "proxy-0", "proxy-1"} {
-		spread(out, "change to seen, "+who, seen[who])
+		reportPercentiles(out, "change to seen, "+who, seen[who])
 	}
-	spread(out, "removal to the last request, proxies", last["proxy"])
-	spread(out, "removal to the last request, sidecars", last["sidecar"])
+	reportPercentiles(out, "removal to the last request, proxies", last["proxy"])
+	reportPercentiles(out, "removal to the last request, sidecars", last["sidecar"])
 	return out, nil
 }
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -24,40 +24,40 @@
 
 // chaosOracle knows what the list has to be: what was written, and bad words that a restored state does not take back.
 type chaosOracle struct {
-	truth map[string]string // state by name, as etcd has it
-	ban   map[string]string // draining or gone: said before etcd was restored, and not taken back since
+	written   map[string]string // state by name, as etcd has it
+	overrides map[string]string // draining or gone: said before etcd was restored, and not taken back since
 }
 
-var chaosRank = map[string]int{"": 0, "ready": 1, "draining": 2, "gone": 3}
+var stateRank = map[string]int{"": 0, "ready": 1, "draining": 2, "gone": 3}
 
 // want is the state of a name.
-func (c *chaosOracle) want(name string) string {
-	state := c.truth[name]
+func (c *chaosOracle) expected(name string) string {
+	state := c.written[name]
 	if state == "" {
 		state = "gone"
 	}
-	if ban := c.ban[name]; chaosRank[ban] > chaosRank[state] {
+	if ban := c.overrides[name]; stateRank[ban] > stateRank[state] {
 		return ban
 	}
 	return state
 }
 
 // write notes a write, "" for a deletion.
-func (c *chaosOracle) write(name, state string) {
-	delete(c.ban, name)
-	if c.truth[name] = state; state == "" {
-		delete(c.truth, name)
+func (c *chaosOracle) recordWrite(name, state string) {
+	delete(c.overrides, name)
+	if c.written[name] = state; state == "" {
+		delete(c.written, name)
 	}
 }
 
 // restore notes that etcd has an older state again.
-func (c *chaosOracle) restore(old map[string]string, all []string) {
+func (c *chaosOracle) recordRestore(old map[string]string, all []string) {
 	for _, name := range all {
-		if was := c.want(name); was != "ready" && (c.truth[name] != "" || c.ban[name] != "" || old[name] != "") {
-			c.ban[name] = was
+		if was := c.expected(name); was != "ready" && (c.written[name] != "" || c.overrides[name] != "" || old[name] != "") {
+			c.overrides[name] = was
 		}
 	}
-	c.truth = maps.Clone(old)
+	c.written = maps.Clone(old)
 }
 
 func runEtcdChaos(ctx context.Context, o Options) (*Outcome, error) {
@@ -65,7 +65,7 @@
 	if o.Short {
 		d = 20 * time.Second
 	}
-	dir, err := scratch(o, "etcd-chaos")
+	dir, err := makeDir(o, "etcd-chaos")
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	}
 	defer r.stop()
 	rng := rand.New(rand.NewPCG(o.Seed, 5))
-	oracle := &chaosOracle{truth: map[string]string{}, ban: map[string]string{}}
+	oracle := &chaosOracle{written: map[string]string{}, overrides: map[string]string{}}
 	var names []string
 	for n := range 30 {
 		names = append(names, fmt.Sprintf("n%02d", n))
@@ -96,12 +96,12 @@
 			delete(sure, name)
 			mu.Unlock()
 		}
-		oracle.write(name, state)
+		oracle.recordWrite(name, state)
 		if state == "" {
 			r.cluster.Delete(etcdPrefix + name)
 			return
 		}
-		r.cluster.Put(etcdPrefix+name, (&listed{address: "127.0.0.1:1"}).value(state, started))
+		r.cluster.Put(etcdPrefix+name, (&etcdInstance{address: "127.0.0.1:1"}).etcdValue(state, started))
 	}
 	for _, name := range names {
 		write(name, "ready")
@@ -110,7 +110,7 @@
 	settled := func() (time.Duration, error) {
 		began := time.Now()
 		wrong := ""
-		err := r.until(ctx, "the list is the truth", func() bool {
+		err := r.waitUntil(ctx, "the list is the truth", func() bool {
 			all, err := control.QueryMembers(r.admin)
 			if err != nil || len(all) != 1 {
 				return false
@@ -120,7 +120,7 @@
 				got[e.Name] = e.State
 			}
 			for _, name := range names {
-				if state, want := got[name], oracle.want(name); state != want && (state != "" || want != "gone") {
+				if state, want := got[name], oracle.expected(name); state != want && (state != "" || want != "gone") {
 					wrong = fmt.Sprintf("%s is %q, want %q", name, state, want)
 					return false
 				}
@@ -134,7 +134,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
-			if oracle.want(name) != "ready" {
+			if oracle.expected(name) != "ready" {
 				sure[name] = true
 			}
 		}
@@ -203,11 +203,11 @@
 			}
 			counts[kind]++
 			// The list may be the truth before the last writes, which change nothing, are read.
-			if err := r.until(ctx, "all that was written is read", func() bool { return read().Revision >= r.cluster.Revision() }); err != nil {
+			if err := r.waitUntil(ctx, "all that was written is read", func() bool { return read().Revision >= r.cluster.Revision() }); err != nil {
 				return nil, err
 			}
 			before := read().History
-			oracle.restore(b.truth, names)
+			oracle.recordRestore(b.truth, names)
 			if err := restore(b.data); err != nil {
 				return nil, err
 			}
@@ -216,25 +216,25 @@
 			}
 			times = append(times, took)
 			// Only what is written after the service has read the restored list is known to be new.
-			if err := r.until(ctx, "the restored list is read", func() bool {
+			if err := r.waitUntil(ctx, "the restored list is read", func() bool {
 				now := read().History
 				return now != "" && now != before
 			}); err != nil {
 				return nil, err
 			}
 		} else if len(backups) < 5 {
-			backups = append(backups, kept{r.cluster.Backup(), maps.Clone(oracle.truth)})
+			backups = append(backups, kept{r.cluster.Backup(), maps.Clone(oracle.written)})
 		}
 	}
 	out := &Outcome{}
 	for _, fault := range slices.Sorted(maps.Keys(counts)) {
-		out.Tell(fault, float64(counts[fault]))
+		out.Report(fault, float64(counts[fault]))
 	}
-	spread(out, "last fault to the truth", times)
+	reportPercentiles(out, "last fault to the truth", times)
 	slices.Sort(times)
-	out.Hold("longest, s", times[len(times)-1].Seconds(), "at most 2", times[len(times)-1] <= 2*time.Second)
+	out.Check("longest, s", times[len(times)-1].Seconds(), "at most 2", times[len(times)-1] <= 2*time.Second)
 	mu.Lock()
 	defer mu.Unlock()
-	out.Hold("drains and removals undone by old news", float64(undone), "0", undone == 0)
+	out.Check("drains and removals undone by old news", float64(undone), "0", undone == 0)
 	return out, nil
 }
--- a/internal/lab/drill/etcdcompact.go
+++ b/internal/lab/drill/etcdcompact.go
@@ -19,15 +19,15 @@
 	Run:          runEtcdCompact,
 }
 
-func sortListed(all []*listed) {
-	slices.SortFunc(all, func(a, b *listed) int { return cmp.Compare(a.name, b.name) })
+func sortByName(all []*etcdInstance) {
+	slices.SortFunc(all, func(a, b *etcdInstance) int { return cmp.Compare(a.name, b.name) })
 }
 
 func runEtcdCompact(ctx context.Context, o Options) (*Outcome, error) {
-	repeats := o.times(20, 2)
+	repeats := o.repeats(20, 2)
 	var mu sync.Mutex
 	changes := map[string]int{} // by name
-	b, err := startBystanders(ctx, o, "etcd-compact", 40, 1, func(c control.MemberChange) {
+	b, err := startEtcdPool(ctx, o, "etcd-compact", 40, 1, func(c control.MemberChange) {
 		mu.Lock()
 		defer mu.Unlock()
 		changes[c.Now.Name]++
@@ -37,14 +37,14 @@
 	}
 	defer b.stop()
 	r := b.rig
-	ended := r.load(ctx)
+	ended := r.startLoad(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 4))
 	out := &Outcome{}
 	var back []time.Duration
 	late, touched := 0, 0
 	for range repeats {
-		for _, i := range b.all {
-			if err := r.until(ctx, "the service knows "+i.name, func() bool { _, is := r.when("service", i.name+" ready"); return is }); err != nil {
+		for _, i := range b.instances {
+			if err := r.waitUntil(ctx, "the service knows "+i.name, func() bool { _, is := r.seenAt("service", i.name+" ready"); return is }); err != nil {
 				return nil, err
 			}
 		}
@@ -54,11 +54,11 @@
 		for _, m := range r.cluster.Members {
 			m.Stop()
 		}
-		removed := b.some(rng, 15)
+		removed := b.sample(rng, 15)
 		for _, i := range removed {
 			b.remove(i)
 		}
-		var added []*listed
+		var added []*etcdInstance
 		for range 15 {
 			i, err := b.add(time.Now())
 			if err != nil {
@@ -76,15 +76,15 @@
 				return nil, err
 			}
 		}
-		word := map[*listed]time.Time{}
+		word := map[*etcdInstance]time.Time{}
 		for _, i := range removed {
-			if err := r.until(ctx, "the removal of "+i.name+" is seen", func() (is bool) { word[i], is = r.when("service", i.name+" gone"); return is }); err != nil {
+			if err := r.waitUntil(ctx, "the removal of "+i.name+" is seen", func() (is bool) { word[i], is = r.seenAt("service", i.name+" gone"); return is }); err != nil {
 				return nil, err
 			}
 			back = append(back, word[i].Sub(returned))
 		}
 		for _, i := range added {
-			if err := r.until(ctx, i.name+" is seen", func() bool { _, is := r.when("service", i.name+" ready"); return is }); err != nil {
+			if err := r.waitUntil(ctx, i.name+" is seen", func() bool { _, is := r.seenAt("service", i.name+" ready"); return is }); err != nil {
 				return nil, err
 			}
 		}
@@ -94,7 +94,7 @@
 			return nil, context.Cause(ctx)
 		}
 		for _, i := range removed {
-			for _, d := range i.last(word[i]) {
+			for _, d := range i.lastRequests(word[i]) {
 				if d > drainGrace {
 					late++
 				}
@@ -103,16 +103,16 @@
 		}
 		mu.Lock()
 		for name := range changes {
-			if b.all[name] != nil && !slices.ContainsFunc(added, func(i *listed) bool { return i.name == name }) {
+			if b.instances[name] != nil && !slices.ContainsFunc(added, func(i *etcdInstance) bool { return i.name == name }) {
 				touched++
 			}
 		}
 		mu.Unlock()
 	}
 	ended(out)
-	out.Tell("removals in gaps that were compacted", float64(repeats*15))
-	spread(out, "return of etcd to removal seen", back)
-	out.Hold("senders at removed ones 500 ms after the word", float64(late), "0", late == 0)
-	out.Hold("survivors of which something changed", float64(touched), "0", touched == 0)
+	out.Report("removals in gaps that were compacted", float64(repeats*15))
+	reportPercentiles(out, "return of etcd to removal seen", back)
+	out.Check("senders at removed ones 500 ms after the word", float64(late), "0", late == 0)
+	out.Check("survivors of which something changed", float64(touched), "0", touched == 0)
 	return out, nil
 }
--- a/internal/lab/drill/etcdscale.go
+++ b/internal/lab/drill/etcdscale.go
@@ -21,13 +21,13 @@
 }
 
 // scaleMost is the bound of the long form: what a drain may take in all, so that the sidecar has the rest of 500 ms.
-const scaleMost = 250 * time.Millisecond
+const maxPropagation = 250 * time.Millisecond
 
 // listWatcher is a watch of the served list that notes when names come.
 type listWatcher struct {
-	conn net.Conn
-	mu   sync.Mutex
-	came map[string]time.Time
+	conn   net.Conn
+	mu     sync.Mutex
+	seenAt map[string]time.Time
 }
 
 // watchList opens a watch and waits for its first line.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &listWatcher{conn: conn, came: map[string]time.Time{}}
+	w := &listWatcher{conn: conn, seenAt: map[string]time.Time{}}
 	if _, err := fmt.Fprint(conn, "GET /registry/instances?follow=1 HTTP/1.1\r\nHost: drill\r\n\r\n"); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 			}
 			w.mu.Lock()
 			for _, name := range names(line) {
-				w.came[name] = time.Now()
+				w.seenAt[name] = time.Now()
 			}
 			w.mu.Unlock()
 		}
@@ -78,7 +78,7 @@
 	}
 	out := &Outcome{}
 	for _, n := range keys {
-		if err := scaleOf(ctx, o, out, n, watchers, min(changes, n/3)); err != nil {
+		if err := measureEtcdScale(ctx, o, out, n, watchers, min(changes, n/3)); err != nil {
 			return nil, fmt.Errorf("%d keys: %w", n, err)
 		}
 	}
@@ -86,8 +86,8 @@
 }
 
 // scaleOf measures with one number of keys.
-func scaleOf(ctx context.Context, o Options, out *Outcome, n int, watchers []int, changes int) error {
-	dir, err := scratch(o, fmt.Sprintf("etcd-scale-%d", n))
+func measureEtcdScale(ctx context.Context, o Options, out *Outcome, n int, watchers []int, changes int) error {
+	dir, err := makeDir(o, fmt.Sprintf("etcd-scale-%d", n))
 	if err != nil {
 		return err
 	}
@@ -97,9 +97,9 @@
 	}
 	defer r.stop()
 	name := func(i int) string { return fmt.Sprintf("k%05d", i) }
-	instance := func(i int) *listed { return &listed{address: fmt.Sprintf("127.%d.%d.1:1", 1+i>>8, i&255)} }
+	instance := func(i int) *etcdInstance { return &etcdInstance{address: fmt.Sprintf("127.%d.%d.1:1", 1+i>>8, i&255)} }
 	for i := range n {
-		r.cluster.Put(etcdPrefix+name(i), instance(i).value("ready", time.Time{}))
+		r.cluster.Put(etcdPrefix+name(i), instance(i).etcdValue("ready", time.Time{}))
 	}
 	next := 0
 	var open []*listWatcher
@@ -110,15 +110,15 @@
 	}()
 	var sought atomic.Value // the name that is waited for
 	sought.Store("none")
-	if err := r.until(ctx, "the service has all keys", func() bool {
-		text, err := r.list()
+	if err := r.waitUntil(ctx, "the service has all keys", func() bool {
+		text, err := r.fetchList()
 		return err == nil && strings.Count(text, `"name"`) == n
 	}); err != nil {
 		return err
 	}
 	for _, count := range watchers {
 		for len(open) < count {
-			w, err := watchList(r.served, func(line string) []string {
+			w, err := watchList(r.listAddress, func(line string) []string {
 				if x := sought.Load().(string); strings.Contains(line, x) {
 					return []string{x}
 				}
@@ -136,28 +136,28 @@
 			x := name(next)
 			sought.Store(x)
 			from := time.Now()
-			r.cluster.Put(etcdPrefix+x, instance(next).value("draining", time.Time{}))
+			r.cluster.Put(etcdPrefix+x, instance(next).etcdValue("draining", time.Time{}))
 			next++
 			for _, w := range open {
-				if err := r.until(ctx, "all have "+x, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.came[x].IsZero() }); err != nil {
+				if err := r.waitUntil(ctx, "all have "+x, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.seenAt[x].IsZero() }); err != nil {
 					return err
 				}
-				all = append(all, w.came[x].Sub(from))
+				all = append(all, w.seenAt[x].Sub(from))
 			}
 		}
 		at := fmt.Sprintf("%d keys, %d watchers: ", n, count)
 		slices.Sort(all)
 		for _, p := range []float64{50, 99} {
-			out.Tell(fmt.Sprintf("%sms, p%g", at, p), float64(Percentile(all, p).Microseconds())/1000)
+			out.Report(fmt.Sprintf("%sms, p%g", at, p), float64(Percentile(all, p).Microseconds())/1000)
 		}
 		longest := all[len(all)-1]
 		if o.Short { // a shared machine promises no more
-			out.Hold(at+"longest, s", longest.Seconds(), "under 10", longest < 10*time.Second)
+			out.Check(at+"longest, s", longest.Seconds(), "under 10", longest < 10*time.Second)
 		} else {
-			out.Hold(at+"longest, ms", float64(longest.Microseconds())/1000, fmt.Sprintf("at most %d", scaleMost.Milliseconds()), longest <= scaleMost)
+			out.Check(at+"longest, ms", float64(longest.Microseconds())/1000, fmt.Sprintf("at most %d", maxPropagation.Milliseconds()), longest <= maxPropagation)
 		}
-		out.Tell(at+"cores", (r.service.CPU()-cpu).Seconds()/time.Since(began).Seconds())
-		out.Tell(at+"memory, MB", float64(r.service.Memory("VmRSS")>>20))
+		out.Report(at+"cores", (r.service.CPU()-cpu).Seconds()/time.Since(began).Seconds())
+		out.Report(at+"memory, MB", float64(r.service.Memory("VmRSS")>>20))
 	}
 	return nil
 }
--- a/internal/lab/drill/fleetoverload.go
+++ b/internal/lab/drill/fleetoverload.go
@@ -23,18 +23,18 @@
 }
 
 const (
-	most        = 1.15 // attempts for an operation, as a multiple of a calm run's
-	mostLost    = 0.08 // share of the work done whose answer nobody got
-	leastBack   = 0.95 // of calm service, backWithin after the trouble's end
-	backWithin  = 5 * time.Second
-	leastDouble = 0.85  // worth served at twice the capacity, beside that at the capacity
-	leastWorthy = 0.95  // of the worthiest class, while anything of the least is served
-	mostLetIn   = 0.015 // of the tries of those that the entry has refused, while a lower tier declines
-	mostSpread  = 0.1   // between the refusals of two sidecars with like traffic
+	maxAttempts        = 1.15 // attempts for an operation, as a multiple of a calm run's
+	maxLostWork        = 0.08 // share of the work done whose answer nobody got
+	minRecovery        = 0.95 // of calm service, backWithin after the trouble's end
+	recoveryTime       = 5 * time.Second
+	minOverloadUtility = 0.85  // worth served at twice the capacity, beside that at the capacity
+	minTopClassShare   = 0.95  // of the worthiest class, while anything of the least is served
+	maxRetryAdmitted   = 0.015 // of the tries of those that the entry has refused, while a lower tier declines
+	maxRejectionSpread = 0.1   // between the refusals of two sidecars with like traffic
 )
 
 // fleetPlay is one run of a case.
-type fleetPlay struct {
+type fleetRun struct {
 	rig.Case
 	sidecars int
 	seed     uint64
@@ -42,12 +42,12 @@
 	*rig.Result
 }
 
-func (p *fleetPlay) String() string {
+func (p *fleetRun) String() string {
 	return fmt.Sprintf("%s, %d sidecars, seed %d", p.Name, p.sidecars, p.seed)
 }
 
 // playFleet plays a case; the short form takes half of its time.
-func playFleet(ctx context.Context, o Options, name string, sidecars int, seed uint64) (*fleetPlay, error) {
+func runFleetCase(ctx context.Context, o Options, name string, sidecars int, seed uint64) (*fleetRun, error) {
 	c, s, err := rig.Find(name)
 	if err != nil {
 		return nil, err
@@ -57,9 +57,9 @@
 	}
 	if o.Short {
 		c.From, c.To, c.Last = c.From/2, c.To/2, c.Last/2
-		squeeze(s, c.Last)
+		compressTimeline(s, c.Last)
 	}
-	dir, err := scratch(o, fmt.Sprintf("fleet-%s-%d-seed%d", name, sidecars, seed))
+	dir, err := makeDir(o, fmt.Sprintf("fleet-%s-%d-seed%d", name, sidecars, seed))
 	if err != nil {
 		return nil, err
 	}
@@ -70,37 +70,37 @@
 	if r.Summary.CutShort {
 		return nil, context.Cause(ctx)
 	}
-	return &fleetPlay{c, sidecars, seed, dir, r}, nil
+	return &fleetRun{c, sidecars, seed, dir, r}, nil
 }
 
 func runFleetOverload(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
-	names, sizes, seeds := rig.Names(), []int{12, 24, 48}, o.times(3, 1)
+	names, sizes, seeds := rig.Names(), []int{12, 24, 48}, o.repeats(3, 1)
 	if o.Short {
 		names, sizes = []string{"calm", "double", "circle"}, []int{6}
 	}
-	held := &held{out: out, short: o.Short}
+	held := &fleetChecks{out: out, short: o.Short}
 	for n := range seeds {
 		for _, sidecars := range sizes {
-			plays, err := playAll(ctx, o, names, sidecars, o.Seed+uint64(n))
+			plays, err := runFleetCases(ctx, o, names, sidecars, o.Seed+uint64(n))
 			if err != nil {
 				return nil, err
 			}
 			for _, p := range plays {
-				held.play(p, plays[0])
+				held.checkRun(p, plays[0])
 			}
 		}
 	}
-	held.again()
+	held.checkRetries()
 	if !o.Short {
-		small, err := playFleet(ctx, o, "slow", 6, o.Seed)
+		small, err := runFleetCase(ctx, o, "slow", 6, o.Seed)
 		if err != nil {
 			return nil, err
 		}
-		held.beside(small)
+		held.checkProbes(small)
 	}
 	if o.Defect == "" {
-		if err := closedLoops(ctx, o, out); err != nil {
+		if err := compareClosedLoops(ctx, o, out); err != nil {
 			return nil, err
 		}
 	}
@@ -108,15 +108,15 @@
 }
 
 // playAll plays cases with one fleet, as many side by side as leave each process some part of a core.
-func playAll(ctx context.Context, o Options, names []string, sidecars int, seed uint64) ([]*fleetPlay, error) {
-	plays, errs := make([]*fleetPlay, len(names)), make([]error, len(names))
+func runFleetCases(ctx context.Context, o Options, names []string, sidecars int, seed uint64) ([]*fleetRun, error) {
+	plays, errs := make([]*fleetRun, len(names)), make([]error, len(names))
 	places := make(chan bool, max(1, 8*runtime.NumCPU()/sidecars))
 	var open sync.WaitGroup
 	for i, name := range names {
 		places <- true
 		open.Go(func() {
 			defer func() { <-places }()
-			plays[i], errs[i] = playFleet(ctx, o, name, sidecars, seed)
+			plays[i], errs[i] = runFleetCase(ctx, o, name, sidecars, seed)
 		})
 	}
 	open.Wait()
@@ -124,77 +124,77 @@
 }
 
 // held gathers what the runs showed.
-type held struct {
-	out      *Outcome
-	short    bool
-	beside48 *fleetPlay
+type fleetChecks struct {
+	out    *Outcome
+	short  bool
+	slow48 *fleetRun
 
-	tries, letIn int // see account.Again
+	retries, admitted int // see account.Again
 }
 
 // play holds one run to what the drill promises, beside the calm run of the same rig.
-func (h *held) play(p, calm *fleetPlay) {
+func (h *fleetChecks) checkRun(p, calm *fleetRun) {
 	out, a, at := h.out, p.Account, p.String()+": "
 	broken := p.Summary.Broken()
-	out.Hold(at+"broken rules", float64(broken), "0", broken == 0)
+	out.Check(at+"broken rules", float64(broken), "0", broken == 0)
 	for _, b := range p.Breaches[:min(len(p.Breaches), 3)] {
 		out.Notes = append(out.Notes, at+b.String())
 	}
 	if p == calm {
-		out.Tell(at+"attempts for an operation", a.PerOp)
-		out.Tell(at+"service", calmService(calm))
+		out.Report(at+"attempts for an operation", a.PerOp)
+		out.Report(at+"service", calmServiceShare(calm))
 		return
 	}
 	if p.sidecars == 48 && p.Name == "slow" {
-		h.beside48 = p
+		h.slow48 = p
 	}
-	bound := most
+	bound := maxAttempts
 	if h.short { // few operations: chance is larger
 		bound = 1.4
 	}
 	times := a.PerOp / calm.Account.PerOp
-	out.Hold(at+"attempts for an operation, times calm", times, fmt.Sprintf("at most %g", bound), times <= bound)
-	out.Hold(at+"work for answers that nobody got", a.Lost, fmt.Sprintf("at most %g", mostLost), a.Lost <= mostLost || h.short)
-	if p.Last > p.To+backWithin+2*time.Second {
-		back, _ := a.Served(account.All, p.To+backWithin, p.Last)
-		of := back / calmService(calm)
-		least := leastBack
+	out.Check(at+"attempts for an operation, times calm", times, fmt.Sprintf("at most %g", bound), times <= bound)
+	out.Check(at+"work for answers that nobody got", a.Lost, fmt.Sprintf("at most %g", maxLostWork), a.Lost <= maxLostWork || h.short)
+	if p.Last > p.To+recoveryTime+2*time.Second {
+		back, _ := a.Served(account.All, p.To+recoveryTime, p.Last)
+		of := back / calmServiceShare(calm)
+		least := minRecovery
 		if h.short {
 			least = 0.8
 		}
-		out.Hold(at+"service 5 s after the end, of calm", of, fmt.Sprintf("at least %g", least), of >= least)
+		out.Check(at+"service 5 s after the end, of calm", of, fmt.Sprintf("at least %g", least), of >= least)
 	}
 	switch p.Name {
 	case "double":
-		h.double(p, at)
+		h.checkDouble(p, at)
 	case "busy", "circle":
 		entries, err := results.Lines[ledger.Entry](p.dir, results.LedgerFile)
 		if err != nil {
-			out.Hold(at+"its ledger can be read: "+err.Error(), 0, "1", false)
+			out.Check(at+"its ledger can be read: "+err.Error(), 0, "1", false)
 			return
 		}
 		tries, in := account.Again(entries, p.From+3*time.Second/2, p.To)
-		h.tries, h.letIn = h.tries+tries, h.letIn+in
+		h.retries, h.admitted = h.retries+tries, h.admitted+in
 		if p.Name == "circle" {
-			loops := refusedInCircles(entries)
-			out.Hold(at+"operations refused as going in a circle", float64(loops), "above 0", loops > 0)
+			loops := countLoopRejections(entries)
+			out.Check(at+"operations refused as going in a circle", float64(loops), "above 0", loops > 0)
 		}
 	}
 }
 
 // again holds that who was refused does not win by asking again, over all runs.
-func (h *held) again() {
-	share := float64(h.letIn) / float64(max(h.tries, 1))
-	h.out.Tell("tries after a refusal at the entry, while a lower tier declines", float64(h.tries))
+func (h *fleetChecks) checkRetries() {
+	share := float64(h.admitted) / float64(max(h.retries, 1))
+	h.out.Report("tries after a refusal at the entry, while a lower tier declines", float64(h.retries))
 	if h.short {
-		h.out.Tell("share of them that was let in", share)
+		h.out.Report("share of them that was let in", share)
 	} else {
-		h.out.Hold("share of them that was let in", share, fmt.Sprintf("at most %g", mostLetIn), share <= mostLetIn)
+		h.out.Check("share of them that was let in", share, fmt.Sprintf("at most %g", maxRetryAdmitted), share <= maxRetryAdmitted)
 	}
 }
 
 // double holds what is served at twice the capacity.
-func (h *held) double(p *fleetPlay, at string) {
+func (h *fleetChecks) checkDouble(p *fleetRun, at string) {
 	out, a := h.out, p.Account
 	full := rig.FullFrom
 	if h.short {
@@ -205,22 +205,22 @@
 	least, _ := a.Served(0, p.From+2*time.Second, p.To)
 	spread := a.Tiers[0].Spread
 	if h.short {
-		out.Hold(at+"worth served at twice the capacity, of that at the capacity", of, "at least 0.6", of >= 0.6)
-		out.Tell(at+"served of the worthiest class", worthy)
+		out.Check(at+"worth served at twice the capacity, of that at the capacity", of, "at least 0.6", of >= 0.6)
+		out.Report(at+"served of the worthiest class", worthy)
 	} else {
-		out.Hold(at+"worth served at twice the capacity, of that at the capacity", of, fmt.Sprintf("at least %g", leastDouble), of >= leastDouble)
-		out.Hold(at+"served of the worthiest class", worthy, fmt.Sprintf("at least %g", leastWorthy), worthy >= leastWorthy)
-		out.Hold(at+"refusals of sidecars differ by", spread, fmt.Sprintf("at most %g", mostSpread), spread <= mostSpread)
+		out.Check(at+"worth served at twice the capacity, of that at the capacity", of, fmt.Sprintf("at least %g", minOverloadUtility), of >= minOverloadUtility)
+		out.Check(at+"served of the worthiest class", worthy, fmt.Sprintf("at least %g", minTopClassShare), worthy >= minTopClassShare)
+		out.Check(at+"refusals of sidecars differ by", spread, fmt.Sprintf("at most %g", maxRejectionSpread), spread <= maxRejectionSpread)
 	}
-	out.Tell(at+"served of the least worthy class", least)
+	out.Report(at+"served of the least worthy class", least)
 }
 
 // beside holds probes and trials at an instance of a large fleet to those of a small one.
-func (h *held) beside(small *fleetPlay) {
-	if h.beside48 == nil {
+func (h *fleetChecks) checkProbes(small *fleetRun) {
+	if h.slow48 == nil {
 		return
 	}
-	count := func(p *fleetPlay) float64 {
+	count := func(p *fleetRun) float64 {
 		sum, n := 0, 0
 		for _, i := range p.Account.Instances {
 			sum += i.Probes.Count + i.Trials.Count
@@ -228,19 +228,19 @@
 		}
 		return float64(sum) / float64(max(n, 1))
 	}
-	few, many := count(small), count(h.beside48)
-	h.out.Tell("slow: probes and trials at an instance, 6 sidecars", few)
-	h.out.Hold("slow: probes and trials at an instance, 48 sidecars", many, "at most 1.5 times those at 6", many <= 1.5*max(few, 1))
+	few, many := count(small), count(h.slow48)
+	h.out.Report("slow: probes and trials at an instance, 6 sidecars", few)
+	h.out.Check("slow: probes and trials at an instance, 48 sidecars", many, "at most 1.5 times those at 6", many <= 1.5*max(few, 1))
 }
 
 // calmService is the share served in a calm run, from its third second on.
-func calmService(calm *fleetPlay) float64 {
+func calmServiceShare(calm *fleetRun) float64 {
 	share, _ := calm.Account.Served(account.All, 2*time.Second, calm.Last)
 	return share
 }
 
 // refusedInCircles counts the answers of 508.
-func refusedInCircles(entries []ledger.Entry) (n int) {
+func countLoopRejections(entries []ledger.Entry) (n int) {
 	for _, e := range entries {
 		if e.Kind == ledger.Answered && e.Status == 508 {
 			n++
--- a/internal/lab/drill/instances.go
+++ b/internal/lab/drill/instances.go
@@ -20,22 +20,22 @@
 	name, address string
 	stop          func()
 
-	mu   sync.Mutex
-	came []time.Time
+	mu       sync.Mutex
+	requests []time.Time
 }
 
-func (i *instance) note() {
+func (i *instance) record() {
 	now := time.Now()
 	i.mu.Lock()
-	i.came = append(i.came, now)
+	i.requests = append(i.requests, now)
 	i.mu.Unlock()
 }
 
 // since are the times of requests that came after a moment, from it, up to another.
-func (i *instance) since(from, to time.Time) (out []time.Duration) {
+func (i *instance) requestsBetween(from, to time.Time) (out []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, t := range i.came {
+	for _, t := range i.requests {
 		if t.After(from) && t.Before(to) {
 			out = append(out, t.Sub(from))
 		}
@@ -44,14 +44,14 @@
 }
 
 // grpcHealth answers health checks, which the drill uses as its calls.
-type grpcHealth struct {
+type healthServer struct {
 	grpc_health_v1.UnimplementedHealthServer
 	*instance
 }
 
 // Check counts a call.
-func (h grpcHealth) Check(context.Context, *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
-	h.note()
+func (h healthServer) Check(context.Context, *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
+	h.record()
 	return &grpc_health_v1.HealthCheckResponse{Status: grpc_health_v1.HealthCheckResponse_SERVING}, nil
 }
 
@@ -64,62 +64,62 @@
 	i := &instance{name: name, address: ln.Addr().String()}
 	if rpc {
 		g := grpc.NewServer()
-		grpc_health_v1.RegisterHealthServer(g, grpcHealth{instance: i})
+		grpc_health_v1.RegisterHealthServer(g, healthServer{instance: i})
 		i.stop = g.Stop
 		go g.Serve(ln)
 		return i, nil
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { i.note() })}
+	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { i.record() })}
 	i.stop = func() { s.Close() }
 	go s.Serve(ln)
 	return i, nil
 }
 
 // fleet is the instances of a pool, those before it too, and its list file.
-type fleet struct {
-	pool, path string
+type filePool struct {
+	name, path string
 	rpc        bool
-	all        []*member
+	members    []*member
 }
 
 // member is an instance with its life.
 type member struct {
 	*instance
-	started time.Time // zero for long ago
-	drains  time.Time // the word that it drains; zero while it does not
-	gone    bool
+	started       time.Time // zero for long ago
+	drainingSince time.Time // the word that it drains; zero while it does not
+	gone          bool
 }
 
 // newFleet starts a number of instances that have long been up, and writes their list into a folder.
-func newFleet(dir, pool string, rpc bool, n int) (*fleet, error) {
-	f := &fleet{pool: pool, path: filepath.Join(dir, pool+".yaml"), rpc: rpc}
+func newFilePool(dir, pool string, rpc bool, n int) (*filePool, error) {
+	f := &filePool{name: pool, path: filepath.Join(dir, pool+".yaml"), rpc: rpc}
 	for range n {
 		if err := f.add(time.Time{}); err != nil {
 			f.stop()
 			return nil, err
 		}
 	}
-	return f, f.write()
+	return f, f.writeList()
 }
 
 // add starts an instance.
-func (f *fleet) add(started time.Time) error {
-	i, err := newInstance(fmt.Sprintf("%s-%d", f.pool, len(f.all)), f.rpc)
+func (f *filePool) add(started time.Time) error {
+	i, err := newInstance(fmt.Sprintf("%s-%d", f.name, len(f.members)), f.rpc)
 	if err == nil {
-		f.all = append(f.all, &member{instance: i, started: started})
+		f.members = append(f.members, &member{instance: i, started: started})
 	}
 	return err
 }
 
 // write writes the list.
-func (f *fleet) write() error {
+func (f *filePool) writeList() error {
 	var out []listfile.Endpoint
-	for _, m := range f.all {
+	for _, m := range f.members {
 		if m.gone {
 			continue
 		}
 		d := listfile.Endpoint{Name: m.name, Address: m.address}
-		if !m.drains.IsZero() {
+		if !m.drainingSince.IsZero() {
 			d.State = "draining"
 		}
 		if !m.started.IsZero() {
@@ -130,8 +130,8 @@
 	return listfile.Write(f.path, out)
 }
 
-func (f *fleet) stop() {
-	for _, m := range f.all {
+func (f *filePool) stop() {
+	for _, m := range f.members {
 		m.stop()
 	}
 }
--- a/internal/lab/drill/leftovers.go
+++ b/internal/lab/drill/leftovers.go
@@ -16,12 +16,12 @@
 	Name:        "leftovers",
 	Description: "a run interrupted under load: it ends within 8 s, keeps what was seen, and leaves no process and no listener",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
-		s, err := find("everything")
+		s, err := findScenario("everything")
 		if err != nil {
 			return nil, err
 		}
-		squeeze(s, 12*time.Second)
-		dir, err := scratch(o, "leftovers")
+		compressTimeline(s, 12*time.Second)
+		dir, err := makeDir(o, "leftovers")
 		if err != nil {
 			return nil, err
 		}
@@ -35,24 +35,24 @@
 		}
 		took := time.Since(left)
 		out := &Outcome{}
-		out.Hold("marked as cut short", b2f(r.Cut), "1", r.Cut)
-		out.Hold("seconds to end", took.Seconds(), "at most 8", took <= 8*time.Second)
-		out.Hold("entries kept", float64(len(r.Entries)), "above 0", len(r.Entries) > 0)
+		out.Check("marked as cut short", boolValue(r.Cut), "1", r.Cut)
+		out.Check("seconds to end", took.Seconds(), "at most 8", took <= 8*time.Second)
+		out.Check("entries kept", float64(len(r.Entries)), "above 0", len(r.Entries) > 0)
 		processes, err := SidecarProcesses(dir)
 		if err != nil {
 			return nil, err
 		}
-		out.Hold("processes left", float64(len(processes)), "0", len(processes) == 0)
-		listeners, err := listening(":1B") // sidecars' and instances' ports are 7000 to 7167, 0x1B58 to 0x1BFF
+		out.Check("processes left", float64(len(processes)), "0", len(processes) == 0)
+		listeners, err := countListeners(":1B") // sidecars' and instances' ports are 7000 to 7167, 0x1B58 to 0x1BFF
 		if err != nil {
 			return nil, err
 		}
-		out.Tell("listeners on the lab's ports (other runs' too)", float64(listeners))
+		out.Report("listeners on the lab's ports (other runs' too)", float64(listeners))
 		return out, nil
 	},
 }
 
-func b2f(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -77,7 +77,7 @@
 }
 
 // listening counts the listeners of this machine whose port, in hexadecimal, begins so.
-func listening(port string) (int, error) {
+func countListeners(port string) (int, error) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		return 0, err
--- a/internal/lab/drill/pools.go
+++ b/internal/lab/drill/pools.go
@@ -16,18 +16,18 @@
 }
 
 // poolLimit is how many operations the troubled pool may have open.
-const poolLimit = 20
+const maxInFlight = 20
 
 // poolDay is a day on which the pool named sick has a trouble.
-func poolDay(name string, lead, d time.Duration) *services.Scenario {
+func poolScenario(name string, lead, d time.Duration) *services.Scenario {
 	s := &services.Scenario{Name: name, Duration: services.Duration(lead + d), Pools: []services.Pool{
-		{Name: "sick", Guaranteed: poolLimit / 2, Most: poolLimit}, {Name: "shop"}, {Name: "partner"}}}
+		{Name: "sick", Guaranteed: maxInFlight / 2, Most: maxInFlight}, {Name: "shop"}, {Name: "partner"}}}
 	trouble := services.Trouble{Kind: name, Pool: "sick", At: services.Duration(lead), For: services.Duration(d)}
 	switch name {
 	case "none":
 	case "flood": // ten times what its limit lets through
 		s.Pools[0].Delay = services.Duration(200 * time.Millisecond)
-		s.Pools[0].Rate = 10 * poolLimit / s.Pools[0].Delay.D().Seconds()
+		s.Pools[0].Rate = 10 * maxInFlight / s.Pools[0].Delay.D().Seconds()
 	case "crowd":
 		s.Sockets, trouble.Pool, trouble.Size = 128, "", 256
 		fallthrough
@@ -53,17 +53,17 @@
 	out := &Outcome{}
 	worstP99, leastP99, leastShare := 0.0, 0.0, 1.0
 	quiet := func(n int) error {
-		r, err := playPools(ctx, o, poolDay("none", lead, d), o.Seed+uint64(n))
+		r, err := runPoolScenario(ctx, o, poolScenario("none", lead, d), o.Seed+uint64(n))
 		if err != nil {
 			return err
 		}
-		share, p99 := others(r)
+		share, p99 := otherPools(r)
 		if n == 0 || p99 < leastP99 {
 			leastP99 = p99
 		}
 		worstP99, leastShare = max(worstP99, p99), min(leastShare, share)
-		out.Tell(fmt.Sprintf("none: p99 of the others, ms (%d)", n+1), p99)
-		out.Hold(fmt.Sprintf("none: share answered in time (%d)", n+1), share, "at least 0.98", share >= 0.98)
+		out.Report(fmt.Sprintf("none: p99 of the others, ms (%d)", n+1), p99)
+		out.Check(fmt.Sprintf("none: share answered in time (%d)", n+1), share, "at least 0.98", share >= 0.98)
 		return nil
 	}
 	troubles := []string{"freeze", "flood", "errors", "come-and-go", "crowd"}
@@ -74,9 +74,9 @@
 				return nil, err
 			}
 		}
-		days[n] = poolDay(name, lead, d)
+		days[n] = poolScenario(name, lead, d)
 		var err error
-		if results[n], err = playPools(ctx, o, days[n], o.Seed); err != nil {
+		if results[n], err = runPoolScenario(ctx, o, days[n], o.Seed); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
@@ -87,12 +87,12 @@
 	}
 	for n, name := range troubles {
 		day, r := days[n], results[n]
-		at, sick, hold := name+": ", &r.Pools[0], out.Hold
-		share, p99 := others(r)
+		at, sick, hold := name+": ", &r.Pools[0], out.Check
+		share, p99 := otherPools(r)
 		// The bound is the worst of the quiet runs and their spread; one run has none, so the short form tells and does not hold.
 		bound := worstP99 + max(worstP99-leastP99, 2)
 		if o.Short {
-			out.Tell(at+"p99 of the others, ms", p99)
+			out.Report(at+"p99 of the others, ms", p99)
 		} else {
 			hold(at+"p99 of the others, ms", p99, fmt.Sprintf("at most %.1f", bound), p99 <= bound)
 		}
@@ -103,15 +103,15 @@
 		zero("the pool's requests without an answer", sick.Status["none"])
 		most := day.Pools[0].Deadline.D() + 200*time.Millisecond
 		hold(at+"the pool's longest answer, s", sick.Longest.Seconds(), fmt.Sprintf("under %g", most.Seconds()), sick.Longest < most)
-		out.Tell(at+"the pool's answers of 200", float64(sick.Status["200"]))
-		out.Tell(at+"the pool's busy replies", float64(sick.Status["503"]))
+		out.Report(at+"the pool's answers of 200", float64(sick.Status["200"]))
+		out.Report(at+"the pool's busy replies", float64(sick.Status["503"]))
 		again, copies := 0, 0
 		for _, p := range r.Pools {
 			again, copies = again+p.Again, copies+p.Copies
 		}
 		zero("unsafe operations sent twice", again)
 		zero("two attempts out at once", copies)
-		hold(at+"ended by itself, with status 0 and no panic", b2f(r.Clean), "1", r.Clean)
+		hold(at+"ended by itself, with status 0 and no panic", boolValue(r.Clean), "1", r.Clean)
 		if r.Note != "" {
 			out.Notes = append(out.Notes, at+r.Note)
 		}
@@ -119,8 +119,8 @@
 	return out, nil
 }
 
-func playPools(ctx context.Context, o Options, s *services.Scenario, seed uint64) (*services.Result, error) {
-	dir, err := scratch(o, fmt.Sprintf("pools-%s-%d", s.Name, seed))
+func runPoolScenario(ctx context.Context, o Options, s *services.Scenario, seed uint64) (*services.Result, error) {
+	dir, err := makeDir(o, fmt.Sprintf("pools-%s-%d", s.Name, seed))
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 }
 
 // others is the share of the other pools' requests that was answered in time, and the worse of their p99 in milliseconds.
-func others(r *services.Result) (share, p99 float64) {
+func otherPools(r *services.Result) (share, p99 float64) {
 	a, b := &r.Pools[1].Summary, &r.Pools[2].Summary
 	return float64(a.OK+b.OK) / float64(max(a.Intended+b.Intended, 1)), max(a.Latency.P99, b.Latency.P99)
 }
--- a/internal/lab/drill/rate.go
+++ b/internal/lab/drill/rate.go
@@ -26,41 +26,41 @@
 	if o.Short { // a shared machine promises no more; the long form holds the figure
 		d, least, rates = 2*time.Second, 1000, []float64{1000}
 	}
-	server, err := newScripted(Stall{})
+	server, err := newScriptedServer(Stall{})
 	if err != nil {
 		return nil, err
 	}
 	defer server.close()
-	server.begin(time.Now())
+	server.startScript(time.Now())
 	best := 0.0
 	for _, rate := range rates {
-		s, err := generate(ctx, o.LabBinary, "http://"+server.address(), rate, d, "GOMAXPROCS=1")
+		s, err := runGenerator(ctx, o.LabBinary, "http://"+server.address(), rate, d, "GOMAXPROCS=1")
 		if err != nil {
 			return nil, err
 		}
 		if rate == rates[0] {
 			at := fmt.Sprintf(" at %g/s, ms", rate)
-			out.Tell("p50"+at, s.Latency.P50)
-			out.Tell("p99"+at, s.Latency.P99)
-			out.Tell("p99.9"+at, s.Latency.P999)
-			out.Tell(fmt.Sprintf("late sends at %g/s", rate), float64(s.LateSends))
+			out.Report("p50"+at, s.Latency.P50)
+			out.Report("p99"+at, s.Latency.P99)
+			out.Report("p99.9"+at, s.Latency.P999)
+			out.Report(fmt.Sprintf("late sends at %g/s", rate), float64(s.LateSends))
 		}
 		if s.Failed+s.TimedOut > 0 || s.Rate < rate*0.98 || float64(s.LateSends) > 0.01*float64(s.Sent) {
 			break
 		}
 		best = math.Max(best, s.Rate)
 	}
-	s, err := generate(ctx, o.LabBinary, "http://"+server.address(), rates[0], d)
+	s, err := runGenerator(ctx, o.LabBinary, "http://"+server.address(), rates[0], d)
 	if err != nil {
 		return nil, err
 	}
-	out.Tell(fmt.Sprintf("p99 at %g/s on all cores, ms", rates[0]), s.Latency.P99)
-	out.Hold("requests/s kept up", math.Round(best), fmt.Sprintf("at least %g", least), best >= least*0.98)
+	out.Report(fmt.Sprintf("p99 at %g/s on all cores, ms", rates[0]), s.Latency.P99)
+	out.Check("requests/s kept up", math.Round(best), fmt.Sprintf("at least %g", least), best >= least*0.98)
 	return out, nil
 }
 
 // generate runs the generator as a process of its own.
-func generate(ctx context.Context, lab, url string, rate float64, d time.Duration, env ...string) (load.Summary, error) {
+func runGenerator(ctx context.Context, lab, url string, rate float64, d time.Duration, env ...string) (load.Summary, error) {
 	var s load.Summary
 	cmd := exec.CommandContext(ctx, lab, "load", "--url", url, "--rate", fmt.Sprint(rate), "--duration", d.String(), "--json", "-")
 	cmd.Env = append(os.Environ(), env...)
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -18,7 +18,7 @@
 	Name:        "rules",
 	Description: "all troubles at once, a killed sidecar and a moved discovery among them: no rule broken, no sidecar crashed",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
-		return playDrill(ctx, o, "everything", 12*time.Second, 0)
+		return runScenario(ctx, o, "everything", 12*time.Second, 0)
 	},
 }
 
@@ -27,22 +27,22 @@
 	Name:        "calm",
 	Description: "three tiers on a quiet day: no rule broken, at least 0.8 of the worth served in time",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
-		return playDrill(ctx, o, "calm", 6*time.Second, 0.8)
+		return runScenario(ctx, o, "calm", 6*time.Second, 0.8)
 	},
 }
 
 // playDrill plays a scenario once for each repeat, with the seeds that follow, and holds it to the rules and to a
 // least service.
-func playDrill(ctx context.Context, o Options, name string, short time.Duration, least float64) (*Outcome, error) {
+func runScenario(ctx context.Context, o Options, name string, short time.Duration, least float64) (*Outcome, error) {
 	out := &Outcome{}
 	broken, crashes, clients, operations, worst := 0, 0, 0, 0, 1.0
 	for n := range max(o.Repeats, 1) {
-		s, err := find(name)
+		s, err := findScenario(name)
 		if err != nil {
 			return nil, err
 		}
 		if o.Short {
-			squeeze(s, short)
+			compressTimeline(s, short)
 		}
 		seed := o.Seed + uint64(n)
 		r, err := emulator.Run(ctx, emulator.Options{Scenario: s, Seed: seed, Binary: o.Binary, Log: o.Log,
@@ -64,19 +64,19 @@
 		v := ledger.Serve(r.Entries, s.Served())
 		clients, operations, worst = clients+v.Clients, operations+v.Calls, min(worst, v.Service)
 	}
-	out.Tell("clients", float64(clients))
-	out.Hold("operations of sidecars", float64(operations), "above 0", operations > 0)
-	out.Hold("broken rules", float64(broken), "0", broken == 0)
-	out.Hold("crashed sidecars", float64(crashes), "0", crashes == 0)
+	out.Report("clients", float64(clients))
+	out.Check("operations of sidecars", float64(operations), "above 0", operations > 0)
+	out.Check("broken rules", float64(broken), "0", broken == 0)
+	out.Check("crashed sidecars", float64(crashes), "0", crashes == 0)
 	if least > 0 {
-		out.Hold("least service", worst, fmt.Sprintf("at least %g", least), worst >= least)
+		out.Check("least service", worst, fmt.Sprintf("at least %g", least), worst >= least)
 	} else {
-		out.Tell("least service", worst)
+		out.Report("least service", worst)
 	}
 	return out, nil
 }
 
-func find(name string) (*scenario.Scenario, error) {
+func findScenario(name string) (*scenario.Scenario, error) {
 	file, text, err := scenarios.Find(name)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 }
 
 // squeeze plays the whole of a scenario's timeline in a shorter time.
-func squeeze(s *scenario.Scenario, d time.Duration) {
+func compressTimeline(s *scenario.Scenario, d time.Duration) {
 	f := float64(d) / float64(s.Duration)
 	s.Duration = scenario.Duration(d)
 	for i := range s.Troubles {
@@ -98,7 +98,7 @@
 }
 
 // scratch makes a folder inside the drill's.
-func scratch(o Options, name string) (string, error) {
+func makeDir(o Options, name string) (string, error) {
 	dir := filepath.Join(o.Dir, name)
 	return dir, os.MkdirAll(dir, 0o755)
 }
--- a/internal/lab/drill/scripted.go
+++ b/internal/lab/drill/scripted.go
@@ -10,22 +10,22 @@
 
 // scripted is a server that answers by a Stall's script. It is as plain as it can be, so that what is measured is the
 // load generator.
-type scripted struct {
-	ln    net.Listener
-	stall Stall
-	mu    sync.Mutex
-	start time.Time
-	conns map[net.Conn]bool
-	wait  sync.WaitGroup
+type scriptedServer struct {
+	ln          net.Listener
+	stall       Stall
+	mu          sync.Mutex
+	scriptStart time.Time
+	conns       map[net.Conn]bool
+	wg          sync.WaitGroup
 }
 
-func newScripted(s Stall) (*scripted, error) {
+func newScriptedServer(s Stall) (*scriptedServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	out := &scripted{ln: ln, stall: s, conns: map[net.Conn]bool{}}
-	out.wait.Go(func() {
+	out := &scriptedServer{ln: ln, stall: s, conns: map[net.Conn]bool{}}
+	out.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -34,22 +34,22 @@
 			out.mu.Lock()
 			out.conns[c] = true
 			out.mu.Unlock()
-			out.wait.Go(func() { out.serve(c) })
+			out.wg.Go(func() { out.serve(c) })
 		}
 	})
 	return out, nil
 }
 
-func (s *scripted) address() string { return s.ln.Addr().String() }
+func (s *scriptedServer) address() string { return s.ln.Addr().String() }
 
 // begin says when the script starts.
-func (s *scripted) begin(at time.Time) {
+func (s *scriptedServer) startScript(at time.Time) {
 	s.mu.Lock()
-	s.start = at
+	s.scriptStart = at
 	s.mu.Unlock()
 }
 
-func (s *scripted) serve(c net.Conn) {
+func (s *scriptedServer) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -59,12 +59,12 @@
 		}
 		r.Body.Close()
 		s.mu.Lock()
-		start := s.start
+		start := s.scriptStart
 		s.mu.Unlock()
 		came := time.Since(start)
-		done := came + s.stall.Service
-		if came < s.stall.Begin+s.stall.Freeze && done > s.stall.Begin && s.stall.Freeze > 0 {
-			done = max(done, s.stall.Begin+s.stall.Freeze)
+		done := came + s.stall.ServiceTime
+		if came < s.stall.FreezeAt+s.stall.Freeze && done > s.stall.FreezeAt && s.stall.Freeze > 0 {
+			done = max(done, s.stall.FreezeAt+s.stall.Freeze)
 		}
 		time.Sleep(time.Until(start.Add(done)))
 		if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")); err != nil {
@@ -73,12 +73,12 @@
 	}
 }
 
-func (s *scripted) close() {
+func (s *scriptedServer) close() {
 	s.ln.Close()
 	s.mu.Lock()
 	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.wg.Wait()
 }
--- a/internal/lab/drill/stall.go
+++ b/internal/lab/drill/stall.go
@@ -20,9 +20,9 @@
 
 // Stall is a scripted server's behaviour: answers take Service, but what is due within the freeze comes at its end.
 type Stall struct {
-	Rate            float64
-	Freeze, Service time.Duration
-	Begin, Whole    time.Duration // when the freeze begins, and how long the load lasts
+	Rate                float64
+	Freeze, ServiceTime time.Duration
+	FreezeAt, Duration  time.Duration // when the freeze begins, and how long the load lasts
 }
 
 // Expected is the latency of each request from its intended time, sorted: computed from the script alone.
@@ -30,12 +30,12 @@
 	var out []time.Duration
 	for n := 0; ; n++ {
 		at := time.Duration(float64(n) / s.Rate * float64(time.Second))
-		if at >= s.Whole {
+		if at >= s.Duration {
 			break
 		}
-		done := at + s.Service
-		if at < s.Begin+s.Freeze && done > s.Begin {
-			done = max(done, s.Begin+s.Freeze)
+		done := at + s.ServiceTime
+		if at < s.FreezeAt+s.Freeze && done > s.FreezeAt {
+			done = max(done, s.FreezeAt+s.Freeze)
 		}
 		out = append(out, done-at)
 	}
@@ -51,34 +51,34 @@
 
 // Measure loads a server that follows the script, open-loop and, if wanted, closed-loop with so many callers.
 func (s Stall) Measure(ctx context.Context, closed int) (load.Summary, error) {
-	server, err := newScripted(s)
+	server, err := newScriptedServer(s)
 	if err != nil {
 		return load.Summary{}, err
 	}
 	defer server.close()
 	rec := load.NewRecorder()
 	o := load.Options{URL: "http://" + server.address(), Timeout: s.Freeze + 10*time.Second, MaxOpen: 20000, Recorder: rec}
-	server.begin(time.Now())
+	server.startScript(time.Now())
 	if closed > 0 {
-		err = load.Closed(ctx, closed, s.Rate, s.Whole, load.Item{Method: http.MethodGet, Target: "/"}, o)
+		err = load.Closed(ctx, closed, s.Rate, s.Duration, load.Item{Method: http.MethodGet, Target: "/"}, o)
 	} else {
 		err = load.Run(ctx, &load.Steady{Item: load.Item{Method: http.MethodGet, Target: "/"},
-			Arrivals: load.NewArrivals(s.Rate, nil, nil, s.Whole)}, o)
+			Arrivals: load.NewArrivals(s.Rate, nil, nil, s.Duration)}, o)
 	}
 	return rec.Summary(), err
 }
 
 // offMost is how far a percentile may be from the computed one.
-const offMost = 0.01
+const maxRelativeError = 0.01
 
 // Open measures open-loop, up to three times: 1% is ten milliseconds here, which a machine that others use, too, may take away
 // from any one run. A generator that leaves requests out is off by half and more, each time.
-func (s Stall) Open(ctx context.Context) (m load.Summary, err error) {
+func (s Stall) MeasureOpenLoop(ctx context.Context) (m load.Summary, err error) {
 	for range 3 {
 		if m, err = s.Measure(ctx, 0); err != nil {
 			return m, err
 		}
-		if off, _ := s.Off(m); off <= offMost && m.OK == len(s.Expected()) {
+		if off, _ := s.WorstError(m); off <= maxRelativeError && m.OK == len(s.Expected()) {
 			break
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // Off compares a measured summary with the computed one: the worst relative difference over p50 to max, by name.
-func (s Stall) Off(m load.Summary) (worst float64, name string) {
+func (s Stall) WorstError(m load.Summary) (worst float64, name string) {
 	want := s.Expected()
 	for _, p := range []struct {
 		name string
@@ -109,8 +109,8 @@
 	var out []Stall
 	for _, rate := range []float64{100, 250} {
 		for _, freeze := range []time.Duration{time.Second, 2 * time.Second} {
-			out = append(out, Stall{Rate: rate, Freeze: freeze, Service: 400 * time.Millisecond,
-				Begin: time.Second + time.Duration(0.5/rate*float64(time.Second)), Whole: 3*freeze + time.Second})
+			out = append(out, Stall{Rate: rate, Freeze: freeze, ServiceTime: 400 * time.Millisecond,
+				FreezeAt: time.Second + time.Duration(0.5/rate*float64(time.Second)), Duration: 3*freeze + time.Second})
 		}
 	}
 	return out
@@ -123,23 +123,23 @@
 		stalls = stalls[:1]
 	}
 	for _, s := range stalls {
-		m, err := s.Open(ctx)
+		m, err := s.MeasureOpenLoop(ctx)
 		if err != nil {
 			return nil, err
 		}
 		name := fmt.Sprintf("%g/s, %s freeze: ", s.Rate, s.Freeze)
 		n := len(s.Expected())
-		out.Hold(name+"requests", float64(m.OK), fmt.Sprint(n), m.OK == n)
-		worst, at := s.Off(m)
-		out.Hold(name+"worst percentile off ("+at+"), %", worst*100, "at most 1", worst <= offMost)
-		callers := int(math.Ceil(s.Rate * s.Service.Seconds() * 1.2)) // enough for the rate while nothing stalls
+		out.Check(name+"requests", float64(m.OK), fmt.Sprint(n), m.OK == n)
+		worst, at := s.WorstError(m)
+		out.Check(name+"worst percentile off ("+at+"), %", worst*100, "at most 1", worst <= maxRelativeError)
+		callers := int(math.Ceil(s.Rate * s.ServiceTime.Seconds() * 1.2)) // enough for the rate while nothing stalls
 		c, err := s.Measure(ctx, callers)
 		if err != nil {
 			return nil, err
 		}
-		out.Tell(name+"p90 ms", m.Latency.P90)
-		out.Tell(name+"p90 ms of a closed loop", c.Latency.P90)
-		out.Hold(name+"requests that a closed loop left out", float64(n-c.Intended), "above 0", c.Intended < n)
+		out.Report(name+"p90 ms", m.Latency.P90)
+		out.Report(name+"p90 ms of a closed loop", c.Latency.P90)
+		out.Check(name+"requests that a closed loop left out", float64(n-c.Intended), "above 0", c.Intended < n)
 	}
 	return out, nil
 }
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -24,11 +24,11 @@
 
 // The cold start of the drill's instances, as the configuration has it by default, and how far they are used when warm.
 const (
-	coldShare    = 0.2
-	coldTime     = 20 * time.Second
-	coldMultiple = 2.5
-	coldWindow   = 1500 * time.Millisecond
-	warmUse      = 0.7
+	slowStartShare   = 0.2
+	slowStartTime    = 20 * time.Second
+	maxSlowStartLoad = 2.5
+	slowStartWindow  = 1500 * time.Millisecond
+	fullLoad         = 0.7
 )
 
 func runXDSReconnect(ctx context.Context, o Options) (*Outcome, error) {
@@ -36,11 +36,11 @@
 	if o.Short {
 		instances, proxies, within, settle = 10, 3, 5*time.Second, time.Second
 	}
-	dir, err := scratch(o, "xds-reconnect")
+	dir, err := makeDir(o, "xds-reconnect")
 	if err != nil {
 		return nil, err
 	}
-	f, err := newFleet(dir, "web", false, instances)
+	f, err := newFilePool(dir, "web", false, instances)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 		clients[n] = &proxy.Client{Node: fmt.Sprintf("lab-%d", n), Servers: servers, Delta: n%2 == 0, Table: tables[n], Log: o.Log}
 		wait.Go(func() { clients[n].Run(ctx) })
 	}
-	if err := until(ctx, services[0].Control, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
+	if err := waitUntil(ctx, services[0].Control, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return nil, err
 	}
 
@@ -78,7 +78,7 @@
 	loaded, stop := context.WithCancel(ctx)
 	defer stop()
 	for n, table := range tables {
-		wait.Go(func() { sent[n], failed[n] = sendWeb(loaded, table) })
+		wait.Go(func() { sent[n], failed[n] = sendHTTP(loaded, table) })
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	wait.Go(func() { // streams break at random
@@ -106,14 +106,14 @@
 		if err := f.add(time.Now()); err != nil {
 			return nil, err
 		}
-		f.all[n].drains = time.Now()
-		for _, g := range f.all { // those that have drained for long enough are gone
-			if !g.drains.IsZero() && !g.gone && time.Since(g.drains) > drainGrace+200*time.Millisecond {
+		f.members[n].drainingSince = time.Now()
+		for _, g := range f.members { // those that have drained for long enough are gone
+			if !g.drainingSince.IsZero() && !g.gone && time.Since(g.drainingSince) > drainGrace+200*time.Millisecond {
 				g.gone = true
 				g.stop()
 			}
 		}
-		if err := f.write(); err != nil {
+		if err := f.writeList(); err != nil {
 			return nil, err
 		}
 	}
@@ -130,11 +130,11 @@
 		requests, broke = requests+sent[n], broke+failed[n]
 		emptied, cuts = emptied+tables[n].Emptied(), cuts+clients[n].Cuts()
 	}
-	able := float64(requests) / time.Since(began).Seconds() / float64(instances) / warmUse // of a warm instance, a second
-	for _, g := range f.all {
-		if !g.drains.IsZero() {
+	able := float64(requests) / time.Since(began).Seconds() / float64(instances) / fullLoad // of a warm instance, a second
+	for _, g := range f.members {
+		if !g.drainingSince.IsZero() {
 			total++
-			for _, d := range g.since(g.drains, time.Now()) {
+			for _, d := range g.requestsBetween(g.drainingSince, time.Now()) {
 				last = max(last, d)
 				if d > drainGrace {
 					late++
@@ -142,36 +142,36 @@
 			}
 		}
 		if !g.started.IsZero() {
-			cold = max(cold, g.coldest(able))
+			cold = max(cold, g.peakSlowStartLoad(able))
 		}
 	}
-	out.Tell("instances replaced", float64(total))
-	out.Tell("replaced within, s", took.Seconds())
-	out.Hold("times that a proxy was cut off", float64(cuts), "above 0", cuts > 0)
-	out.Hold("requests", float64(requests), "above 0", requests > 0)
-	out.Hold("requests after 500 ms", float64(late), "0", late == 0)
-	out.Tell("word to last request, ms", float64(last.Microseconds())/1000)
-	out.Hold("failed requests", float64(broke), "0", broke == 0)
-	out.Hold("lists emptied", float64(emptied), "0", emptied == 0)
-	out.Hold("most that a cold instance was sent, times what it can do", cold, fmt.Sprintf("at most %g", coldMultiple), cold <= coldMultiple)
+	out.Report("instances replaced", float64(total))
+	out.Report("replaced within, s", took.Seconds())
+	out.Check("times that a proxy was cut off", float64(cuts), "above 0", cuts > 0)
+	out.Check("requests", float64(requests), "above 0", requests > 0)
+	out.Check("requests after 500 ms", float64(late), "0", late == 0)
+	out.Report("word to last request, ms", float64(last.Microseconds())/1000)
+	out.Check("failed requests", float64(broke), "0", broke == 0)
+	out.Check("lists emptied", float64(emptied), "0", emptied == 0)
+	out.Check("most that a cold instance was sent, times what it can do", cold, fmt.Sprintf("at most %g", maxSlowStartLoad), cold <= maxSlowStartLoad)
 	clean := services[1].stop()
-	out.Hold("the other service ended by itself, with status 0", b2f(clean), "1", clean)
+	out.Check("the other service ended by itself, with status 0", boolValue(clean), "1", clean)
 	return out, nil
 }
 
 // coldest is the most that the instance was sent in any window of its cold start, in multiples of what it can do at that age,
 // where a warm one can do able requests a second. A request at a time is never too much.
-func (g *member) coldest(able float64) float64 {
-	times := g.since(g.started, time.Now())
+func (g *member) peakSlowStartLoad(able float64) float64 {
+	times := g.requestsBetween(g.started, time.Now())
 	worst := 0.0
 	for i, from := range times {
 		n := 0
 		for _, t := range times[i:] {
-			if t < from+coldWindow {
+			if t < from+slowStartWindow {
 				n++
 			}
 		}
-		can := able * coldWindow.Seconds() * (coldShare + (1-coldShare)*min(float64(from)/float64(coldTime), 1))
+		can := able * slowStartWindow.Seconds() * (slowStartShare + (1-slowStartShare)*min(float64(from)/float64(slowStartTime), 1))
 		if n > 1 {
 			worst = max(worst, float64(n)/can)
 		}
