--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -16,27 +16,28 @@
 	"kitewood/internal/listfile"
 )
 
-// loop is what callers in a closed loop saw: each asks again as soon as it has its answer.
+// closedLoopResult holds what callers in a closed loop observed: each sends its next request as soon as it has a response.
 type closedLoopResult struct {
 	requests, rejected, failed int
 	latency                    *hdrhistogram.Histogram // in microseconds
-	notes                      []string                // of what was not served
+	notes                      []string                // one for each request that was not served
 }
 
-func (l *closedLoopResult) p99() float64 { return float64(l.latency.ValueAtQuantile(99)) / 1000 }
+// p99 returns the 99th percentile of the latency in milliseconds.
+func (r *closedLoopResult) p99() float64 { return float64(r.latency.ValueAtQuantile(99)) / 1000 }
 
-// closedLoopDrill is the part of fleet-overload that needs no fleet.
+// closedLoopDrill runs the closed-loop part of fleet-overload, which needs no fleet of sidecars.
 var closedLoopDrill = Drill{
 	Name:        "closed-loop",
-	Description: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
+	Description: "closed-loop callers at a load within the capacity of the endpoints: no request rejected, none with a long latency",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		out := &Outcome{}
 		return out, compareClosedLoops(ctx, o, out)
 	},
 }
 
-// closedLoops has callers in closed loops ask a kitewood process and a plain proxy, which serves what comes first first,
-// before the same destinations, one after the other: each has one core.
+// compareClosedLoops drives a kitewood process and then a plain first-come-first-served proxy with closed-loop callers. Both use
+// the same endpoints and one core each.
 func compareClosedLoops(ctx context.Context, o Options, out *Outcome) error {
 	dir, err := makeDir(o, "closed")
 	if err != nil {
@@ -51,12 +52,12 @@
 		defer i.stop()
 		members = append(members, listfile.Endpoint{Name: i.name, Address: i.address})
 	}
-	last, counts := 6*time.Second, []int{64, 256, 1000}
+	duration, callerCounts := 6*time.Second, []int{64, 256, 1000}
 	if o.Short {
-		last, counts = 2*time.Second, []int{256}
+		duration, callerCounts = 2*time.Second, []int{256}
 	}
-	for _, callers := range counts {
-		var seen [2]*closedLoopResult
+	for _, callers := range callerCounts {
+		var observed [2]*closedLoopResult
 		for n, start := range []func(string, string, []listfile.Endpoint, Options) (*child.Child, error){startKitewood, startPlainProxy} {
 			address, err := child.Reserve()
 			if err != nil {
@@ -67,36 +68,37 @@
 			if err != nil {
 				return err
 			}
-			seen[n], err = runClosedLoop(ctx, address.String(), callers, last)
+			observed[n], err = runClosedLoop(ctx, address.String(), callers, duration)
 			c.Kill()
 			if err != nil {
 				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Said())
 			}
 		}
-		kite, plain := seen[0], seen[1]
-		at := fmt.Sprintf("%d callers in a closed loop: ", callers)
-		out.Report(at+"answers", float64(kite.requests))
-		out.Report(at+"answers by the plain proxy", float64(plain.requests))
-		// The short form runs beside other tests: a machine that stands still for a moment may cost a few.
-		lost, bound := kite.rejected+kite.failed, 0
+		sidecar, plain := observed[0], observed[1]
+		prefix := fmt.Sprintf("%d callers in a closed loop: ", callers)
+		out.Report(prefix+"answers", float64(sidecar.requests))
+		out.Report(prefix+"answers by the plain proxy", float64(plain.requests))
+		// The short form runs next to other tests: a short pause of the machine may cost a few requests.
+		unserved, maxUnserved := sidecar.rejected+sidecar.failed, 0
 		if o.Short {
-			bound = kite.requests / 500
+			maxUnserved = sidecar.requests / 500
 		}
-		out.Check(at+"refused or failed", float64(lost), fmt.Sprintf("at most %d", bound), lost <= bound)
-		out.Notes = append(out.Notes, kite.notes[:min(len(kite.notes), 5)]...)
-		out.Report(at+"longest, ms", float64(kite.latency.Max())/1000)
-		times := kite.p99() / plain.p99()
-		out.Report(at+"p99, ms", kite.p99())
-		out.Report(at+"p99 by the plain proxy, ms", plain.p99())
+		out.Check(prefix+"refused or failed", float64(unserved), fmt.Sprintf("at most %d", maxUnserved), unserved <= maxUnserved)
+		out.Notes = append(out.Notes, sidecar.notes[:min(len(sidecar.notes), 5)]...)
+		out.Report(prefix+"longest, ms", float64(sidecar.latency.Max())/1000)
+		ratio := sidecar.p99() / plain.p99()
+		out.Report(prefix+"p99, ms", sidecar.p99())
+		out.Report(prefix+"p99 by the plain proxy, ms", plain.p99())
 		if o.Short {
-			out.Report(at+"p99, times the plain proxy's", times)
+			out.Report(prefix+"p99, times the plain proxy's", ratio)
 		} else {
-			out.Check(at+"p99, times the plain proxy's", times, "at most 1.2", times <= 1.2)
+			out.Check(prefix+"p99, times the plain proxy's", ratio, "at most 1.2", ratio <= 1.2)
 		}
 	}
 	return nil
 }
 
+// startKitewood starts a kitewood process with one pool of the given members and waits until it is ready.
 func startKitewood(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	if err := listfile.Write(filepath.Join(dir, "list.yaml"), members); err != nil {
 		return nil, err
@@ -121,6 +123,7 @@
 	return c, waitReady(c, address)
 }
 
+// startPlainProxy starts the lab's round-robin proxy on one core and waits until it is ready.
 func startPlainProxy(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	var endpoints []map[string]any
 	for _, m := range members {
@@ -142,63 +145,63 @@
 	return c, waitReady(c, address)
 }
 
-// untilReady waits until a process says that it is ready.
+// waitReady waits until the process reports readiness.
 func waitReady(c *child.Child, address string) error {
 	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
-	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(waitTimeout); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
 		pool := httpc.NewPool(httpc.Options{Address: address})
-		r := pool.Do("", "GET", text, time.Now().Add(time.Second))
+		resp := pool.Do("", "GET", text, time.Now().Add(time.Second))
 		pool.Close()
-		if r.Status == 200 {
+		if resp.Status == 200 {
 			return nil
 		}
 		select {
 		case <-c.Ended:
-			return fmt.Errorf("it ended: %s", c.Said())
+			return fmt.Errorf("process ended: %s", c.Said())
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %s: %s", waitTimeout, c.Said())
+	return fmt.Errorf("process not ready within %s: %s", waitTimeout, c.Said())
 }
 
-// callInLoops has callers ask for a time.
-func runClosedLoop(ctx context.Context, address string, callers int, last time.Duration) (*closedLoopResult, error) {
-	all := &closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+// runClosedLoop runs the callers in a closed loop for the given duration and merges their results.
+func runClosedLoop(ctx context.Context, address string, callers int, duration time.Duration) (*closedLoopResult, error) {
+	total := &closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	var mu sync.Mutex
-	var open sync.WaitGroup
-	until := time.Now().Add(last)
+	var wg sync.WaitGroup
+	until := time.Now().Add(duration)
 	for n := range callers {
-		open.Go(func() {
-			mine := closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		wg.Go(func() {
+			own := closedLoopResult{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 			pool := httpc.NewPool(httpc.Options{Address: address, ConnectTimeout: 5 * time.Second})
 			defer pool.Close()
 			for k := 0; time.Now().Before(until) && ctx.Err() == nil; k++ {
 				id := fmt.Sprintf("%d-%d", n, k)
 				text := httpc.Text("GET", "/any", "backend.local", nil, httpc.Field{Name: "X-Correlation-Id", Value: id},
 					httpc.Field{Name: "X-Time-Left-Ms", Value: "2500"})
-				began := time.Now()
-				r := pool.Do(id, "GET", text, began.Add(5*time.Second))
-				mine.requests++
-				switch r.Status {
+				start := time.Now()
+				resp := pool.Do(id, "GET", text, start.Add(5*time.Second))
+				own.requests++
+				switch resp.Status {
 				case 200:
-					mine.latency.RecordValue(max(time.Since(began).Microseconds(), 1))
+					own.latency.RecordValue(max(time.Since(start).Microseconds(), 1))
 				case 503:
-					mine.rejected++
+					own.rejected++
 				default:
-					mine.failed++
+					own.failed++
 				}
-				if r.Status != 200 {
-					mine.notes = append(mine.notes, fmt.Sprintf("%d callers: status %d after %s, %s before the end: %v", callers, r.Status,
-						time.Since(began).Round(time.Millisecond), time.Until(until).Round(time.Millisecond), r.Err))
+				if resp.Status != 200 {
+					own.notes = append(own.notes, fmt.Sprintf("%d callers: status %d after %s, %s before the end: %v", callers, resp.Status,
+						time.Since(start).Round(time.Millisecond), time.Until(until).Round(time.Millisecond), resp.Err))
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.requests, all.rejected, all.failed = all.requests+mine.requests, all.rejected+mine.rejected, all.failed+mine.failed
-			all.latency.Merge(mine.latency)
-			all.notes = append(all.notes, mine.notes...)
+			total.requests, total.rejected, total.failed = total.requests+own.requests, total.rejected+own.rejected, total.failed+own.failed
+			total.latency.Merge(own.latency)
+			total.notes = append(total.notes, own.notes...)
 		})
 	}
-	open.Wait()
-	return all, ctx.Err()
+	wg.Wait()
+	return total, ctx.Err()
 }
--- a/internal/lab/drill/controlservice.go
+++ b/internal/lab/drill/controlservice.go
@@ -13,7 +13,7 @@
 // controlService is a kitewood-control process.
 type controlService struct{ *child.Control }
 
-// startControl starts a control service with two pools whose lists lie in a folder.
+// startControl starts a control service with two pools whose list files lie in dir.
 func startControl(o Options, dir, name string) (*controlService, error) {
 	return startControlWith(o, dir, name, `  - {name: web, members: {file: web.yaml}, classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}
   - {name: rpc, members: {file: rpc.yaml}, classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}
@@ -22,37 +22,38 @@
 `)
 }
 
-// startControlWith starts a control service with these lines of pools and routes.
+// startControlWith starts a control service with the given YAML entries for pools and routes.
 func startControlWith(o Options, dir, name, pools, routes string) (*controlService, error) {
-	// GOMAXPROCS are the cores that the figures are stated for.
+	// The documented results are for a service with this many cores.
 	c, err := child.StartControl(o.ControlBinary, dir, name, "pools:\n"+pools+"routes:\n"+routes, "GOMAXPROCS=4")
 	return &controlService{c}, err
 }
 
-// stop ends the service and tells whether it ended by itself, with status 0.
+// stop asks the service to end and reports whether it exited by itself with status 0.
 func (c *controlService) stop() bool { return c.Stop(20*time.Second) == "" }
 
-// controlWait is how long until waits.
+// waitTimeout bounds how long the drills wait for a condition.
 const waitTimeout = 60 * time.Second
 
-// until waits until something is so. It gives up where the control service ends.
-func waitUntil(ctx context.Context, service *child.Control, what string, is func() bool) error {
-	for end := time.Now().Add(waitTimeout); !is(); {
+// waitUntil polls until the condition holds. It returns an error after waitTimeout, or when the context or the control service
+// ends.
+func waitUntil(ctx context.Context, service *child.Control, condition string, met func() bool) error {
+	for limit := time.Now().Add(waitTimeout); !met(); {
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-service.Ended:
-			return fmt.Errorf("the control service has ended: %s", service.Said())
+			return fmt.Errorf("control service ended: %s", service.Said())
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("not within %s: %s", waitTimeout, what)
+		if time.Now().After(limit) {
+			return fmt.Errorf("condition not met within %s: %s", waitTimeout, condition)
 		}
 	}
 	return nil
 }
 
-// allReady tells whether all of the lab's proxies have endpoints of the pool that the drills send to.
+// allReady reports whether every lab proxy has endpoints of the pool web, to which the drills send.
 func allReady(tables []*proxy.Table) bool {
 	return !slices.ContainsFunc(tables, func(t *proxy.Table) bool { return !t.Ready("web") })
 }
--- a/internal/lab/drill/drill.go
+++ b/internal/lab/drill/drill.go
@@ -1,5 +1,5 @@
-// Package drill keeps the lab's drills: each causes a failure with real processes and tells, from the stand-ins' ledger
-// or a hand-computed result, whether a promise held.
+// Package drill contains the lab's drills: each causes a failure with real processes and checks a guarantee of the system
+// against the ledger of the emulated servers and clients or against a result computed by hand.
 package drill
 
 import (
@@ -9,20 +9,20 @@
 	"slices"
 )
 
-// Options say how to run a drill.
+// Options configure a run of a drill.
 type Options struct {
-	Short         bool // the form that CI runs
+	Short         bool // run the short form, as CI does
 	Seed          uint64
-	Repeats       int    // of the failure; 0 for the drill's own number
-	Defect        string // one of the drill's Wrongs, or empty
-	Binary        string // kitewood
-	LabBinary     string // kitewood-lab
-	ControlBinary string // kitewood-control
-	Dir           string // for what it leaves; it is there
+	Repeats       int    // how often to cause the failure; 0 for the drill's default
+	Defect        string // one of the drill's Defects, or empty
+	Binary        string // path of kitewood
+	LabBinary     string // path of kitewood-lab
+	ControlBinary string // path of kitewood-control
+	Dir           string // existing directory for output files
 	Log           *slog.Logger
 }
 
-// times is how often a drill causes its failure: as often as it was asked to, or its own number for the form.
+// repeats returns how often a drill causes its failure: Repeats if set, else the drill's default for the long or the short form.
 func (o *Options) repeats(long, short int) int {
 	switch {
 	case o.Repeats > 0:
@@ -33,52 +33,52 @@
 	return long
 }
 
-// Figure is one figure of a drill, with the bound that it was held to, if any.
+// Metric is one result of a drill, with the bound that it was checked against, if any.
 type Metric struct {
 	Name   string
 	Value  float64
-	Bound  string // empty for a figure that is only told
+	Bound  string // empty for a metric that is only reported
 	Passed bool
 }
 
-// Outcome is what a drill found. Its promise held if every bounded figure did.
+// Outcome is the result of a drill. The guarantee holds if every metric with a bound is within it.
 type Outcome struct {
 	Metrics []Metric
-	Notes   []string // what an operator should see of a broken promise
+	Notes   []string // details of a violated guarantee, for the operator
 }
 
-// Tell adds a figure without a bound.
-func (o *Outcome) Report(name string, v float64) {
-	o.Metrics = append(o.Metrics, Metric{Name: name, Value: v, Passed: true})
+// Report adds a metric without a bound.
+func (o *Outcome) Report(name string, value float64) {
+	o.Metrics = append(o.Metrics, Metric{Name: name, Value: value, Passed: true})
 }
 
-// Hold adds a figure with the bound that it is held to.
-func (o *Outcome) Check(name string, v float64, bound string, held bool) {
-	o.Metrics = append(o.Metrics, Metric{name, v, bound, held})
+// Check adds a metric with its bound and whether it is within the bound.
+func (o *Outcome) Check(name string, value float64, bound string, passed bool) {
+	o.Metrics = append(o.Metrics, Metric{name, value, bound, passed})
 }
 
-// Pass tells whether the promise held. A drill that held nothing to a bound has proved nothing.
+// Pass reports whether the guarantee held. A drill that checked no metric against a bound has proved nothing and does not pass.
 func (o *Outcome) Pass() bool {
 	bounded := false
-	for _, f := range o.Metrics {
-		if !f.Passed {
+	for _, m := range o.Metrics {
+		if !m.Passed {
 			return false
 		}
-		bounded = bounded || f.Bound != ""
+		bounded = bounded || m.Bound != ""
 	}
 	return bounded
 }
 
-// Drill is one promise and the failure that tries it.
+// Drill causes a failure and checks one guarantee under it.
 type Drill struct {
 	Name         string
 	Description  string
-	NeedsControl bool     // it starts kitewood-control
-	Defects      []string // ways to run it wrongly on purpose, each of which has to break the promise
+	NeedsControl bool     // it starts kitewood-control, so Options.ControlBinary is required
+	Defects      []string // deliberate misconfigurations, each of which has to violate the guarantee
 	Run          func(context.Context, Options) (*Outcome, error)
 }
 
-// All are the drills, by name.
+// All returns the drills, sorted by name.
 func All() []Drill {
 	all := []Drill{rulesDrill, stallDrill, rateDrill, leftoversDrill, calmDrill, poolsDrill, xdsDrainDrill, xdsReconnectDrill, xdsScaleDrill,
 		fleetOverloadDrill, closedLoopDrill, etcdBurstDrill, etcdCompactDrill, etcdChaosDrill, etcdScaleDrill}
@@ -91,7 +91,7 @@
 	return all
 }
 
-// Find is a drill by its name.
+// Find returns the drill with the given name.
 func Find(name string) (Drill, error) {
 	for _, d := range All() {
 		if d.Name == name {
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -10,10 +10,10 @@
 	"kitewood/internal/lab/model"
 )
 
-// etcdBurstDrill replaces much of a pool within a second, by way of etcd.
+// etcdBurstDrill replaces a large part of a pool within a second through etcd.
 var etcdBurstDrill = Drill{
 	Name:         "etcd-burst",
-	Description:  "40 instances leave etcd and 30 come within a second, under load by proxies and sidecars: nothing at those that left 500 ms after",
+	Description:  "40 instances are removed from etcd and 30 added within a second, under load from proxies and sidecars: no request reaches a removed one after 500 ms",
 	NeedsControl: true,
 	Run:          runEtcdBurst,
 }
@@ -25,27 +25,27 @@
 	burstDuration = 900 * time.Millisecond
 )
 
-// bystanders are instances that are listed.
+// etcdPool is an etcdRig together with the instances that are listed in its etcd.
 type etcdPool struct {
 	rig       *etcdRig
 	nextIndex int
 	instances map[string]*etcdInstance // by name
 }
 
-// startBystanders starts a rig with instances that are listed and have long been up, two proxies and some sidecars, and waits until
-// all can send.
-func startEtcdPool(ctx context.Context, o Options, name string, n, sidecars int, told func(control.MemberChange)) (*etcdPool, error) {
+// startEtcdPool starts a rig with n listed instances past slow start, two proxies and some sidecars, and waits until all of
+// them can send. The callback gets each member change that the control service reports; it may be nil.
+func startEtcdPool(ctx context.Context, o Options, name string, n, sidecars int, onChange func(control.MemberChange)) (*etcdPool, error) {
 	dir, err := makeDir(o, name)
 	if err != nil {
 		return nil, err
 	}
-	r, err := startEtcdRig(ctx, o, dir, "", sidecars, 2, told)
+	r, err := startEtcdRig(ctx, o, dir, "", sidecars, 2, onChange)
 	if err != nil {
 		return nil, err
 	}
-	b := &etcdPool{rig: r, instances: map[string]*etcdInstance{}}
+	p := &etcdPool{rig: r, instances: map[string]*etcdInstance{}}
 	for range n {
-		if _, err = b.add(time.Time{}); err != nil {
+		if _, err = p.add(time.Time{}); err != nil {
 			break
 		}
 	}
@@ -53,34 +53,34 @@
 		err = r.waitReady(ctx)
 	}
 	if err != nil {
-		b.stop()
+		p.stop()
 		return nil, err
 	}
-	return b, nil
+	return p, nil
 }
 
-// add starts an instance and lists it.
-func (b *etcdPool) add(started time.Time) (*etcdInstance, error) {
-	i, err := newEtcdInstance(fmt.Sprintf("i%04d", b.nextIndex))
+// add starts an instance and lists it in etcd; a zero started means that it is past slow start.
+func (p *etcdPool) add(started time.Time) (*etcdInstance, error) {
+	i, err := newEtcdInstance(fmt.Sprintf("i%04d", p.nextIndex))
 	if err != nil {
 		return nil, err
 	}
-	b.nextIndex++
-	b.instances[i.name] = i
-	b.rig.cluster.Put(etcdPrefix+i.name, i.etcdValue("ready", started))
+	p.nextIndex++
+	p.instances[i.name] = i
+	p.rig.cluster.Put(etcdPrefix+i.name, i.etcdValue("ready", started))
 	return i, nil
 }
 
-// remove takes an instance from the list. It runs on, so that it sees who sends to it still.
-func (b *etcdPool) remove(i *etcdInstance) {
+// remove deletes an instance from etcd. Its server keeps running to record requests that still arrive.
+func (p *etcdPool) remove(i *etcdInstance) {
 	i.removedAt = time.Now()
-	b.rig.cluster.Delete(etcdPrefix + i.name)
-	delete(b.instances, i.name)
+	p.rig.cluster.Delete(etcdPrefix + i.name)
+	delete(p.instances, i.name)
 }
 
-// some are instances drawn at random.
-func (b *etcdPool) sample(rng *rand.Rand, n int) (out []*etcdInstance) {
-	for _, i := range b.instances { // the order of a map is random, but not by the seed
+// sample returns up to n instances drawn at random.
+func (p *etcdPool) sample(rng *rand.Rand, n int) (out []*etcdInstance) {
+	for _, i := range p.instances { // map order does not depend on the seed, so sort before the shuffle
 		out = append(out, i)
 	}
 	sortByName(out)
@@ -88,26 +88,27 @@
 	return out[:min(n, len(out))]
 }
 
-func (b *etcdPool) stop() {
-	b.rig.stop()
-	for _, i := range b.instances {
+// stop ends the rig and the servers of all listed instances.
+func (p *etcdPool) stop() {
+	p.rig.stop()
+	for _, i := range p.instances {
 		i.server.Close()
 	}
 }
 
-// platformTells are how long after each removal the platform's discovery tells of it, by the lab's model of it with its usual
-// figures: what it is told it sees later, and publishes together with what else has changed meanwhile. Calls and watches come
-// on top.
+// platformDelays returns, for each removal, the delay until the platform's discovery publishes it, according to the lab's model
+// of it with the usual parameters: discovery notices a change late and publishes it together with other changes of the same
+// period. Delays of calls and watches come in addition.
 func platformDelays(rng *rand.Rand, removals []time.Duration) ([]time.Duration, error) {
 	s, err := findScenario("calm")
 	if err != nil {
 		return nil, err
 	}
 	d := model.NewDiscovery(model.DiscoveryConfig{Period: s.Discovery.Period.D()}, nil)
-	left := map[string]time.Duration{}
+	removedAt := map[string]time.Duration{}
 	for n, at := range removals {
 		name := fmt.Sprint(n)
-		left[name] = at
+		removedAt[name] = at
 		d.Change(at+model.Around(rng, s.Discovery.Notice.D()/2), model.Member{Name: name, Status: model.Terminating})
 	}
 	var out []time.Duration
@@ -116,47 +117,48 @@
 		if !any {
 			return out, nil
 		}
-		u, _ := d.Advance(now)
-		for _, m := range u.Members {
-			out = append(out, now-left[m.Name])
+		update, _ := d.Advance(now)
+		for _, m := range update.Members {
+			out = append(out, now-removedAt[m.Name])
 		}
 	}
 }
 
+// runEtcdBurst replaces instances in bursts under load, and checks that no request reaches a removed one after the drain grace.
 func runEtcdBurst(ctx context.Context, o Options) (*Outcome, error) {
 	repeats := o.repeats(50, 5)
-	b, err := startEtcdPool(ctx, o, "etcd-burst", burstSize, 2, nil)
+	p, err := startEtcdPool(ctx, o, "etcd-burst", burstSize, 2, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer b.stop()
-	r := b.rig
-	ended := r.startLoad(ctx)
+	defer p.stop()
+	rig := p.rig
+	stopLoad := rig.startLoad(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	out := &Outcome{}
-	seen, last := map[string][]time.Duration{}, map[string][]time.Duration{}
+	delays, last := map[string][]time.Duration{}, map[string][]time.Duration{}
 	unseen, late, before := 0, 0, 0
-	began := time.Now()
+	start := time.Now()
 	var removals []time.Duration
 	for range repeats {
-		removed := b.sample(rng, burstRemoved)
+		removed := p.sample(rng, burstRemoved)
 		var added []*etcdInstance
-		came := map[*etcdInstance]time.Time{}
+		addedAt := map[*etcdInstance]time.Time{}
 		gap := burstDuration / (burstRemoved + burstAdded)
 		for n, i := range removed {
 			time.Sleep(gap)
 			before += len(i.lastRequests(time.Now().Add(-drainGrace)))
-			b.remove(i)
-			removals = append(removals, i.removedAt.Sub(began))
+			p.remove(i)
+			removals = append(removals, i.removedAt.Sub(start))
 			if n < burstAdded {
 				time.Sleep(gap)
 				now := time.Now()
-				x, err := b.add(now)
+				replacement, err := p.add(now)
 				if err != nil {
 					return nil, err
 				}
-				came[x] = now
-				added = append(added, x)
+				addedAt[replacement] = now
+				added = append(added, replacement)
 			}
 		}
 		select {
@@ -164,20 +166,20 @@
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
-		note := func(who, what string, from time.Time) {
-			if t, is := r.seenAt(who, what); is {
-				seen[who] = append(seen[who], t.Sub(from))
+		recordDelay := func(observer, event string, from time.Time) {
+			if t, ok := rig.seenAt(observer, event); ok {
+				delays[observer] = append(delays[observer], t.Sub(from))
 			} else {
 				unseen++
 			}
 		}
 		for _, i := range removed {
-			note("service", i.name+" gone", i.removedAt)
-			for n := range r.tables {
-				note(fmt.Sprintf("proxy-%d", n), i.address+" out", i.removedAt)
+			recordDelay("service", i.name+" gone", i.removedAt)
+			for n := range rig.tables {
+				recordDelay(fmt.Sprintf("proxy-%d", n), i.address+" out", i.removedAt)
 			}
-			for who, d := range i.lastRequests(i.removedAt) {
-				last[who[:len(who)-2]] = append(last[who[:len(who)-2]], d)
+			for sender, d := range i.lastRequests(i.removedAt) {
+				last[sender[:len(sender)-2]] = append(last[sender[:len(sender)-2]], d)
 				if d > drainGrace {
 					late++
 				}
@@ -185,13 +187,13 @@
 			i.server.Close()
 		}
 		for _, i := range added {
-			note("service", i.name+" ready", came[i])
-			for n := range r.tables {
-				note(fmt.Sprintf("proxy-%d", n), i.address+" in", came[i])
+			recordDelay("service", i.name+" ready", addedAt[i])
+			for n := range rig.tables {
+				recordDelay(fmt.Sprintf("proxy-%d", n), i.address+" in", addedAt[i])
 			}
 		}
 		for range burstRemoved - burstAdded {
-			if _, err := b.add(time.Time{}); err != nil {
+			if _, err := p.add(time.Time{}); err != nil {
 				return nil, err
 			}
 		}
@@ -201,12 +203,12 @@
 		return nil, err
 	}
 	reportPercentiles(out, "the same removals told by the platform's discovery, as the lab models it", platform)
-	ended(out)
+	stopLoad(out)
 	out.Check("changes that somebody has not seen", float64(unseen), "0", unseen == 0)
 	out.Check("senders at those that left, in the 500 ms before", float64(before), "above 0", before > 0)
 	out.Check("senders at them after 500 ms", float64(late), "0", late == 0)
-	for _, who := range []string{"service", "proxy-0", "proxy-1"} {
-		reportPercentiles(out, "change to seen, "+who, seen[who])
+	for _, observer := range []string{"service", "proxy-0", "proxy-1"} {
+		reportPercentiles(out, "change to seen, "+observer, delays[observer])
 	}
 	reportPercentiles(out, "removal to the last request, proxies", last["proxy"])
 	reportPercentiles(out, "removal to the last request, sidecars", last["sidecar"])
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -14,68 +14,72 @@
 	"kitewood/internal/membership"
 )
 
-// etcdChaosDrill breaks a cluster in all ways that the stand-in knows.
+// etcdChaosDrill injects every fault that the emulated etcd cluster supports.
 var etcdChaosDrill = Drill{
 	Name:         "etcd-chaos",
-	Description:  "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
+	Description:  "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is correct within 2 s, no drain is undone",
 	NeedsControl: true,
 	Run:          runEtcdChaos,
 }
 
-// chaosOracle knows what the list has to be: what was written, and bad words that a restored state does not take back.
+// chaosOracle computes the expected list: what was written, and draining or gone states that a restored older state of etcd must
+// not undo.
 type chaosOracle struct {
-	written   map[string]string // state by name, as etcd has it
-	overrides map[string]string // draining or gone: said before etcd was restored, and not taken back since
+	written   map[string]string // state in etcd, by name
+	overrides map[string]string // draining or gone, by name: recorded before etcd was restored, with no write since
 }
 
+// stateRank orders the states: a higher one overrides a lower one after a restore.
 var stateRank = map[string]int{"": 0, "ready": 1, "draining": 2, "gone": 3}
 
-// want is the state of a name.
-func (c *chaosOracle) expected(name string) string {
-	state := c.written[name]
+// expected returns the state that the list should show for a name.
+func (o *chaosOracle) expected(name string) string {
+	state := o.written[name]
 	if state == "" {
 		state = "gone"
 	}
-	if ban := c.overrides[name]; stateRank[ban] > stateRank[state] {
-		return ban
+	if override := o.overrides[name]; stateRank[override] > stateRank[state] {
+		return override
 	}
 	return state
 }
 
-// write notes a write, "" for a deletion.
-func (c *chaosOracle) recordWrite(name, state string) {
-	delete(c.overrides, name)
-	if c.written[name] = state; state == "" {
-		delete(c.written, name)
+// recordWrite records a write of a state; an empty state is a deletion.
+func (o *chaosOracle) recordWrite(name, state string) {
+	delete(o.overrides, name)
+	if o.written[name] = state; state == "" {
+		delete(o.written, name)
 	}
 }
 
-// restore notes that etcd has an older state again.
-func (c *chaosOracle) recordRestore(old map[string]string, all []string) {
-	for _, name := range all {
-		if was := c.expected(name); was != "ready" && (c.written[name] != "" || c.overrides[name] != "" || old[name] != "") {
-			c.overrides[name] = was
+// recordRestore records that etcd was restored to an older state.
+func (o *chaosOracle) recordRestore(restored map[string]string, names []string) {
+	for _, name := range names {
+		if state := o.expected(name); state != "ready" && (o.written[name] != "" || o.overrides[name] != "" || restored[name] != "") {
+			o.overrides[name] = state
 		}
 	}
-	c.written = maps.Clone(old)
+	o.written = maps.Clone(restored)
 }
 
+// runEtcdChaos injects faults at random, and after each round checks that the list converges to the expected states in time and
+// that no draining or removed instance becomes ready again from outdated data.
 func runEtcdChaos(ctx context.Context, o Options) (*Outcome, error) {
-	d := 5 * time.Minute
+	duration := 5 * time.Minute
 	if o.Short {
-		d = 20 * time.Second
+		duration = 20 * time.Second
 	}
 	dir, err := makeDir(o, "etcd-chaos")
 	if err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
-	sure := map[string]bool{} // names that are surely bad: nothing good was written since that was seen
+	notReady := map[string]bool{} // names observed as draining or gone, with no ready state written since
 	undone := 0
 	r, err := startEtcdRig(ctx, o, dir, ", merge: {flap_most: 1000000, hold_below: 0.01}", 0, 0, func(c control.MemberChange) {
 		mu.Lock()
 		defer mu.Unlock()
-		if c.Now.State == "ready" && sure[c.Now.Name] {
+		if c.Now.State == "ready" && notReady[c.Now.Name] {
 			undone++
 		}
 	})
@@ -93,7 +97,7 @@
 	write := func(name, state string) {
 		if state == "ready" {
 			mu.Lock()
-			delete(sure, name)
+			delete(notReady, name)
 			mu.Unlock()
 		}
 		oracle.recordWrite(name, state)
@@ -106,11 +110,11 @@
 	for _, name := range names {
 		write(name, "ready")
 	}
-	// settled waits until the list is the truth and tells how long that took.
-	settled := func() (time.Duration, error) {
-		began := time.Now()
-		wrong := ""
-		err := r.waitUntil(ctx, "the list is the truth", func() bool {
+	// waitConverged waits until the list matches the oracle and returns how long that took.
+	waitConverged := func() (time.Duration, error) {
+		start := time.Now()
+		mismatch := ""
+		err := r.waitUntil(ctx, "the list is correct", func() bool {
 			all, err := control.QueryMembers(r.admin)
 			if err != nil || len(all) != 1 {
 				return false
@@ -121,43 +125,43 @@
 			}
 			for _, name := range names {
 				if state, want := got[name], oracle.expected(name); state != want && (state != "" || want != "gone") {
-					wrong = fmt.Sprintf("%s is %q, want %q", name, state, want)
+					mismatch = fmt.Sprintf("%s is %q, want %q", name, state, want)
 					return false
 				}
 			}
 			return true
 		})
 		if err != nil {
-			err = fmt.Errorf("%w: %s", err, wrong)
+			err = fmt.Errorf("%w: %s", err, mismatch)
 		}
-		took := time.Since(began)
+		took := time.Since(start)
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
 			if oracle.expected(name) != "ready" {
-				sure[name] = true
+				notReady[name] = true
 			}
 		}
 		return took, err
 	}
-	if _, err := settled(); err != nil {
+	if _, err := waitConverged(); err != nil {
 		return nil, err
 	}
-	// read is what the service has read of etcd.
-	read := func() (out membership.SourceView) {
+	// sourceView returns the control service's view of its etcd source.
+	sourceView := func() (out membership.SourceView) {
 		if all, err := control.QueryMembers(r.admin); err == nil && len(all) == 1 {
 			out = all[0].Sources[0]
 		}
 		return out
 	}
-	type kept struct {
-		data  etcd.Snapshot
-		truth map[string]string
+	type backup struct {
+		data    etcd.Snapshot
+		written map[string]string
 	}
-	var backups []kept
-	var times []time.Duration
+	var backups []backup
+	var convergence []time.Duration
 	counts := map[string]int{}
-	for end := time.Now().Add(d); time.Now().Before(end); {
+	for limit := time.Now().Add(duration); time.Now().Before(limit); {
 		for range 2 + rng.IntN(4) {
 			for range rng.IntN(4) {
 				write(names[rng.IntN(len(names))], []string{"ready", "ready", "draining", ""}[rng.IntN(4)])
@@ -175,7 +179,7 @@
 			case "lag":
 				m.Lag()
 			case "compact":
-				r.cluster.Compact(r.cluster.Revision()) // that it was compacted so far already is no fault
+				r.cluster.Compact(r.cluster.Revision()) // an error that this revision is already compacted is harmless
 			case "stop":
 				m.Stop()
 				time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
@@ -189,50 +193,51 @@
 			m.Thaw()
 			m.CatchUp()
 		}
-		took, err := settled()
+		took, err := waitConverged()
 		if err != nil {
 			return nil, err
 		}
-		times = append(times, took)
+		convergence = append(convergence, took)
 		if len(backups) > 0 && rng.IntN(3) == 0 {
 			b := backups[rng.IntN(len(backups))]
 			kind, restore := "restore", r.cluster.Restore
-			// One of an earlier history may be of a later revision: in place it would be that of a cluster that went on.
+			// A backup of an earlier history may have a higher revision; restored in place, it would look like the same
+			// cluster that has moved on.
 			if rng.IntN(2) == 0 && b.data.Revision() < r.cluster.Revision() {
 				kind, restore = "restore in place", r.cluster.RestoreInPlace
 			}
 			counts[kind]++
-			// The list may be the truth before the last writes, which change nothing, are read.
-			if err := r.waitUntil(ctx, "all that was written is read", func() bool { return read().Revision >= r.cluster.Revision() }); err != nil {
+			// The list may be correct before the service has read the last writes, if those change nothing.
+			if err := r.waitUntil(ctx, "all writes are read", func() bool { return sourceView().Revision >= r.cluster.Revision() }); err != nil {
 				return nil, err
 			}
-			before := read().History
-			oracle.recordRestore(b.truth, names)
+			before := sourceView().History
+			oracle.recordRestore(b.written, names)
 			if err := restore(b.data); err != nil {
 				return nil, err
 			}
-			if took, err = settled(); err != nil {
+			if took, err = waitConverged(); err != nil {
 				return nil, err
 			}
-			times = append(times, took)
-			// Only what is written after the service has read the restored list is known to be new.
+			convergence = append(convergence, took)
+			// Only writes after the service has read the restored list are known to be new.
 			if err := r.waitUntil(ctx, "the restored list is read", func() bool {
-				now := read().History
+				now := sourceView().History
 				return now != "" && now != before
 			}); err != nil {
 				return nil, err
 			}
 		} else if len(backups) < 5 {
-			backups = append(backups, kept{r.cluster.Backup(), maps.Clone(oracle.written)})
+			backups = append(backups, backup{r.cluster.Backup(), maps.Clone(oracle.written)})
 		}
 	}
 	out := &Outcome{}
 	for _, fault := range slices.Sorted(maps.Keys(counts)) {
 		out.Report(fault, float64(counts[fault]))
 	}
-	reportPercentiles(out, "last fault to the truth", times)
-	slices.Sort(times)
-	out.Check("longest, s", times[len(times)-1].Seconds(), "at most 2", times[len(times)-1] <= 2*time.Second)
+	reportPercentiles(out, "last fault to the truth", convergence)
+	slices.Sort(convergence)
+	out.Check("longest, s", convergence[len(convergence)-1].Seconds(), "at most 2", convergence[len(convergence)-1] <= 2*time.Second)
 	mu.Lock()
 	defer mu.Unlock()
 	out.Check("drains and removals undone by old news", float64(undone), "0", undone == 0)
--- a/internal/lab/drill/etcdcompact.go
+++ b/internal/lab/drill/etcdcompact.go
@@ -11,23 +11,26 @@
 	"kitewood/internal/control"
 )
 
-// etcdCompactDrill has etcd's history compacted while nobody can watch.
+// etcdCompactDrill compacts etcd's history while no watch is possible.
 var etcdCompactDrill = Drill{
 	Name:         "etcd-compact",
-	Description:  "the watch breaks, instances leave and come, history is compacted: all of it is told, survivors are left alone",
+	Description:  "the watch breaks, instances are removed and added, history is compacted: every change is reported, other instances are unaffected",
 	NeedsControl: true,
 	Run:          runEtcdCompact,
 }
 
-func sortByName(all []*etcdInstance) {
-	slices.SortFunc(all, func(a, b *etcdInstance) int { return cmp.Compare(a.name, b.name) })
+// sortByName sorts instances by name.
+func sortByName(instances []*etcdInstance) {
+	slices.SortFunc(instances, func(a, b *etcdInstance) int { return cmp.Compare(a.name, b.name) })
 }
 
+// runEtcdCompact stops etcd, changes and compacts it, starts it again, and checks that the control service detects every removal
+// and addition in the gap and reports no change of the other instances.
 func runEtcdCompact(ctx context.Context, o Options) (*Outcome, error) {
 	repeats := o.repeats(20, 2)
 	var mu sync.Mutex
-	changes := map[string]int{} // by name
-	b, err := startEtcdPool(ctx, o, "etcd-compact", 40, 1, func(c control.MemberChange) {
+	changes := map[string]int{} // of each name, since the start of a repeat
+	p, err := startEtcdPool(ctx, o, "etcd-compact", 40, 1, func(c control.MemberChange) {
 		mu.Lock()
 		defer mu.Unlock()
 		changes[c.Now.Name]++
@@ -35,56 +38,56 @@
 	if err != nil {
 		return nil, err
 	}
-	defer b.stop()
-	r := b.rig
-	ended := r.startLoad(ctx)
+	defer p.stop()
+	rig := p.rig
+	stopLoad := rig.startLoad(ctx)
 	rng := rand.New(rand.NewPCG(o.Seed, 4))
 	out := &Outcome{}
-	var back []time.Duration
-	late, touched := 0, 0
+	var delays []time.Duration
+	late, affected := 0, 0
 	for range repeats {
-		for _, i := range b.instances {
-			if err := r.waitUntil(ctx, "the service knows "+i.name, func() bool { _, is := r.seenAt("service", i.name+" ready"); return is }); err != nil {
+		for _, i := range p.instances {
+			if err := rig.waitUntil(ctx, "the service lists "+i.name, func() bool { _, ok := rig.seenAt("service", i.name+" ready"); return ok }); err != nil {
 				return nil, err
 			}
 		}
 		mu.Lock()
 		clear(changes)
 		mu.Unlock()
-		for _, m := range r.cluster.Members {
+		for _, m := range rig.cluster.Members {
 			m.Stop()
 		}
-		removed := b.sample(rng, 15)
+		removed := p.sample(rng, 15)
 		for _, i := range removed {
-			b.remove(i)
+			p.remove(i)
 		}
 		var added []*etcdInstance
 		for range 15 {
-			i, err := b.add(time.Now())
+			i, err := p.add(time.Now())
 			if err != nil {
 				return nil, err
 			}
 			added = append(added, i)
 		}
-		if err := r.cluster.Compact(r.cluster.Revision()); err != nil {
+		if err := rig.cluster.Compact(rig.cluster.Revision()); err != nil {
 			return nil, err
 		}
 		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-		returned := time.Now()
-		for _, m := range r.cluster.Members {
+		restarted := time.Now()
+		for _, m := range rig.cluster.Members {
 			if err := m.Start(); err != nil {
 				return nil, err
 			}
 		}
-		word := map[*etcdInstance]time.Time{}
+		reportedAt := map[*etcdInstance]time.Time{}
 		for _, i := range removed {
-			if err := r.waitUntil(ctx, "the removal of "+i.name+" is seen", func() (is bool) { word[i], is = r.seenAt("service", i.name+" gone"); return is }); err != nil {
+			if err := rig.waitUntil(ctx, "the removal of "+i.name+" is reported", func() (ok bool) { reportedAt[i], ok = rig.seenAt("service", i.name+" gone"); return ok }); err != nil {
 				return nil, err
 			}
-			back = append(back, word[i].Sub(returned))
+			delays = append(delays, reportedAt[i].Sub(restarted))
 		}
 		for _, i := range added {
-			if err := r.waitUntil(ctx, i.name+" is seen", func() bool { _, is := r.seenAt("service", i.name+" ready"); return is }); err != nil {
+			if err := rig.waitUntil(ctx, i.name+" is reported", func() bool { _, ok := rig.seenAt("service", i.name+" ready"); return ok }); err != nil {
 				return nil, err
 			}
 		}
@@ -94,7 +97,7 @@
 			return nil, context.Cause(ctx)
 		}
 		for _, i := range removed {
-			for _, d := range i.lastRequests(word[i]) {
+			for _, d := range i.lastRequests(reportedAt[i]) {
 				if d > drainGrace {
 					late++
 				}
@@ -103,16 +106,16 @@
 		}
 		mu.Lock()
 		for name := range changes {
-			if b.instances[name] != nil && !slices.ContainsFunc(added, func(i *etcdInstance) bool { return i.name == name }) {
-				touched++
+			if p.instances[name] != nil && !slices.ContainsFunc(added, func(i *etcdInstance) bool { return i.name == name }) {
+				affected++
 			}
 		}
 		mu.Unlock()
 	}
-	ended(out)
+	stopLoad(out)
 	out.Report("removals in gaps that were compacted", float64(repeats*15))
-	reportPercentiles(out, "return of etcd to removal seen", back)
+	reportPercentiles(out, "return of etcd to removal seen", delays)
 	out.Check("senders at removed ones 500 ms after the word", float64(late), "0", late == 0)
-	out.Check("survivors of which something changed", float64(touched), "0", touched == 0)
+	out.Check("survivors of which something changed", float64(affected), "0", affected == 0)
 	return out, nil
 }
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -21,25 +21,26 @@
 	"kitewood/internal/lab/proxy"
 )
 
-// etcdPrefix is that of the drills' keys.
+// etcdPrefix is the prefix of the drills' keys in etcd.
 const etcdPrefix = "/web/"
 
-// listed is an instance that is listed in etcd and notes who sent to it.
+// etcdInstance is an instance that is listed in etcd and records the requests that reach it.
 type etcdInstance struct {
 	name, address string
 	server        *http.Server
-	removedAt     time.Time // when it was removed; zero while it is listed
+	removedAt     time.Time // from etcd; zero while it is listed
 
 	mu       sync.Mutex
 	requests []request
 }
 
-// arrival is a request.
+// request is a request that an instance received.
 type request struct {
 	at     time.Time
 	sender string
 }
 
+// newEtcdInstance starts an HTTP server on a free port. The path of a request names its sender.
 func newEtcdInstance(name string) (*etcdInstance, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +56,7 @@
 	return i, nil
 }
 
-// value is what etcd holds of it.
+// etcdValue returns the JSON value of the instance's key in etcd.
 func (i *etcdInstance) etcdValue(state string, started time.Time) string {
 	v := map[string]string{"address": i.address, "state": state}
 	if !started.IsZero() {
@@ -65,40 +66,41 @@
 	return string(text)
 }
 
-// last is, by sender, how long after a moment the last request came, of those that came after it.
+// lastRequests returns, by sender, how long after the given time its last request came. Senders without one are left out.
 func (i *etcdInstance) lastRequests(from time.Time) map[string]time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := map[string]time.Duration{}
-	for _, a := range i.requests {
-		if d := a.at.Sub(from); d > 0 {
-			out[a.sender] = max(out[a.sender], d)
+	for _, q := range i.requests {
+		if d := q.at.Sub(from); d > 0 {
+			out[q.sender] = max(out[q.sender], d)
 		}
 	}
 	return out
 }
 
-// etcdRig is a stand-in etcd, a control service that follows it, and proxies and sidecars that send to what it lists.
+// etcdRig is an emulated etcd cluster, a control service that watches it, and proxies and sidecars that send to the instances
+// it lists.
 type etcdRig struct {
 	cluster          *etcd.Cluster
 	service          *child.Control
 	admin            string
-	listAddress      string // where the merged list is offered
+	listAddress      string // where the control service serves the merged list
 	sidecars         []*child.Child
-	sidecarAddresses []string // of the sidecars
+	sidecarAddresses []string // of the sidecars' listeners
 	reserved         []*child.Address
 	tables           []*proxy.Table
 	wg               sync.WaitGroup
 	cancel           context.CancelFunc
 
 	mu        sync.Mutex
-	firstSeen map[string]map[string]time.Time // by who, by "name state" or address: when it was first so
-	onChange  func(control.MemberChange)      // set before start; may be nil
+	firstSeen map[string]map[string]time.Time // by observer and event, which is "NAME STATE", "ADDRESS in" or "ADDRESS out"
+	onChange  func(control.MemberChange)      // gets each member change that the control service reports; may be nil
 }
 
-// startEtcdRig starts all of it. more are further lines of the pool's members.
-func startEtcdRig(ctx context.Context, o Options, dir, more string, sidecars, proxies int, told func(control.MemberChange)) (r *etcdRig, err error) {
-	r = &etcdRig{firstSeen: map[string]map[string]time.Time{}, onChange: told, admin: filepath.Join(dir, "admin.sock")}
+// startEtcdRig starts all parts of a rig. memberOptions is appended to the YAML of the pool's members.
+func startEtcdRig(ctx context.Context, o Options, dir, memberOptions string, sidecars, proxies int, onChange func(control.MemberChange)) (r *etcdRig, err error) {
+	r = &etcdRig{firstSeen: map[string]map[string]time.Time{}, onChange: onChange, admin: filepath.Join(dir, "admin.sock")}
 	ctx, r.cancel = context.WithCancel(ctx)
 	defer func() {
 		if err != nil {
@@ -113,14 +115,14 @@
 	}
 	endpoints, _ := json.Marshal(r.cluster.Addresses())
 	rest := fmt.Sprintf("admin: %s\npools:\n  - {name: web, members: {etcd: {endpoints: %s, prefix: %s}, serve: %q%s}, "+
-		"classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\nroutes: [{hosts: [web.test], pool: web}]\n", r.admin, endpoints, etcdPrefix, r.listAddress, more)
+		"classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\nroutes: [{hosts: [web.test], pool: web}]\n", r.admin, endpoints, etcdPrefix, r.listAddress, memberOptions)
 	if r.service, err = child.StartControl(o.ControlBinary, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
 		return r, err
 	}
-	if err := r.waitUntil(ctx, "the service shows its members", func() bool { _, err := control.QueryMembers(r.admin); return err == nil }); err != nil {
+	if err := r.waitUntil(ctx, "the service answers the query of its members", func() bool { _, err := control.QueryMembers(r.admin); return err == nil }); err != nil {
 		return r, err
 	}
-	if told == nil && sidecars+proxies == 0 { // nobody asks what was seen when, and following costs the service a look at all
+	if onChange == nil && sidecars+proxies == 0 { // no event is needed, and a watch of the members makes the service scan all of them
 		return r, nil
 	}
 	r.wg.Go(func() {
@@ -133,34 +135,34 @@
 		})
 	})
 	for n := range proxies {
-		table, who := proxy.NewTable(), fmt.Sprintf("proxy-%d", n)
-		was := map[string]bool{}
+		table, observer := proxy.NewTable(), fmt.Sprintf("proxy-%d", n)
+		previous := map[string]bool{}
 		table.Changed = func(_ string, addresses []string) {
-			now := map[string]bool{}
+			current := map[string]bool{}
 			for _, a := range addresses {
-				if now[a] = true; !was[a] {
-					r.record(who, a+" in")
+				if current[a] = true; !previous[a] {
+					r.record(observer, a+" in")
 				}
 			}
-			for a := range was {
-				if !now[a] {
-					r.record(who, a+" out")
+			for a := range previous {
+				if !current[a] {
+					r.record(observer, a+" out")
 				}
 			}
-			was = now
+			previous = current
 		}
-		client := &proxy.Client{Node: who, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
+		client := &proxy.Client{Node: observer, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
 		r.wg.Go(func() { client.Run(ctx) })
 		r.tables = append(r.tables, table)
 	}
 	for n := range sidecars {
-		front, err := r.reserve()
+		address, err := r.reserve()
 		if err != nil {
 			return r, err
 		}
 		path := filepath.Join(dir, fmt.Sprintf("sidecar-%d.yaml", n))
 		text := fmt.Sprintf("name: sidecar-%d\nlisteners: [{address: %q}]\npools:\n  - {name: web, members: {discovery: %q}, sidecars: {me: %d, of: %d}, "+
-			"classes: [{name: any, effect: safe, aim: 1s, deadline: 3s}]}\nroutes: [{pool: web}]\n", n, front, r.listAddress, n, sidecars)
+			"classes: [{name: any, effect: safe, aim: 1s, deadline: 3s}]}\nroutes: [{pool: web}]\n", n, address, r.listAddress, n, sidecars)
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			return r, err
 		}
@@ -168,12 +170,12 @@
 		if err != nil {
 			return r, err
 		}
-		r.sidecars, r.sidecarAddresses = append(r.sidecars, s), append(r.sidecarAddresses, front)
+		r.sidecars, r.sidecarAddresses = append(r.sidecars, s), append(r.sidecarAddresses, address)
 	}
 	return r, nil
 }
 
-// reserve finds an address for a process of the rig, until its end.
+// reserve reserves an address for a process of the rig until the rig stops.
 func (r *etcdRig) reserve() (string, error) {
 	a, err := child.Reserve()
 	if err != nil {
@@ -183,90 +185,91 @@
 	return a.String(), nil
 }
 
-func (r *etcdRig) record(who, what string) {
+// record stores the time of an event, the first time that the observer sees it.
+func (r *etcdRig) record(observer, event string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.firstSeen[who] == nil {
-		r.firstSeen[who] = map[string]time.Time{}
+	if r.firstSeen[observer] == nil {
+		r.firstSeen[observer] = map[string]time.Time{}
 	}
-	if r.firstSeen[who][what].IsZero() {
-		r.firstSeen[who][what] = time.Now()
+	if r.firstSeen[observer][event].IsZero() {
+		r.firstSeen[observer][event] = time.Now()
 	}
 }
 
-// when is when somebody first saw something, and whether he has.
-func (r *etcdRig) seenAt(who, what string) (time.Time, bool) {
+// seenAt returns when the observer first saw an event, and whether it has.
+func (r *etcdRig) seenAt(observer, event string) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.firstSeen[who][what]
+	t := r.firstSeen[observer][event]
 	return t, !t.IsZero()
 }
 
-// list is the merged list as sidecars get it.
+// fetchList returns the merged list as the control service serves it to sidecars.
 func (r *etcdRig) fetchList() (string, error) {
-	a, err := http.Get("http://" + r.listAddress + "/registry/instances")
+	resp, err := http.Get("http://" + r.listAddress + "/registry/instances")
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
 	return string(text), err
 }
 
-// until waits until something is so.
-func (r *etcdRig) waitUntil(ctx context.Context, what string, is func() bool) error {
-	return waitUntil(ctx, r.service, what, is)
+// waitUntil polls until the condition holds, see waitUntil of the package.
+func (r *etcdRig) waitUntil(ctx context.Context, condition string, met func() bool) error {
+	return waitUntil(ctx, r.service, condition, met)
 }
 
-// load sends from all proxies and sidecars until the context ends or the function that it returns is called, which waits for
-// the end and tells how it went: no request may have failed, and no list have been emptied.
+// startLoad sends from all proxies and sidecars until the context ends or the returned function is called. That function waits for
+// the senders and checks that no request has failed and that no proxy's list was ever emptied.
 func (r *etcdRig) startLoad(ctx context.Context) func(*Outcome) {
 	ctx, stop := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	all, bad, note := 0, 0, ""
-	fault := func(who string, why any) bool {
+	requests, failures, lastFailure := 0, 0, ""
+	fail := func(sender string, cause any) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		note = fmt.Sprintf("%s: %v", who, why)
+		lastFailure = fmt.Sprintf("%s: %v", sender, cause)
 		return false
 	}
-	run := func(who string, where func() (string, error)) {
+	run := func(sender string, pickAddress func() (string, error)) {
 		wait.Go(func() {
 			client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 			defer client.CloseIdleConnections()
-			n, f := sendSteadily(ctx, func() bool {
-				address, err := where()
+			sent, failed := sendSteadily(ctx, func() bool {
+				address, err := pickAddress()
 				if err != nil {
-					return fault(who, err)
+					return fail(sender, err)
 				}
-				a, err := client.Get("http://" + address + "/" + who)
+				resp, err := client.Get("http://" + address + "/" + sender)
 				if err != nil {
-					return fault(who, err)
+					return fail(sender, err)
 				}
-				if a.Body.Close(); a.StatusCode != http.StatusOK {
-					return fault(who, a.Status)
+				if resp.Body.Close(); resp.StatusCode != http.StatusOK {
+					return fail(sender, resp.Status)
 				}
 				return true
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			all, bad = all+n, bad+f
+			requests, failures = requests+sent, failures+failed
 		})
 	}
 	for n, t := range r.tables {
 		run(fmt.Sprintf("proxy-%d", n), func() (string, error) { return t.Pick("web.test", "/", func(string) string { return "" }) })
 	}
-	for n, front := range r.sidecarAddresses {
-		run(fmt.Sprintf("sidecar-%d", n), func() (string, error) { return front, nil })
+	for n, address := range r.sidecarAddresses {
+		run(fmt.Sprintf("sidecar-%d", n), func() (string, error) { return address, nil })
 	}
 	return func(out *Outcome) {
 		stop()
 		wait.Wait()
-		out.Report("requests", float64(all))
-		out.Check("failed", float64(bad), "0", bad == 0)
-		if note != "" {
-			out.Notes = append(out.Notes, "the last failure: "+note)
+		out.Report("requests", float64(requests))
+		out.Check("failed", float64(failures), "0", failures == 0)
+		if lastFailure != "" {
+			out.Notes = append(out.Notes, "last failure: "+lastFailure)
 		}
 		for n, t := range r.tables {
 			out.Check(fmt.Sprintf("proxy-%d: lists emptied", n), float64(t.Emptied()), "0", t.Emptied() == 0)
@@ -274,18 +277,18 @@
 	}
 }
 
-// ready waits until all proxies and sidecars can send.
+// waitReady waits until all proxies and sidecars can send.
 func (r *etcdRig) waitReady(ctx context.Context) error {
 	return r.waitUntil(ctx, "all can send", func() bool {
 		if !allReady(r.tables) {
 			return false
 		}
-		for _, front := range r.sidecarAddresses {
-			a, err := http.Get("http://" + front + "/first") // what is told as ready may have an empty list yet
+		for _, address := range r.sidecarAddresses {
+			resp, err := http.Get("http://" + address + "/first") // a sidecar that reports readiness may still have an empty list
 			if err != nil {
 				return false
 			}
-			if a.Body.Close(); a.StatusCode != http.StatusOK {
+			if resp.Body.Close(); resp.StatusCode != http.StatusOK {
 				return false
 			}
 		}
@@ -293,7 +296,7 @@
 	})
 }
 
-// stop ends all of it.
+// stop ends all processes and goroutines of the rig.
 func (r *etcdRig) stop() {
 	if r.cancel != nil {
 		r.cancel()
@@ -314,12 +317,12 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// spread tells percentiles of some times, in milliseconds.
-func reportPercentiles(out *Outcome, what string, all []time.Duration) {
-	if slices.Sort(all); len(all) == 0 {
+// reportPercentiles reports the 50th, 99th and 100th percentile of durations in milliseconds. It sorts them.
+func reportPercentiles(out *Outcome, name string, durations []time.Duration) {
+	if slices.Sort(durations); len(durations) == 0 {
 		return
 	}
 	for _, p := range []float64{50, 99, 100} {
-		out.Report(fmt.Sprintf("%s, ms, p%g", what, p), float64(Percentile(all, p).Microseconds())/1000)
+		out.Report(fmt.Sprintf("%s, ms, p%g", name, p), float64(Percentile(durations, p).Microseconds())/1000)
 	}
 }
--- a/internal/lab/drill/etcdscale.go
+++ b/internal/lab/drill/etcdscale.go
@@ -12,25 +12,26 @@
 	"time"
 )
 
-// etcdScaleDrill measures how soon a change in etcd reaches those who watch the served list.
+// etcdScaleDrill measures how soon a change in etcd reaches the watchers of the served list.
 var etcdScaleDrill = Drill{
 	Name:         "etcd-scale",
-	Description:  "a change in etcd among 10 to 20,000 keys until 1 to 1,000 watchers of the served list have it",
+	Description:  "time from a change in etcd, with 10 to 20,000 keys, until 1 to 1,000 watchers of the served list receive it",
 	NeedsControl: true,
 	Run:          runEtcdScale,
 }
 
-// scaleMost is the bound of the long form: what a drain may take in all, so that the sidecar has the rest of 500 ms.
+// maxPropagation is the bound of the long form. A drain has 500 ms in all; the sidecar needs the rest.
 const maxPropagation = 250 * time.Millisecond
 
-// listWatcher is a watch of the served list that notes when names come.
+// listWatcher watches the served list and records when names arrive.
 type listWatcher struct {
 	conn   net.Conn
 	mu     sync.Mutex
 	seenAt map[string]time.Time
 }
 
-// watchList opens a watch and waits for its first line.
+// watchList opens a watch of the served list and waits for its first line. names extracts the names to record from each later
+// line.
 func watchList(address string, names func(line string) []string) (*listWatcher, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -43,7 +44,7 @@
 	in := bufio.NewReaderSize(conn, 64<<10)
 	first := make(chan error, 1)
 	go func() {
-		for told := false; ; {
+		for initialized := false; ; {
 			line, err := in.ReadString('\n')
 			if err != nil {
 				first <- err
@@ -52,8 +53,8 @@
 			if !strings.HasPrefix(line, "{") {
 				continue
 			}
-			if !told {
-				told = true
+			if !initialized {
+				initialized = true
 				first <- nil
 				continue
 			}
@@ -71,23 +72,24 @@
 	return w, nil
 }
 
+// runEtcdScale measures the propagation with several numbers of keys.
 func runEtcdScale(ctx context.Context, o Options) (*Outcome, error) {
-	keys, watchers, changes := []int{10, 1000, 20000}, []int{1, 100, 1000}, 20
+	keyCounts, watchers, changes := []int{10, 1000, 20000}, []int{1, 100, 1000}, 20
 	if o.Short {
-		keys, watchers, changes = []int{100}, []int{20}, 5
+		keyCounts, watchers, changes = []int{100}, []int{20}, 5
 	}
 	out := &Outcome{}
-	for _, n := range keys {
-		if err := measureEtcdScale(ctx, o, out, n, watchers, min(changes, n/3)); err != nil {
-			return nil, fmt.Errorf("%d keys: %w", n, err)
+	for _, keys := range keyCounts {
+		if err := measureEtcdScale(ctx, o, out, keys, watchers, min(changes, keys/3)); err != nil {
+			return nil, fmt.Errorf("%d keys: %w", keys, err)
 		}
 	}
 	return out, nil
 }
 
-// scaleOf measures with one number of keys.
-func measureEtcdScale(ctx context.Context, o Options, out *Outcome, n int, watchers []int, changes int) error {
-	dir, err := makeDir(o, fmt.Sprintf("etcd-scale-%d", n))
+// measureEtcdScale measures the propagation with keys keys in etcd, for each number of watchers.
+func measureEtcdScale(ctx context.Context, o Options, out *Outcome, keys int, watchers []int, changes int) error {
+	dir, err := makeDir(o, fmt.Sprintf("etcd-scale-%d", keys))
 	if err != nil {
 		return err
 	}
@@ -96,68 +98,68 @@
 		return err
 	}
 	defer r.stop()
-	name := func(i int) string { return fmt.Sprintf("k%05d", i) }
-	instance := func(i int) *etcdInstance { return &etcdInstance{address: fmt.Sprintf("127.%d.%d.1:1", 1+i>>8, i&255)} }
-	for i := range n {
-		r.cluster.Put(etcdPrefix+name(i), instance(i).etcdValue("ready", time.Time{}))
+	keyName := func(i int) string { return fmt.Sprintf("k%05d", i) }
+	instanceAt := func(i int) *etcdInstance { return &etcdInstance{address: fmt.Sprintf("127.%d.%d.1:1", 1+i>>8, i&255)} }
+	for i := range keys {
+		r.cluster.Put(etcdPrefix+keyName(i), instanceAt(i).etcdValue("ready", time.Time{}))
 	}
 	next := 0
-	var open []*listWatcher
+	var watches []*listWatcher
 	defer func() {
-		for _, w := range open {
+		for _, w := range watches {
 			w.conn.Close()
 		}
 	}()
-	var sought atomic.Value // the name that is waited for
+	var sought atomic.Value // the name that the watchers look for
 	sought.Store("none")
-	if err := r.waitUntil(ctx, "the service has all keys", func() bool {
-		text, err := r.fetchList()
-		return err == nil && strings.Count(text, `"name"`) == n
+	if err := r.waitUntil(ctx, "the service lists all keys", func() bool {
+		list, err := r.fetchList()
+		return err == nil && strings.Count(list, `"name"`) == keys
 	}); err != nil {
 		return err
 	}
 	for _, count := range watchers {
-		for len(open) < count {
+		for len(watches) < count {
 			w, err := watchList(r.listAddress, func(line string) []string {
-				if x := sought.Load().(string); strings.Contains(line, x) {
-					return []string{x}
+				if name := sought.Load().(string); strings.Contains(line, name) {
+					return []string{name}
 				}
 				return nil
 			})
 			if err != nil {
 				return err
 			}
-			open = append(open, w)
+			watches = append(watches, w)
 		}
 		cpu := r.service.CPU()
-		began := time.Now()
-		var all []time.Duration
+		start := time.Now()
+		var delays []time.Duration
 		for range max(1, changes/len(watchers)) {
-			x := name(next)
-			sought.Store(x)
-			from := time.Now()
-			r.cluster.Put(etcdPrefix+x, instance(next).etcdValue("draining", time.Time{}))
+			name := keyName(next)
+			sought.Store(name)
+			changed := time.Now()
+			r.cluster.Put(etcdPrefix+name, instanceAt(next).etcdValue("draining", time.Time{}))
 			next++
-			for _, w := range open {
-				if err := r.waitUntil(ctx, "all have "+x, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.seenAt[x].IsZero() }); err != nil {
+			for _, w := range watches {
+				if err := r.waitUntil(ctx, "all watchers have received "+name, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return !w.seenAt[name].IsZero() }); err != nil {
 					return err
 				}
-				all = append(all, w.seenAt[x].Sub(from))
+				delays = append(delays, w.seenAt[name].Sub(changed))
 			}
 		}
-		at := fmt.Sprintf("%d keys, %d watchers: ", n, count)
-		slices.Sort(all)
+		prefix := fmt.Sprintf("%d keys, %d watchers: ", keys, count)
+		slices.Sort(delays)
 		for _, p := range []float64{50, 99} {
-			out.Report(fmt.Sprintf("%sms, p%g", at, p), float64(Percentile(all, p).Microseconds())/1000)
+			out.Report(fmt.Sprintf("%sms, p%g", prefix, p), float64(Percentile(delays, p).Microseconds())/1000)
 		}
-		longest := all[len(all)-1]
-		if o.Short { // a shared machine promises no more
-			out.Check(at+"longest, s", longest.Seconds(), "under 10", longest < 10*time.Second)
+		longest := delays[len(delays)-1]
+		if o.Short { // a shared machine guarantees no more
+			out.Check(prefix+"longest, s", longest.Seconds(), "under 10", longest < 10*time.Second)
 		} else {
-			out.Check(at+"longest, ms", float64(longest.Microseconds())/1000, fmt.Sprintf("at most %d", maxPropagation.Milliseconds()), longest <= maxPropagation)
+			out.Check(prefix+"longest, ms", float64(longest.Microseconds())/1000, fmt.Sprintf("at most %d", maxPropagation.Milliseconds()), longest <= maxPropagation)
 		}
-		out.Report(at+"cores", (r.service.CPU()-cpu).Seconds()/time.Since(began).Seconds())
-		out.Report(at+"memory, MB", float64(r.service.Memory("VmRSS")>>20))
+		out.Report(prefix+"cores", (r.service.CPU()-cpu).Seconds()/time.Since(start).Seconds())
+		out.Report(prefix+"memory, MB", float64(r.service.Memory("VmRSS")>>20))
 	}
 	return nil
 }
--- a/internal/lab/drill/fleetoverload.go
+++ b/internal/lab/drill/fleetoverload.go
@@ -9,50 +9,51 @@
 	"time"
 
 	"kitewood/internal/lab/account"
-	rig "kitewood/internal/lab/fleet"
+	"kitewood/internal/lab/fleet"
 	"kitewood/internal/lab/ledger"
 	"kitewood/internal/lab/results"
 )
 
-// fleetOverloadDrill brings overload and failing parts to a fleet of sidecars.
+// fleetOverloadDrill drives a fleet of sidecars into overload and injects faults.
 var fleetOverloadDrill = Drill{
 	Name:        "fleet-overload",
-	Description: "a fleet of sidecars in overload, with parts that fail: the worthiest is served, nothing multiplies, service is back in 5 s",
-	Defects:     rig.WrongNames(),
+	Description: "a fleet of sidecars in overload and with faults: the class of the highest utility is served, attempts do not multiply, service recovers within 5 s",
+	Defects:     fleet.WrongNames(),
 	Run:         runFleetOverload,
 }
 
 const (
-	maxAttempts        = 1.15 // attempts for an operation, as a multiple of a calm run's
-	maxLostWork        = 0.08 // share of the work done whose answer nobody got
-	minRecovery        = 0.95 // of calm service, backWithin after the trouble's end
+	maxAttempts        = 1.15 // attempts per request, as a multiple of a calm run's
+	maxLostWork        = 0.08 // share of the work done whose response reached no client
+	minRecovery        = 0.95 // share of the calm service, recoveryTime after the end of the fault
 	recoveryTime       = 5 * time.Second
-	minOverloadUtility = 0.85  // worth served at twice the capacity, beside that at the capacity
-	minTopClassShare   = 0.95  // of the worthiest class, while anything of the least is served
-	maxRetryAdmitted   = 0.015 // of the tries of those that the entry has refused, while a lower tier declines
-	maxRejectionSpread = 0.1   // between the refusals of two sidecars with like traffic
+	minOverloadUtility = 0.85  // utility served at twice the capacity, relative to that at the capacity
+	minTopClassShare   = 0.95  // served share of the class of the highest utility, while any request of the lowest is served
+	maxRetryAdmitted   = 0.015 // share of the retries after a rejection at the entry that are admitted while a lower tier rejects
+	maxRejectionSpread = 0.1   // difference between the rejected shares of two sidecars with similar traffic
 )
 
-// fleetPlay is one run of a case.
+// fleetRun is one run of a case.
 type fleetRun struct {
-	rig.Case
+	fleet.Case
 	sidecars int
 	seed     uint64
 	dir      string
-	*rig.Result
+	*fleet.Result
 }
 
-func (p *fleetRun) String() string {
-	return fmt.Sprintf("%s, %d sidecars, seed %d", p.Name, p.sidecars, p.seed)
+// String identifies the run in names of metrics.
+func (r *fleetRun) String() string {
+	return fmt.Sprintf("%s, %d sidecars, seed %d", r.Name, r.sidecars, r.seed)
 }
 
-// playFleet plays a case; the short form takes half of its time.
+// runFleetCase runs a case; the short form takes half of its time.
 func runFleetCase(ctx context.Context, o Options, name string, sidecars int, seed uint64) (*fleetRun, error) {
-	c, s, err := rig.Find(name)
+	c, s, err := fleet.Find(name)
 	if err != nil {
 		return nil, err
 	}
-	if err := rig.Wrong(s, o.Defect); err != nil {
+	if err := fleet.Wrong(s, o.Defect); err != nil {
 		return nil, err
 	}
 	if o.Short {
@@ -63,41 +64,42 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := rig.Play(ctx, rig.Options{Scenario: s, Sidecars: sidecars, Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
+	result, err := fleet.Play(ctx, fleet.Options{Scenario: s, Sidecars: sidecars, Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if r.Summary.CutShort {
+	if result.Summary.CutShort {
 		return nil, context.Cause(ctx)
 	}
-	return &fleetRun{c, sidecars, seed, dir, r}, nil
+	return &fleetRun{c, sidecars, seed, dir, result}, nil
 }
 
+// runFleetOverload runs the cases with fleets of several sizes and seeds and checks each run.
 func runFleetOverload(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
-	names, sizes, seeds := rig.Names(), []int{12, 24, 48}, o.repeats(3, 1)
+	cases, sizes, seeds := fleet.Names(), []int{12, 24, 48}, o.repeats(3, 1)
 	if o.Short {
-		names, sizes = []string{"calm", "double", "circle"}, []int{6}
+		cases, sizes = []string{"calm", "double", "circle"}, []int{6}
 	}
-	held := &fleetChecks{out: out, short: o.Short}
+	checks := &fleetChecks{out: out, short: o.Short}
 	for n := range seeds {
 		for _, sidecars := range sizes {
-			plays, err := runFleetCases(ctx, o, names, sidecars, o.Seed+uint64(n))
+			runs, err := runFleetCases(ctx, o, cases, sidecars, o.Seed+uint64(n))
 			if err != nil {
 				return nil, err
 			}
-			for _, p := range plays {
-				held.checkRun(p, plays[0])
+			for _, r := range runs {
+				checks.checkRun(r, runs[0])
 			}
 		}
 	}
-	held.checkRetries()
+	checks.checkRetries()
 	if !o.Short {
 		small, err := runFleetCase(ctx, o, "slow", 6, o.Seed)
 		if err != nil {
 			return nil, err
 		}
-		held.checkProbes(small)
+		checks.checkProbes(small)
 	}
 	if o.Defect == "" {
 		if err := compareClosedLoops(ctx, o, out); err != nil {
@@ -107,139 +109,139 @@
 	return out, nil
 }
 
-// playAll plays cases with one fleet, as many side by side as leave each process some part of a core.
-func runFleetCases(ctx context.Context, o Options, names []string, sidecars int, seed uint64) ([]*fleetRun, error) {
-	plays, errs := make([]*fleetRun, len(names)), make([]error, len(names))
-	places := make(chan bool, max(1, 8*runtime.NumCPU()/sidecars))
-	var open sync.WaitGroup
-	for i, name := range names {
-		places <- true
-		open.Go(func() {
-			defer func() { <-places }()
-			plays[i], errs[i] = runFleetCase(ctx, o, name, sidecars, seed)
+// runFleetCases runs cases with one size of fleet, concurrently as far as each process gets a part of a core.
+func runFleetCases(ctx context.Context, o Options, cases []string, sidecars int, seed uint64) ([]*fleetRun, error) {
+	runs, errs := make([]*fleetRun, len(cases)), make([]error, len(cases))
+	slots := make(chan bool, max(1, 8*runtime.NumCPU()/sidecars))
+	var wg sync.WaitGroup
+	for i, name := range cases {
+		slots <- true
+		wg.Go(func() {
+			defer func() { <-slots }()
+			runs[i], errs[i] = runFleetCase(ctx, o, name, sidecars, seed)
 		})
 	}
-	open.Wait()
-	return plays, errors.Join(errs...)
+	wg.Wait()
+	return runs, errors.Join(errs...)
 }
 
-// held gathers what the runs showed.
+// fleetChecks checks runs and accumulates what is checked over all of them.
 type fleetChecks struct {
 	out    *Outcome
 	short  bool
 	slow48 *fleetRun
 
-	retries, admitted int // see account.Again
+	retries, admitted int // over all runs: retries after a rejection at the entry, and those of them that were admitted
 }
 
-// play holds one run to what the drill promises, beside the calm run of the same rig.
-func (h *fleetChecks) checkRun(p, calm *fleetRun) {
-	out, a, at := h.out, p.Account, p.String()+": "
-	broken := p.Summary.Broken()
-	out.Check(at+"broken rules", float64(broken), "0", broken == 0)
-	for _, b := range p.Breaches[:min(len(p.Breaches), 3)] {
-		out.Notes = append(out.Notes, at+b.String())
-	}
-	if p == calm {
-		out.Report(at+"attempts for an operation", a.PerOp)
-		out.Report(at+"service", calmServiceShare(calm))
+// checkRun checks one run against the drill's bounds, relative to the calm run of the same fleet.
+func (c *fleetChecks) checkRun(r, calm *fleetRun) {
+	out, a, prefix := c.out, r.Account, r.String()+": "
+	broken := r.Summary.Broken()
+	out.Check(prefix+"broken rules", float64(broken), "0", broken == 0)
+	for _, b := range r.Breaches[:min(len(r.Breaches), 3)] {
+		out.Notes = append(out.Notes, prefix+b.String())
+	}
+	if r == calm {
+		out.Report(prefix+"attempts for an operation", a.PerOp)
+		out.Report(prefix+"service", calmServiceShare(calm))
 		return
 	}
-	if p.sidecars == 48 && p.Name == "slow" {
-		h.slow48 = p
-	}
-	bound := maxAttempts
-	if h.short { // few operations: chance is larger
-		bound = 1.4
-	}
-	times := a.PerOp / calm.Account.PerOp
-	out.Check(at+"attempts for an operation, times calm", times, fmt.Sprintf("at most %g", bound), times <= bound)
-	out.Check(at+"work for answers that nobody got", a.Lost, fmt.Sprintf("at most %g", maxLostWork), a.Lost <= maxLostWork || h.short)
-	if p.Last > p.To+recoveryTime+2*time.Second {
-		back, _ := a.Served(account.All, p.To+recoveryTime, p.Last)
-		of := back / calmServiceShare(calm)
-		least := minRecovery
-		if h.short {
-			least = 0.8
+	if r.sidecars == 48 && r.Name == "slow" {
+		c.slow48 = r
+	}
+	maxRatio := maxAttempts
+	if c.short { // few requests, so more variance
+		maxRatio = 1.4
+	}
+	ratio := a.PerOp / calm.Account.PerOp
+	out.Check(prefix+"attempts for an operation, times calm", ratio, fmt.Sprintf("at most %g", maxRatio), ratio <= maxRatio)
+	out.Check(prefix+"work for answers that nobody got", a.Lost, fmt.Sprintf("at most %g", maxLostWork), a.Lost <= maxLostWork || c.short)
+	if r.Last > r.To+recoveryTime+2*time.Second {
+		served, _ := a.Served(account.All, r.To+recoveryTime, r.Last)
+		recovered := served / calmServiceShare(calm)
+		minShare := minRecovery
+		if c.short {
+			minShare = 0.8
 		}
-		out.Check(at+"service 5 s after the end, of calm", of, fmt.Sprintf("at least %g", least), of >= least)
+		out.Check(prefix+"service 5 s after the end, of calm", recovered, fmt.Sprintf("at least %g", minShare), recovered >= minShare)
 	}
-	switch p.Name {
+	switch r.Name {
 	case "double":
-		h.checkDouble(p, at)
+		c.checkDouble(r, prefix)
 	case "busy", "circle":
-		entries, err := results.Lines[ledger.Entry](p.dir, results.LedgerFile)
+		entries, err := results.Lines[ledger.Entry](r.dir, results.LedgerFile)
 		if err != nil {
-			out.Check(at+"its ledger can be read: "+err.Error(), 0, "1", false)
+			out.Check(prefix+"its ledger can be read: "+err.Error(), 0, "1", false)
 			return
 		}
-		tries, in := account.Again(entries, p.From+3*time.Second/2, p.To)
-		h.retries, h.admitted = h.retries+tries, h.admitted+in
-		if p.Name == "circle" {
+		retries, admitted := account.Again(entries, r.From+3*time.Second/2, r.To)
+		c.retries, c.admitted = c.retries+retries, c.admitted+admitted
+		if r.Name == "circle" {
 			loops := countLoopRejections(entries)
-			out.Check(at+"operations refused as going in a circle", float64(loops), "above 0", loops > 0)
+			out.Check(prefix+"operations refused as going in a circle", float64(loops), "above 0", loops > 0)
 		}
 	}
 }
 
-// again holds that who was refused does not win by asking again, over all runs.
-func (h *fleetChecks) checkRetries() {
-	share := float64(h.admitted) / float64(max(h.retries, 1))
-	h.out.Report("tries after a refusal at the entry, while a lower tier declines", float64(h.retries))
-	if h.short {
-		h.out.Report("share of them that was let in", share)
+// checkRetries checks, over all runs, that a client does not gain admission by retrying a rejected request.
+func (c *fleetChecks) checkRetries() {
+	share := float64(c.admitted) / float64(max(c.retries, 1))
+	c.out.Report("tries after a refusal at the entry, while a lower tier declines", float64(c.retries))
+	if c.short {
+		c.out.Report("share of them that was let in", share)
 	} else {
-		h.out.Check("share of them that was let in", share, fmt.Sprintf("at most %g", maxRetryAdmitted), share <= maxRetryAdmitted)
+		c.out.Check("share of them that was let in", share, fmt.Sprintf("at most %g", maxRetryAdmitted), share <= maxRetryAdmitted)
 	}
 }
 
-// double holds what is served at twice the capacity.
-func (h *fleetChecks) checkDouble(p *fleetRun, at string) {
-	out, a := h.out, p.Account
-	full := rig.FullFrom
-	if h.short {
-		full /= 2
+// checkDouble checks what is served at twice the capacity.
+func (c *fleetChecks) checkDouble(r *fleetRun, prefix string) {
+	out, a := c.out, r.Account
+	capacityFrom := fleet.FullFrom
+	if c.short {
+		capacityFrom /= 2
 	}
-	of := a.Worth(p.From+2*time.Second, p.To) / a.Worth(full+time.Second, p.From)
-	worthy, _ := a.Served(1, p.From+2*time.Second, p.To)
-	least, _ := a.Served(0, p.From+2*time.Second, p.To)
+	ratio := a.Worth(r.From+2*time.Second, r.To) / a.Worth(capacityFrom+time.Second, r.From)
+	highest, _ := a.Served(1, r.From+2*time.Second, r.To)
+	lowest, _ := a.Served(0, r.From+2*time.Second, r.To)
 	spread := a.Tiers[0].Spread
-	if h.short {
-		out.Check(at+"worth served at twice the capacity, of that at the capacity", of, "at least 0.6", of >= 0.6)
-		out.Report(at+"served of the worthiest class", worthy)
+	if c.short {
+		out.Check(prefix+"worth served at twice the capacity, of that at the capacity", ratio, "at least 0.6", ratio >= 0.6)
+		out.Report(prefix+"served of the worthiest class", highest)
 	} else {
-		out.Check(at+"worth served at twice the capacity, of that at the capacity", of, fmt.Sprintf("at least %g", minOverloadUtility), of >= minOverloadUtility)
-		out.Check(at+"served of the worthiest class", worthy, fmt.Sprintf("at least %g", minTopClassShare), worthy >= minTopClassShare)
-		out.Check(at+"refusals of sidecars differ by", spread, fmt.Sprintf("at most %g", maxRejectionSpread), spread <= maxRejectionSpread)
+		out.Check(prefix+"worth served at twice the capacity, of that at the capacity", ratio, fmt.Sprintf("at least %g", minOverloadUtility), ratio >= minOverloadUtility)
+		out.Check(prefix+"served of the worthiest class", highest, fmt.Sprintf("at least %g", minTopClassShare), highest >= minTopClassShare)
+		out.Check(prefix+"refusals of sidecars differ by", spread, fmt.Sprintf("at most %g", maxRejectionSpread), spread <= maxRejectionSpread)
 	}
-	out.Report(at+"served of the least worthy class", least)
+	out.Report(prefix+"served of the least worthy class", lowest)
 }
 
-// beside holds probes and trials at an instance of a large fleet to those of a small one.
-func (h *fleetChecks) checkProbes(small *fleetRun) {
-	if h.slow48 == nil {
+// checkProbes checks that an instance gets about as many probes and probation attempts from a large fleet as from a small one.
+func (c *fleetChecks) checkProbes(small *fleetRun) {
+	if c.slow48 == nil {
 		return
 	}
-	count := func(p *fleetRun) float64 {
+	perInstance := func(r *fleetRun) float64 {
 		sum, n := 0, 0
-		for _, i := range p.Account.Instances {
+		for _, i := range r.Account.Instances {
 			sum += i.Probes.Count + i.Trials.Count
 			n++
 		}
 		return float64(sum) / float64(max(n, 1))
 	}
-	few, many := count(small), count(h.slow48)
-	h.out.Report("slow: probes and trials at an instance, 6 sidecars", few)
-	h.out.Check("slow: probes and trials at an instance, 48 sidecars", many, "at most 1.5 times those at 6", many <= 1.5*max(few, 1))
+	few, many := perInstance(small), perInstance(c.slow48)
+	c.out.Report("slow: probes and trials at an instance, 6 sidecars", few)
+	c.out.Check("slow: probes and trials at an instance, 48 sidecars", many, "at most 1.5 times those at 6", many <= 1.5*max(few, 1))
 }
 
-// calmService is the share served in a calm run, from its third second on.
+// calmServiceShare returns the share of requests served in a calm run, from 2 s after its start.
 func calmServiceShare(calm *fleetRun) float64 {
 	share, _ := calm.Account.Served(account.All, 2*time.Second, calm.Last)
 	return share
 }
 
-// refusedInCircles counts the answers of 508.
+// countLoopRejections counts responses with status 508, which reject requests that loop.
 func countLoopRejections(entries []ledger.Entry) (n int) {
 	for _, e := range entries {
 		if e.Kind == ledger.Answered && e.Status == 508 {
--- a/internal/lab/drill/instances.go
+++ b/internal/lab/drill/instances.go
@@ -15,7 +15,7 @@
 	"kitewood/internal/listfile"
 )
 
-// instance is a destination that notes when requests came.
+// instance is an emulated server that records when requests arrive.
 type instance struct {
 	name, address string
 	stop          func()
@@ -24,6 +24,7 @@
 	requests []time.Time
 }
 
+// record stores the arrival of a request.
 func (i *instance) record() {
 	now := time.Now()
 	i.mu.Lock()
@@ -31,7 +32,7 @@
 	i.mu.Unlock()
 }
 
-// since are the times of requests that came after a moment, from it, up to another.
+// requestsBetween returns the requests after from and before to, each as the time since from.
 func (i *instance) requestsBetween(from, to time.Time) (out []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -43,19 +44,19 @@
 	return out
 }
 
-// grpcHealth answers health checks, which the drill uses as its calls.
+// healthServer is a gRPC health service; the drills use its checks as their calls.
 type healthServer struct {
 	grpc_health_v1.UnimplementedHealthServer
 	*instance
 }
 
-// Check counts a call.
+// Check records a call.
 func (h healthServer) Check(context.Context, *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
 	h.record()
 	return &grpc_health_v1.HealthCheckResponse{Status: grpc_health_v1.HealthCheckResponse_SERVING}, nil
 }
 
-// newInstance starts an instance that speaks HTTP/1.1 or gRPC.
+// newInstance starts an instance that serves HTTP/1.1 or, if rpc is set, gRPC.
 func newInstance(name string, rpc bool) (*instance, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,63 +76,64 @@
 	return i, nil
 }
 
-// fleet is the instances of a pool, those before it too, and its list file.
+// filePool is a pool whose list is a file, with all of its instances, including former ones.
 type filePool struct {
 	name, path string
 	rpc        bool
 	members    []*member
 }
 
-// member is an instance with its life.
+// member is an instance of a filePool with its state.
 type member struct {
 	*instance
-	started       time.Time // zero for long ago
-	drainingSince time.Time // the word that it drains; zero while it does not
+	started       time.Time // zero for an instance past slow start
+	drainingSince time.Time // zero if it does not drain
 	gone          bool
 }
 
-// newFleet starts a number of instances that have long been up, and writes their list into a folder.
-func newFilePool(dir, pool string, rpc bool, n int) (*filePool, error) {
-	f := &filePool{name: pool, path: filepath.Join(dir, pool+".yaml"), rpc: rpc}
+// newFilePool starts n instances that are past slow start and writes their list into dir.
+func newFilePool(dir, name string, rpc bool, n int) (*filePool, error) {
+	p := &filePool{name: name, path: filepath.Join(dir, name+".yaml"), rpc: rpc}
 	for range n {
-		if err := f.add(time.Time{}); err != nil {
-			f.stop()
+		if err := p.add(time.Time{}); err != nil {
+			p.stop()
 			return nil, err
 		}
 	}
-	return f, f.writeList()
+	return p, p.writeList()
 }
 
-// add starts an instance.
-func (f *filePool) add(started time.Time) error {
-	i, err := newInstance(fmt.Sprintf("%s-%d", f.name, len(f.members)), f.rpc)
+// add starts an instance; the list is not yet written.
+func (p *filePool) add(started time.Time) error {
+	i, err := newInstance(fmt.Sprintf("%s-%d", p.name, len(p.members)), p.rpc)
 	if err == nil {
-		f.members = append(f.members, &member{instance: i, started: started})
+		p.members = append(p.members, &member{instance: i, started: started})
 	}
 	return err
 }
 
-// write writes the list.
-func (f *filePool) writeList() error {
+// writeList writes the list file, without instances that are gone.
+func (p *filePool) writeList() error {
 	var out []listfile.Endpoint
-	for _, m := range f.members {
+	for _, m := range p.members {
 		if m.gone {
 			continue
 		}
-		d := listfile.Endpoint{Name: m.name, Address: m.address}
+		e := listfile.Endpoint{Name: m.name, Address: m.address}
 		if !m.drainingSince.IsZero() {
-			d.State = "draining"
+			e.State = "draining"
 		}
 		if !m.started.IsZero() {
-			d.Started = m.started.UTC().Format(time.RFC3339Nano)
+			e.Started = m.started.UTC().Format(time.RFC3339Nano)
 		}
-		out = append(out, d)
+		out = append(out, e)
 	}
-	return listfile.Write(f.path, out)
+	return listfile.Write(p.path, out)
 }
 
-func (f *filePool) stop() {
-	for _, m := range f.members {
+// stop ends all instances.
+func (p *filePool) stop() {
+	for _, m := range p.members {
 		m.stop()
 	}
 }
--- a/internal/lab/drill/leftovers.go
+++ b/internal/lab/drill/leftovers.go
@@ -11,10 +11,10 @@
 	"kitewood/internal/lab/emulator"
 )
 
-// leftoversDrill interrupts a run in the middle of its troubles.
+// leftoversDrill interrupts a run while faults are active.
 var leftoversDrill = Drill{
 	Name:        "leftovers",
-	Description: "a run interrupted under load: it ends within 8 s, keeps what was seen, and leaves no process and no listener",
+	Description: "a run interrupted under load: it ends within 8 s, keeps the recorded entries, and leaves no process and no listener",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		s, err := findScenario("everything")
 		if err != nil {
@@ -25,15 +25,15 @@
 		if err != nil {
 			return nil, err
 		}
-		cut, cancel := context.WithCancel(ctx)
+		runCtx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		var left time.Time
-		time.AfterFunc(6*time.Second, func() { left = time.Now(); cancel() })
-		r, err := emulator.Run(cut, emulator.Options{Scenario: s, Seed: o.Seed, Binary: o.Binary, Dir: dir, Log: o.Log})
+		var interrupted time.Time
+		time.AfterFunc(6*time.Second, func() { interrupted = time.Now(); cancel() })
+		r, err := emulator.Run(runCtx, emulator.Options{Scenario: s, Seed: o.Seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 		if err != nil {
 			return nil, err
 		}
-		took := time.Since(left)
+		took := time.Since(interrupted)
 		out := &Outcome{}
 		out.Check("marked as cut short", boolValue(r.Cut), "1", r.Cut)
 		out.Check("seconds to end", took.Seconds(), "at most 8", took <= 8*time.Second)
@@ -52,6 +52,7 @@
 	},
 }
 
+// boolValue returns 1 for true and 0 for false.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
@@ -59,24 +60,24 @@
 	return 0
 }
 
-// Children are the processes whose environment names a folder, as every sidecar of a run there does.
+// SidecarProcesses returns the ids of the processes whose environment names a configuration in dir, as the sidecars of a run do.
 func SidecarProcesses(dir string) ([]string, error) {
 	abs, err := filepath.Abs(dir)
 	if err != nil {
 		return nil, err
 	}
-	all, err := filepath.Glob("/proc/[0-9]*/environ")
+	paths, err := filepath.Glob("/proc/[0-9]*/environ")
 	var out []string
-	for _, path := range all {
-		text, rerr := os.ReadFile(path)
-		if rerr == nil && (bytes.Contains(text, []byte("ROUTER_CONFIG="+abs+"/")) || bytes.Contains(text, []byte("ROUTER_CONFIG="+dir+"/"))) {
+	for _, path := range paths {
+		env, rerr := os.ReadFile(path)
+		if rerr == nil && (bytes.Contains(env, []byte("ROUTER_CONFIG="+abs+"/")) || bytes.Contains(env, []byte("ROUTER_CONFIG="+dir+"/"))) {
 			out = append(out, filepath.Base(filepath.Dir(path)))
 		}
 	}
 	return out, err
 }
 
-// listening counts the listeners of this machine whose port, in hexadecimal, begins so.
+// countListeners counts this machine's listeners whose port, in hexadecimal, begins with the given digits.
 func countListeners(port string) (int, error) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
--- a/internal/lab/drill/pools.go
+++ b/internal/lab/drill/pools.go
@@ -8,33 +8,33 @@
 	"kitewood/internal/lab/services"
 )
 
-// poolsDrill brings trouble to one pool of three.
+// poolsDrill injects a fault into one pool of three.
 var poolsDrill = Drill{
 	Name:        "pools",
-	Description: "one pool of three freezes, is flooded, fails, comes and goes, or all descriptors are asked for: the others serve as before",
+	Description: "one pool of three freezes, is flooded, fails, appears and disappears, or all file descriptors are requested: the others serve as before",
 	Run:         runPools,
 }
 
-// poolLimit is how many operations the troubled pool may have open.
+// maxInFlight is the in-flight limit of the faulty pool.
 const maxInFlight = 20
 
-// poolDay is a day on which the pool named sick has a trouble.
+// poolScenario returns a scenario in which the pool named sick has the named fault from lead on, for duration d.
 func poolScenario(name string, lead, d time.Duration) *services.Scenario {
 	s := &services.Scenario{Name: name, Duration: services.Duration(lead + d), Pools: []services.Pool{
 		{Name: "sick", Guaranteed: maxInFlight / 2, Most: maxInFlight}, {Name: "shop"}, {Name: "partner"}}}
-	trouble := services.Trouble{Kind: name, Pool: "sick", At: services.Duration(lead), For: services.Duration(d)}
+	fault := services.Trouble{Kind: name, Pool: "sick", At: services.Duration(lead), For: services.Duration(d)}
 	switch name {
 	case "none":
-	case "flood": // ten times what its limit lets through
+	case "flood": // ten times the rate that its limit admits
 		s.Pools[0].Delay = services.Duration(200 * time.Millisecond)
 		s.Pools[0].Rate = 10 * maxInFlight / s.Pools[0].Delay.D().Seconds()
 	case "crowd":
-		s.Sockets, trouble.Pool, trouble.Size = 128, "", 256
+		s.Sockets, fault.Pool, fault.Size = 128, "", 256
 		fallthrough
 	default:
-		s.Troubles = []services.Trouble{trouble}
+		s.Troubles = []services.Trouble{fault}
 	}
-	if d < 10*time.Second { // the short form: a process ends within its longest deadline
+	if d < 10*time.Second { // the short form: a process takes up to its longest deadline to end
 		for i := range s.Pools {
 			s.Pools[i].Deadline = services.Duration(time.Second)
 		}
@@ -43,82 +43,84 @@
 	return s
 }
 
-// runPools plays each trouble on a process of its own, and none right before each to know the spread: a machine that others
-// use, too, changes over the minutes that the long form takes.
+// runPools runs each fault on a process of its own. In the long form a run without a fault precedes each, to measure the variance:
+// a machine that others use as well changes over the minutes that this form takes.
 func runPools(ctx context.Context, o Options) (*Outcome, error) {
 	lead, d := 2*time.Second, 60*time.Second
 	if o.Short {
 		lead, d = time.Second/2, 3*time.Second/2
 	}
 	out := &Outcome{}
-	worstP99, leastP99, leastShare := 0.0, 0.0, 1.0
-	quiet := func(n int) error {
+	maxP99, minP99, minShare := 0.0, 0.0, 1.0
+	runBaseline := func(n int) error {
 		r, err := runPoolScenario(ctx, o, poolScenario("none", lead, d), o.Seed+uint64(n))
 		if err != nil {
 			return err
 		}
 		share, p99 := otherPools(r)
-		if n == 0 || p99 < leastP99 {
-			leastP99 = p99
+		if n == 0 || p99 < minP99 {
+			minP99 = p99
 		}
-		worstP99, leastShare = max(worstP99, p99), min(leastShare, share)
+		maxP99, minShare = max(maxP99, p99), min(minShare, share)
 		out.Report(fmt.Sprintf("none: p99 of the others, ms (%d)", n+1), p99)
 		out.Check(fmt.Sprintf("none: share answered in time (%d)", n+1), share, "at least 0.98", share >= 0.98)
 		return nil
 	}
-	troubles := []string{"freeze", "flood", "errors", "come-and-go", "crowd"}
-	days, results := make([]*services.Scenario, len(troubles)), make([]*services.Result, len(troubles))
-	for n, name := range troubles {
+	faults := []string{"freeze", "flood", "errors", "come-and-go", "crowd"}
+	scenarios, results := make([]*services.Scenario, len(faults)), make([]*services.Result, len(faults))
+	for n, name := range faults {
 		if n == 0 || !o.Short {
-			if err := quiet(n); err != nil {
+			if err := runBaseline(n); err != nil {
 				return nil, err
 			}
 		}
-		days[n] = poolScenario(name, lead, d)
+		scenarios[n] = poolScenario(name, lead, d)
 		var err error
-		if results[n], err = runPoolScenario(ctx, o, days[n], o.Seed); err != nil {
+		if results[n], err = runPoolScenario(ctx, o, scenarios[n], o.Seed); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	for n := len(troubles); n < o.Repeats; n++ {
-		if err := quiet(n); err != nil {
+	for n := len(faults); n < o.Repeats; n++ {
+		if err := runBaseline(n); err != nil {
 			return nil, err
 		}
 	}
-	for n, name := range troubles {
-		day, r := days[n], results[n]
-		at, sick, hold := name+": ", &r.Pools[0], out.Check
+	for n, name := range faults {
+		scenario, r := scenarios[n], results[n]
+		prefix, sick, check := name+": ", &r.Pools[0], out.Check
 		share, p99 := otherPools(r)
-		// The bound is the worst of the quiet runs and their spread; one run has none, so the short form tells and does not hold.
-		bound := worstP99 + max(worstP99-leastP99, 2)
+		// The bound is the highest p99 of the runs without a fault plus their spread. A single run has no spread, so the short form
+		// reports the value without a bound.
+		bound := maxP99 + max(maxP99-minP99, 2)
 		if o.Short {
-			out.Report(at+"p99 of the others, ms", p99)
+			out.Report(prefix+"p99 of the others, ms", p99)
 		} else {
-			hold(at+"p99 of the others, ms", p99, fmt.Sprintf("at most %.1f", bound), p99 <= bound)
+			check(prefix+"p99 of the others, ms", p99, fmt.Sprintf("at most %.1f", bound), p99 <= bound)
 		}
-		least := min(leastShare, 0.995) - 0.005
-		hold(at+"others' share answered in time", share, fmt.Sprintf("at least %.3f", least), share >= least)
-		zero := func(what string, n int) { hold(at+what, float64(n), "0", n == 0) }
-		zero("others' requests without an answer", r.Pools[1].Status["none"]+r.Pools[2].Status["none"])
-		zero("the pool's requests without an answer", sick.Status["none"])
-		most := day.Pools[0].Deadline.D() + 200*time.Millisecond
-		hold(at+"the pool's longest answer, s", sick.Longest.Seconds(), fmt.Sprintf("under %g", most.Seconds()), sick.Longest < most)
-		out.Report(at+"the pool's answers of 200", float64(sick.Status["200"]))
-		out.Report(at+"the pool's busy replies", float64(sick.Status["503"]))
-		again, copies := 0, 0
+		shareBound := min(minShare, 0.995) - 0.005
+		check(prefix+"others' share answered in time", share, fmt.Sprintf("at least %.3f", shareBound), share >= shareBound)
+		checkZero := func(name string, n int) { check(prefix+name, float64(n), "0", n == 0) }
+		checkZero("others' requests without an answer", r.Pools[1].Status["none"]+r.Pools[2].Status["none"])
+		checkZero("the pool's requests without an answer", sick.Status["none"])
+		maxLatency := scenario.Pools[0].Deadline.D() + 200*time.Millisecond
+		check(prefix+"the pool's longest answer, s", sick.Longest.Seconds(), fmt.Sprintf("under %g", maxLatency.Seconds()), sick.Longest < maxLatency)
+		out.Report(prefix+"the pool's answers of 200", float64(sick.Status["200"]))
+		out.Report(prefix+"the pool's busy replies", float64(sick.Status["503"]))
+		duplicated, concurrent := 0, 0
 		for _, p := range r.Pools {
-			again, copies = again+p.Again, copies+p.Copies
+			duplicated, concurrent = duplicated+p.Again, concurrent+p.Copies
 		}
-		zero("unsafe operations sent twice", again)
-		zero("two attempts out at once", copies)
-		hold(at+"ended by itself, with status 0 and no panic", boolValue(r.Clean), "1", r.Clean)
+		checkZero("unsafe operations sent twice", duplicated)
+		checkZero("two attempts out at once", concurrent)
+		check(prefix+"ended by itself, with status 0 and no panic", boolValue(r.Clean), "1", r.Clean)
 		if r.Note != "" {
-			out.Notes = append(out.Notes, at+r.Note)
+			out.Notes = append(out.Notes, prefix+r.Note)
 		}
 	}
 	return out, nil
 }
 
+// runPoolScenario runs a scenario in a directory of its own.
 func runPoolScenario(ctx context.Context, o Options, s *services.Scenario, seed uint64) (*services.Result, error) {
 	dir, err := makeDir(o, fmt.Sprintf("pools-%s-%d", s.Name, seed))
 	if err != nil {
@@ -127,7 +129,7 @@
 	return services.Play(ctx, services.Options{Scenario: s, Seed: seed, Binary: o.Binary, Dir: dir})
 }
 
-// others is the share of the other pools' requests that was answered in time, and the worse of their p99 in milliseconds.
+// otherPools returns the share of the other pools' requests answered in time, and the higher of their p99 in milliseconds.
 func otherPools(r *services.Result) (share, p99 float64) {
 	a, b := &r.Pools[1].Summary, &r.Pools[2].Summary
 	return float64(a.OK+b.OK) / float64(max(a.Intended+b.Intended, 1)), max(a.Latency.P99, b.Latency.P99)
--- a/internal/lab/drill/rate.go
+++ b/internal/lab/drill/rate.go
@@ -12,19 +12,20 @@
 	"kitewood/internal/lab/load"
 )
 
-// rateDrill finds what one core of the generator can drive: it runs as a process of its own on one core, against a
-// trivial server in this one.
+// rateDrill measures the rate that one core of the load generator can sustain. The generator runs as a process of its own on one
+// core, against a trivial server in this process.
 var rateDrill = Drill{
 	Name:        "rate",
 	Description: "one core of the load generator against a trivial server: at least 5,000 requests/s, and its own error at 2,000/s",
 	Run:         runRate,
 }
 
+// runRate raises the rate until the generator no longer keeps up.
 func runRate(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
-	d, least, rates := 5*time.Second, 5000.0, []float64{2000, 5000, 8000, 10000, 12000, 16000, 20000, 24000, 28000, 32000, 36000, 40000}
-	if o.Short { // a shared machine promises no more; the long form holds the figure
-		d, least, rates = 2*time.Second, 1000, []float64{1000}
+	d, minRate, rates := 5*time.Second, 5000.0, []float64{2000, 5000, 8000, 10000, 12000, 16000, 20000, 24000, 28000, 32000, 36000, 40000}
+	if o.Short { // a shared machine guarantees no more; the long form checks the full bound
+		d, minRate, rates = 2*time.Second, 1000, []float64{1000}
 	}
 	server, err := newScriptedServer(Stall{})
 	if err != nil {
@@ -39,10 +40,10 @@
 			return nil, err
 		}
 		if rate == rates[0] {
-			at := fmt.Sprintf(" at %g/s, ms", rate)
-			out.Report("p50"+at, s.Latency.P50)
-			out.Report("p99"+at, s.Latency.P99)
-			out.Report("p99.9"+at, s.Latency.P999)
+			suffix := fmt.Sprintf(" at %g/s, ms", rate)
+			out.Report("p50"+suffix, s.Latency.P50)
+			out.Report("p99"+suffix, s.Latency.P99)
+			out.Report("p99.9"+suffix, s.Latency.P999)
 			out.Report(fmt.Sprintf("late sends at %g/s", rate), float64(s.LateSends))
 		}
 		if s.Failed+s.TimedOut > 0 || s.Rate < rate*0.98 || float64(s.LateSends) > 0.01*float64(s.Sent) {
@@ -55,19 +56,19 @@
 		return nil, err
 	}
 	out.Report(fmt.Sprintf("p99 at %g/s on all cores, ms", rates[0]), s.Latency.P99)
-	out.Check("requests/s kept up", math.Round(best), fmt.Sprintf("at least %g", least), best >= least*0.98)
+	out.Check("requests/s kept up", math.Round(best), fmt.Sprintf("at least %g", minRate), best >= minRate*0.98)
 	return out, nil
 }
 
-// generate runs the generator as a process of its own.
+// runGenerator runs the load generator as a process of its own and returns its summary.
 func runGenerator(ctx context.Context, lab, url string, rate float64, d time.Duration, env ...string) (load.Summary, error) {
 	var s load.Summary
 	cmd := exec.CommandContext(ctx, lab, "load", "--url", url, "--rate", fmt.Sprint(rate), "--duration", d.String(), "--json", "-")
 	cmd.Env = append(os.Environ(), env...)
 	cmd.Stderr = os.Stderr
-	text, err := cmd.Output()
+	output, err := cmd.Output()
 	if err != nil {
-		return s, fmt.Errorf("the generator: %w", err)
+		return s, fmt.Errorf("load generator: %w", err)
 	}
-	return s, json.Unmarshal(text, &s)
+	return s, json.Unmarshal(output, &s)
 }
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -13,29 +13,29 @@
 	"kitewood/scenarios"
 )
 
-// rulesDrill plays every trouble at once.
+// rulesDrill runs a scenario with all kinds of faults at once.
 var rulesDrill = Drill{
 	Name:        "rules",
-	Description: "all troubles at once, a killed sidecar and a moved discovery among them: no rule broken, no sidecar crashed",
+	Description: "all faults at once, a killed sidecar and a change of the discovery address among them: no rule broken, no sidecar crashed",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		return runScenario(ctx, o, "everything", 12*time.Second, 0)
 	},
 }
 
-// calmDrill plays a quiet day.
+// calmDrill runs a scenario without faults.
 var calmDrill = Drill{
 	Name:        "calm",
-	Description: "three tiers on a quiet day: no rule broken, at least 0.8 of the worth served in time",
+	Description: "three tiers under calm load: no rule broken, at least 0.8 of the utility served in time",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		return runScenario(ctx, o, "calm", 6*time.Second, 0.8)
 	},
 }
 
-// playDrill plays a scenario once for each repeat, with the seeds that follow, and holds it to the rules and to a
-// least service.
-func runScenario(ctx context.Context, o Options, name string, short time.Duration, least float64) (*Outcome, error) {
+// runScenario runs a scenario once per repeat, with consecutive seeds, and checks the ledger's rules and, if minService is above 0,
+// the lowest service of the runs.
+func runScenario(ctx context.Context, o Options, name string, short time.Duration, minService float64) (*Outcome, error) {
 	out := &Outcome{}
-	broken, crashes, clients, operations, worst := 0, 0, 0, 0, 1.0
+	broken, crashes, clients, requests, lowest := 0, 0, 0, 0, 1.0
 	for n := range max(o.Repeats, 1) {
 		s, err := findScenario(name)
 		if err != nil {
@@ -62,20 +62,21 @@
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
 		v := ledger.Serve(r.Entries, s.Served())
-		clients, operations, worst = clients+v.Clients, operations+v.Calls, min(worst, v.Service)
+		clients, requests, lowest = clients+v.Clients, requests+v.Calls, min(lowest, v.Service)
 	}
 	out.Report("clients", float64(clients))
-	out.Check("operations of sidecars", float64(operations), "above 0", operations > 0)
+	out.Check("operations of sidecars", float64(requests), "above 0", requests > 0)
 	out.Check("broken rules", float64(broken), "0", broken == 0)
 	out.Check("crashed sidecars", float64(crashes), "0", crashes == 0)
-	if least > 0 {
-		out.Check("least service", worst, fmt.Sprintf("at least %g", least), worst >= least)
+	if minService > 0 {
+		out.Check("least service", lowest, fmt.Sprintf("at least %g", minService), lowest >= minService)
 	} else {
-		out.Report("least service", worst)
+		out.Report("least service", lowest)
 	}
 	return out, nil
 }
 
+// findScenario reads a built-in scenario by its name.
 func findScenario(name string) (*scenario.Scenario, error) {
 	file, text, err := scenarios.Find(name)
 	if err != nil {
@@ -84,20 +85,20 @@
 	return scenario.Read(file, text)
 }
 
-// squeeze plays the whole of a scenario's timeline in a shorter time.
+// compressTimeline scales a scenario's timeline to duration d.
 func compressTimeline(s *scenario.Scenario, d time.Duration) {
-	f := float64(d) / float64(s.Duration)
+	factor := float64(d) / float64(s.Duration)
 	s.Duration = scenario.Duration(d)
 	for i := range s.Troubles {
-		s.Troubles[i].At = scenario.Duration(float64(s.Troubles[i].At) * f)
-		s.Troubles[i].For = scenario.Duration(float64(s.Troubles[i].For) * f)
+		s.Troubles[i].At = scenario.Duration(float64(s.Troubles[i].At) * factor)
+		s.Troubles[i].For = scenario.Duration(float64(s.Troubles[i].For) * factor)
 	}
 	for i := range s.Load.Shape {
-		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * f)
+		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * factor)
 	}
 }
 
-// scratch makes a folder inside the drill's.
+// makeDir creates a directory inside the drill's.
 func makeDir(o Options, name string) (string, error) {
 	dir := filepath.Join(o.Dir, name)
 	return dir, os.MkdirAll(dir, 0o755)
--- a/internal/lab/drill/scripted.go
+++ b/internal/lab/drill/scripted.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// scripted is a server that answers by a Stall's script. It is as plain as it can be, so that what is measured is the
-// load generator.
+// scriptedServer is a server that answers according to a Stall script. It is as simple as possible, so that a measurement
+// reflects the load generator.
 type scriptedServer struct {
 	ln          net.Listener
 	stall       Stall
@@ -19,6 +19,7 @@
 	wg          sync.WaitGroup
 }
 
+// newScriptedServer starts a server on a free port; startScript has to follow before the first request.
 func newScriptedServer(s Stall) (*scriptedServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,13 +43,14 @@
 
 func (s *scriptedServer) address() string { return s.ln.Addr().String() }
 
-// begin says when the script starts.
+// startScript sets the time at which the script starts.
 func (s *scriptedServer) startScript(at time.Time) {
 	s.mu.Lock()
 	s.scriptStart = at
 	s.mu.Unlock()
 }
 
+// serve answers the requests of one connection one after another.
 func (s *scriptedServer) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -61,9 +63,9 @@
 		s.mu.Lock()
 		start := s.scriptStart
 		s.mu.Unlock()
-		came := time.Since(start)
-		done := came + s.stall.ServiceTime
-		if came < s.stall.FreezeAt+s.stall.Freeze && done > s.stall.FreezeAt && s.stall.Freeze > 0 {
+		arrival := time.Since(start)
+		done := arrival + s.stall.ServiceTime
+		if arrival < s.stall.FreezeAt+s.stall.Freeze && done > s.stall.FreezeAt && s.stall.Freeze > 0 {
 			done = max(done, s.stall.FreezeAt+s.stall.Freeze)
 		}
 		time.Sleep(time.Until(start.Add(done)))
@@ -73,6 +75,7 @@
 	}
 }
 
+// close closes the listener and all connections and waits for their goroutines.
 func (s *scriptedServer) close() {
 	s.ln.Close()
 	s.mu.Lock()
--- a/internal/lab/drill/stall.go
+++ b/internal/lab/drill/stall.go
@@ -11,21 +11,22 @@
 	"kitewood/internal/lab/load"
 )
 
-// stallDrill holds the load generator to a result computed by hand.
+// stallDrill checks the load generator against a result computed by hand.
 var stallDrill = Drill{
 	Name:        "stall",
 	Description: "a server that freezes under constant load: every percentile of the generator within 1% of the computed one",
 	Run:         runStall,
 }
 
-// Stall is a scripted server's behaviour: answers take Service, but what is due within the freeze comes at its end.
+// Stall is the script of a server that freezes once: a response takes ServiceTime, but one that is due during the freeze is
+// delayed until its end.
 type Stall struct {
 	Rate                float64
 	Freeze, ServiceTime time.Duration
-	FreezeAt, Duration  time.Duration // when the freeze begins, and how long the load lasts
+	FreezeAt, Duration  time.Duration // start of the freeze, and length of the load
 }
 
-// Expected is the latency of each request from its intended time, sorted: computed from the script alone.
+// Expected returns the sorted latency of each request from its intended time, computed from the script alone.
 func (s Stall) Expected() []time.Duration {
 	var out []time.Duration
 	for n := 0; ; n++ {
@@ -43,13 +44,13 @@
 	return out
 }
 
-// Percentile is the value that a share of the sorted latencies does not pass, as HdrHistogram counts.
+// Percentile returns the p-th percentile of sorted latencies, by the definition of HdrHistogram.
 func Percentile(sorted []time.Duration, p float64) time.Duration {
 	n := int(math.Ceil(p / 100 * float64(len(sorted))))
 	return sorted[min(max(n, 1), len(sorted))-1]
 }
 
-// Measure loads a server that follows the script, open-loop and, if wanted, closed-loop with so many callers.
+// Measure sends load to a server that follows the script: open-loop if closed is 0, else closed-loop with that many callers.
 func (s Stall) Measure(ctx context.Context, closed int) (load.Summary, error) {
 	server, err := newScriptedServer(s)
 	if err != nil {
@@ -68,42 +69,43 @@
 	return rec.Summary(), err
 }
 
-// offMost is how far a percentile may be from the computed one.
+// maxRelativeError is the allowed deviation of a measured percentile from the computed one.
 const maxRelativeError = 0.01
 
-// Open measures open-loop, up to three times: 1% is ten milliseconds here, which a machine that others use, too, may take away
-// from any one run. A generator that leaves requests out is off by half and more, each time.
+// MeasureOpenLoop measures open-loop, up to three times: 1% is ten milliseconds here, and other processes on the machine may delay
+// any single run by that much. A generator that omits requests is off by half and more every time.
 func (s Stall) MeasureOpenLoop(ctx context.Context) (m load.Summary, err error) {
 	for range 3 {
 		if m, err = s.Measure(ctx, 0); err != nil {
 			return m, err
 		}
-		if off, _ := s.WorstError(m); off <= maxRelativeError && m.OK == len(s.Expected()) {
+		if worst, _ := s.WorstError(m); worst <= maxRelativeError && m.OK == len(s.Expected()) {
 			break
 		}
 	}
 	return m, nil
 }
 
-// Off compares a measured summary with the computed one: the worst relative difference over p50 to max, by name.
+// WorstError compares a measured summary with the computed one. It returns the largest relative error from p50 to the maximum,
+// and its name.
 func (s Stall) WorstError(m load.Summary) (worst float64, name string) {
 	want := s.Expected()
-	for _, p := range []struct {
-		name string
-		got  float64
-		at   float64
+	for _, q := range []struct {
+		name       string
+		got        float64
+		percentile float64
 	}{{"p50", m.Latency.P50, 50}, {"p90", m.Latency.P90, 90}, {"p99", m.Latency.P99, 99}, {"p99.9", m.Latency.P999, 99.9},
 		{"max", m.Latency.Max, 100}} {
-		w := float64(Percentile(want, p.at).Microseconds()) / 1000
-		if off := math.Abs(p.got-w) / w; off >= worst {
-			worst, name = off, p.name
+		expected := float64(Percentile(want, q.percentile).Microseconds()) / 1000
+		if relative := math.Abs(q.got-expected) / expected; relative >= worst {
+			worst, name = relative, q.name
 		}
 	}
 	return worst, name
 }
 
-// Stalls are the scripts: two rates and two lengths of the freeze. The freeze begins between two requests, as one that is
-// due at that very moment may fall on either side; the load lasts so long that the median lies outside the freeze and the
+// Stalls returns the scripts: two rates and two lengths of the freeze. The freeze begins between two requests, as one that is due
+// exactly at its start may fall on either side. The load lasts long enough for the median to lie outside the freeze and the
 // 90th percentile inside.
 func Stalls() []Stall {
 	var out []Stall
@@ -116,6 +118,7 @@
 	return out
 }
 
+// runStall checks open-loop measurements, and that a closed loop omits requests, which shows the fault that the open loop avoids.
 func runStall(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
 	stalls := Stalls()
@@ -127,19 +130,19 @@
 		if err != nil {
 			return nil, err
 		}
-		name := fmt.Sprintf("%g/s, %s freeze: ", s.Rate, s.Freeze)
+		prefix := fmt.Sprintf("%g/s, %s freeze: ", s.Rate, s.Freeze)
 		n := len(s.Expected())
-		out.Check(name+"requests", float64(m.OK), fmt.Sprint(n), m.OK == n)
-		worst, at := s.WorstError(m)
-		out.Check(name+"worst percentile off ("+at+"), %", worst*100, "at most 1", worst <= maxRelativeError)
-		callers := int(math.Ceil(s.Rate * s.ServiceTime.Seconds() * 1.2)) // enough for the rate while nothing stalls
-		c, err := s.Measure(ctx, callers)
+		out.Check(prefix+"requests", float64(m.OK), fmt.Sprint(n), m.OK == n)
+		worst, percentile := s.WorstError(m)
+		out.Check(prefix+"worst percentile off ("+percentile+"), %", worst*100, "at most 1", worst <= maxRelativeError)
+		callers := int(math.Ceil(s.Rate * s.ServiceTime.Seconds() * 1.2)) // enough for the rate while the server does not freeze
+		closed, err := s.Measure(ctx, callers)
 		if err != nil {
 			return nil, err
 		}
-		out.Report(name+"p90 ms", m.Latency.P90)
-		out.Report(name+"p90 ms of a closed loop", c.Latency.P90)
-		out.Check(name+"requests that a closed loop left out", float64(n-c.Intended), "above 0", c.Intended < n)
+		out.Report(prefix+"p90 ms", m.Latency.P90)
+		out.Report(prefix+"p90 ms of a closed loop", closed.Latency.P90)
+		out.Check(prefix+"requests that a closed loop left out", float64(n-closed.Intended), "above 0", closed.Intended < n)
 	}
 	return out, nil
 }
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -13,16 +13,16 @@
 	"kitewood/internal/listfile"
 )
 
-// xdsReconnectDrill replaces nearly a whole pool while the proxies' streams break.
+// xdsReconnectDrill replaces almost a whole pool while the proxies' streams break.
 var xdsReconnectDrill = Drill{
 	Name: "xds-reconnect",
 	Description: "98% of the instances are replaced while proxies are cut off at random and one control service of two is killed: " +
-		"nothing sent to what is gone, no list emptied, no cold instance pushed over",
+		"no request to a gone instance, no list emptied, no instance in slow start overloaded",
 	NeedsControl: true,
 	Run:          runXDSReconnect,
 }
 
-// The cold start of the drill's instances, as the configuration has it by default, and how far they are used when warm.
+// Slow start of the drill's instances, as configured by default, and their utilization when fully warmed up.
 const (
 	slowStartShare   = 0.2
 	slowStartTime    = 20 * time.Second
@@ -31,6 +31,7 @@
 	fullLoad         = 0.7
 )
 
+// runXDSReconnect replaces instances one by one under load and cuts streams at random, and checks where requests went.
 func runXDSReconnect(ctx context.Context, o Options) (*Outcome, error) {
 	instances, proxies, within, settle := 40, 6, 25*time.Second, 3*time.Second
 	if o.Short {
@@ -40,11 +41,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := newFilePool(dir, "web", false, instances)
+	pool, err := newFilePool(dir, "web", false, instances)
 	if err != nil {
 		return nil, err
 	}
-	defer f.stop()
+	defer pool.stop()
 	if err := listfile.Write(filepath.Join(dir, "rpc.yaml"), nil); err != nil {
 		return nil, err
 	}
@@ -57,8 +58,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var wait sync.WaitGroup
-	defer wait.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
 	tables, clients := make([]*proxy.Table, proxies), make([]*proxy.Client, proxies)
 	for n := range proxies {
@@ -68,81 +69,81 @@
 		}
 		tables[n] = proxy.NewTable()
 		clients[n] = &proxy.Client{Node: fmt.Sprintf("lab-%d", n), Servers: servers, Delta: n%2 == 0, Table: tables[n], Log: o.Log}
-		wait.Go(func() { clients[n].Run(ctx) })
+		wg.Go(func() { clients[n].Run(ctx) })
 	}
 	if err := waitUntil(ctx, services[0].Control, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return nil, err
 	}
 
 	sent, failed := make([]int, proxies), make([]int, proxies)
-	loaded, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	for n, table := range tables {
-		wait.Go(func() { sent[n], failed[n] = sendHTTP(loaded, table) })
+		wg.Go(func() { sent[n], failed[n] = sendHTTP(loadCtx, table) })
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
-	wait.Go(func() { // streams break at random
+	wg.Go(func() { // break streams at random
 		rng := rand.New(rand.NewPCG(o.Seed, 3))
 		for {
 			select {
 			case <-time.After(time.Duration(100+rng.IntN(400)) * time.Millisecond):
 				clients[rng.IntN(proxies)].Cut()
-			case <-loaded.Done():
+			case <-loadCtx.Done():
 				return
 			}
 		}
 	})
-	began := time.Now()
+	start := time.Now()
 	replaced := instances * 98 / 100
 	for k, n := range rng.Perm(instances)[:replaced] {
 		select {
-		case <-time.After(time.Until(began.Add(within * time.Duration(k) / time.Duration(replaced)))):
+		case <-time.After(time.Until(start.Add(within * time.Duration(k) / time.Duration(replaced)))):
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
-		if k == replaced/2 { // without a word: as a machine that is lost
+		if k == replaced/2 { // killed without a drain, like the loss of a machine
 			services[0].Kill()
 		}
-		if err := f.add(time.Now()); err != nil {
+		if err := pool.add(time.Now()); err != nil {
 			return nil, err
 		}
-		f.members[n].drainingSince = time.Now()
-		for _, g := range f.members { // those that have drained for long enough are gone
-			if !g.drainingSince.IsZero() && !g.gone && time.Since(g.drainingSince) > drainGrace+200*time.Millisecond {
-				g.gone = true
-				g.stop()
+		pool.members[n].drainingSince = time.Now()
+		for _, m := range pool.members { // an instance is gone once it has drained past the grace
+			if !m.drainingSince.IsZero() && !m.gone && time.Since(m.drainingSince) > drainGrace+200*time.Millisecond {
+				m.gone = true
+				m.stop()
 			}
 		}
-		if err := f.writeList(); err != nil {
+		if err := pool.writeList(); err != nil {
 			return nil, err
 		}
 	}
-	took := time.Since(began)
+	took := time.Since(start)
 	time.Sleep(settle)
 	stop()
 	cancel()
-	wait.Wait()
+	wg.Wait()
 
 	out := &Outcome{}
-	late, last, cold := 0, time.Duration(0), 0.0
-	total, requests, broke, emptied, cuts := 0, 0, 0, 0, 0
+	late, last, slowStartLoad := 0, time.Duration(0), 0.0
+	total, requests, failures, emptied, cuts := 0, 0, 0, 0, 0
 	for n := range proxies {
-		requests, broke = requests+sent[n], broke+failed[n]
+		requests, failures = requests+sent[n], failures+failed[n]
 		emptied, cuts = emptied+tables[n].Emptied(), cuts+clients[n].Cuts()
 	}
-	able := float64(requests) / time.Since(began).Seconds() / float64(instances) / fullLoad // of a warm instance, a second
-	for _, g := range f.members {
-		if !g.drainingSince.IsZero() {
+	capacity := float64(requests) / time.Since(start).Seconds() / float64(instances) / fullLoad // of a fully warmed up instance, in requests/s
+	for _, m := range pool.members {
+		if !m.drainingSince.IsZero() {
 			total++
-			for _, d := range g.requestsBetween(g.drainingSince, time.Now()) {
+			for _, d := range m.requestsBetween(m.drainingSince, time.Now()) {
 				last = max(last, d)
 				if d > drainGrace {
 					late++
 				}
 			}
 		}
-		if !g.started.IsZero() {
-			cold = max(cold, g.peakSlowStartLoad(able))
+		if !m.started.IsZero() {
+			slowStartLoad = max(slowStartLoad, m.peakSlowStartLoad(capacity))
 		}
 	}
 	out.Report("instances replaced", float64(total))
@@ -151,18 +152,18 @@
 	out.Check("requests", float64(requests), "above 0", requests > 0)
 	out.Check("requests after 500 ms", float64(late), "0", late == 0)
 	out.Report("word to last request, ms", float64(last.Microseconds())/1000)
-	out.Check("failed requests", float64(broke), "0", broke == 0)
+	out.Check("failed requests", float64(failures), "0", failures == 0)
 	out.Check("lists emptied", float64(emptied), "0", emptied == 0)
-	out.Check("most that a cold instance was sent, times what it can do", cold, fmt.Sprintf("at most %g", maxSlowStartLoad), cold <= maxSlowStartLoad)
+	out.Check("most that a cold instance was sent, times what it can do", slowStartLoad, fmt.Sprintf("at most %g", maxSlowStartLoad), slowStartLoad <= maxSlowStartLoad)
 	clean := services[1].stop()
 	out.Check("the other service ended by itself, with status 0", boolValue(clean), "1", clean)
 	return out, nil
 }
 
-// coldest is the most that the instance was sent in any window of its cold start, in multiples of what it can do at that age,
-// where a warm one can do able requests a second. A request at a time is never too much.
-func (g *member) peakSlowStartLoad(able float64) float64 {
-	times := g.requestsBetween(g.started, time.Now())
+// peakSlowStartLoad returns the highest load of the instance in any window of its slow start, as a multiple of its capacity at that
+// age. capacity is that of a fully warmed up instance in requests/s. A single request in a window is never too many.
+func (m *member) peakSlowStartLoad(capacity float64) float64 {
+	times := m.requestsBetween(m.started, time.Now())
 	worst := 0.0
 	for i, from := range times {
 		n := 0
@@ -171,9 +172,9 @@
 				n++
 			}
 		}
-		can := able * slowStartWindow.Seconds() * (slowStartShare + (1-slowStartShare)*min(float64(from)/float64(slowStartTime), 1))
+		capacityInWindow := capacity * slowStartWindow.Seconds() * (slowStartShare + (1-slowStartShare)*min(float64(from)/float64(slowStartTime), 1))
 		if n > 1 {
-			worst = max(worst, float64(n)/can)
+			worst = max(worst, float64(n)/capacityInWindow)
 		}
 	}
 	return worst
--- a/internal/lab/drill/xdsscale.go
+++ b/internal/lab/drill/xdsscale.go
@@ -27,16 +27,16 @@
 	"kitewood/internal/xds"
 )
 
-// xdsScaleDrill changes many pools before many proxies.
+// xdsScaleDrill changes many pools that many proxies subscribe to.
 var xdsScaleDrill = Drill{
 	Name: "xds-scale",
-	Description: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: from a change to its last answer, and " +
-		"what it costs",
+	Description: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: time from a change to its last acknowledgement, " +
+		"and the cost",
 	NeedsControl: true,
 	Run:          runXDSScale,
 }
 
-// crowd is many proxies that apply nothing and answer everything.
+// proxyGroup is many emulated proxies that acknowledge every response and apply none.
 type proxyGroup struct {
 	delta bool
 	bytes atomic.Int64 // of responses
@@ -44,41 +44,42 @@
 
 	mu          sync.Mutex
 	changedAt   map[int]time.Time     // by change
-	latency     map[int]time.Duration // from a change to the last answer that covers it
-	changedPool map[int]string        // of a change
-	subscribers map[string]int        // proxies that ask for a pool
-	acked       map[int]int           // proxies that have answered for a change
+	latency     map[int]time.Duration // by change: until the last acknowledgement that covers it
+	changedPool map[int]string        // by change
+	subscribers map[string]int        // number of proxies that subscribe to a pool
+	acked       map[int]int           // by change: number of proxies that have acknowledged it
 }
 
-// marker is the zone by which a change can be told in the endpoints of its pool.
+// markerPrefix begins the zone of an endpoint that identifies the last change of its pool.
 const markerPrefix = "change-"
 
-// note takes the answer of a proxy to endpoints: all changes of the pool up to the marked one have reached it.
-func (c *proxyGroup) recordAck(pool string, from, to int) {
+// recordAck records a proxy's acknowledgement of a pool's endpoints: all changes of the pool after from, up to the marked one, have
+// reached it.
+func (g *proxyGroup) recordAck(pool string, from, to int) {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	for n := from + 1; n <= to; n++ {
-		if c.changedPool[n] == pool {
-			c.latency[n] = max(c.latency[n], now.Sub(c.changedAt[n]))
-			c.acked[n]++
+		if g.changedPool[n] == pool {
+			g.latency[n] = max(g.latency[n], now.Sub(g.changedAt[n]))
+			g.acked[n]++
 		}
 	}
 }
 
-// marked finds the pool and the mark of an encoded assignment without decoding it whole: a thousand proxies that did would
-// take more cores than the service.
+// parseMarker finds the pool and the marker of an encoded assignment without decoding all of it: a thousand proxies that decoded
+// theirs would use more cores than the service.
 func parseMarker(text []byte) (pool string, change int, err error) {
-	field, kind, n := protowire.ConsumeTag(text)
-	if n < 0 || field != 1 || kind != protowire.BytesType {
-		return "", 0, errors.New("an assignment does not begin with its name")
+	field, wireType, n := protowire.ConsumeTag(text)
+	if n < 0 || field != 1 || wireType != protowire.BytesType {
+		return "", 0, errors.New("assignment does not begin with its name")
 	}
-	name, m := protowire.ConsumeString(text[n:])
-	at := bytes.Index(text, []byte(markerPrefix))
-	if m < 0 || at < 0 {
-		return "", 0, errors.New("an assignment has no name or no mark")
+	name, nameLen := protowire.ConsumeString(text[n:])
+	marker := bytes.Index(text, []byte(markerPrefix))
+	if nameLen < 0 || marker < 0 {
+		return "", 0, errors.New("assignment has no name or no marker")
 	}
-	for _, c := range text[at+len(markerPrefix):] {
+	for _, c := range text[marker+len(markerPrefix):] {
 		if c < '0' || c > '9' {
 			break
 		}
@@ -87,76 +88,78 @@
 	return name, change, nil
 }
 
-// run is one proxy: it asks for some pools and answers until its stream ends.
-func (c *proxyGroup) runProxy(ctx context.Context, conn *grpc.ClientConn, node string, pools []string) error {
-	has := map[string]int{}
-	take := func(bodies []*anypb.Any) error {
+// runProxy runs one proxy: it subscribes to pools and acknowledges responses until its stream ends.
+func (g *proxyGroup) runProxy(ctx context.Context, conn *grpc.ClientConn, node string, pools []string) error {
+	acknowledged := map[string]int{}
+	handle := func(bodies []*anypb.Any) error {
 		for _, b := range bodies {
 			pool, n, err := parseMarker(b.Value)
 			if err != nil {
 				return err
 			}
-			c.recordAck(pool, has[pool], n)
-			has[pool] = n
+			g.recordAck(pool, acknowledged[pool], n)
+			acknowledged[pool] = n
 		}
-		c.acks.Add(1)
+		g.acks.Add(1)
 		return nil
 	}
-	ask, hear, err := c.openStream(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn), &core.Node{Id: node}, pools)
+	send, receive, err := g.openStream(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn), &core.Node{Id: node}, pools)
 	for err == nil {
-		if err = ask(); err == nil {
+		if err = send(); err == nil {
 			var bodies []*anypb.Any
-			if bodies, err = hear(); err == nil {
-				err = take(bodies)
+			if bodies, err = receive(); err == nil {
+				err = handle(bodies)
 			}
 		}
 	}
 	return err
 }
 
-// open opens a stream of the crowd's variant. ask asks for the pools, and then answers what was heard last.
-func (c *proxyGroup) openStream(ctx context.Context, api discovery.AggregatedDiscoveryServiceClient, id *core.Node, pools []string) (
-	ask func() error, hear func() ([]*anypb.Any, error), err error) {
-	if c.delta {
+// openStream opens a stream of the group's variant. send subscribes to the pools at the first call, and later acknowledges the last
+// response; receive returns the resources of the next one.
+func (g *proxyGroup) openStream(ctx context.Context, api discovery.AggregatedDiscoveryServiceClient, id *core.Node, pools []string) (
+	send func() error, receive func() ([]*anypb.Any, error), err error) {
+	if g.delta {
 		s, err := api.DeltaAggregatedResources(ctx, grpc.WaitForReady(true))
-		q := &discovery.DeltaDiscoveryRequest{Node: id, TypeUrl: xds.TypeEndpoint, ResourceNamesSubscribe: pools}
-		return func() error { return s.Send(q) }, func() ([]*anypb.Any, error) {
-			r, err := s.Recv()
+		req := &discovery.DeltaDiscoveryRequest{Node: id, TypeUrl: xds.TypeEndpoint, ResourceNamesSubscribe: pools}
+		return func() error { return s.Send(req) }, func() ([]*anypb.Any, error) {
+			resp, err := s.Recv()
 			if err != nil {
 				return nil, err
 			}
-			c.bytes.Add(int64(proto.Size(r)))
-			q = &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResponseNonce: r.Nonce}
-			bodies := make([]*anypb.Any, len(r.Resources))
-			for i, x := range r.Resources {
+			g.bytes.Add(int64(proto.Size(resp)))
+			req = &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResponseNonce: resp.Nonce}
+			bodies := make([]*anypb.Any, len(resp.Resources))
+			for i, x := range resp.Resources {
 				bodies[i] = x.Resource
 			}
 			return bodies, nil
 		}, err
 	}
 	s, err := api.StreamAggregatedResources(ctx, grpc.WaitForReady(true))
-	q := &discovery.DiscoveryRequest{Node: id, TypeUrl: xds.TypeEndpoint, ResourceNames: pools}
-	return func() error { return s.Send(q) }, func() ([]*anypb.Any, error) {
-		r, err := s.Recv()
+	req := &discovery.DiscoveryRequest{Node: id, TypeUrl: xds.TypeEndpoint, ResourceNames: pools}
+	return func() error { return s.Send(req) }, func() ([]*anypb.Any, error) {
+		resp, err := s.Recv()
 		if err != nil {
 			return nil, err
 		}
-		c.bytes.Add(int64(proto.Size(r)))
-		q.VersionInfo, q.ResponseNonce = r.VersionInfo, r.Nonce
-		return r.Resources, nil
+		g.bytes.Add(int64(proto.Size(resp)))
+		req.VersionInfo, req.ResponseNonce = resp.VersionInfo, resp.Nonce
+		return resp.Resources, nil
 	}, err
 }
 
-// many writes the list of a pool with the mark of its last change.
+// writePool writes the list of a pool with the marker of its last change.
 func writePool(dir, pool string, endpoints, change int) error {
-	all := make([]listfile.Endpoint, endpoints)
-	for n := range all {
-		all[n] = listfile.Endpoint{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
+	list := make([]listfile.Endpoint, endpoints)
+	for n := range list {
+		list[n] = listfile.Endpoint{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
 	}
-	all[0].Zone = markerPrefix + strconv.Itoa(change)
-	return listfile.Write(filepath.Join(dir, pool+".yaml"), all)
+	list[0].Zone = markerPrefix + strconv.Itoa(change)
+	return listfile.Write(filepath.Join(dir, pool+".yaml"), list)
 }
 
+// runXDSScale runs the drill with each variant of the protocol.
 func runXDSScale(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
 	for _, delta := range []bool{false, true} {
@@ -167,10 +170,11 @@
 	return out, nil
 }
 
+// runXDSScaleVariant measures the time from a change to the last acknowledgement, and the cost, with one variant of the protocol.
 func runXDSScaleVariant(ctx context.Context, o Options, out *Outcome, delta bool) error {
-	proxies, pools, endpoints, each, rate, d := 1000, 50, 200, 5, 100.0, 20*time.Second
+	proxies, pools, endpoints, poolsPerProxy, rate, duration := 1000, 50, 200, 5, 100.0, 20*time.Second
 	if o.Short {
-		proxies, pools, endpoints, each, rate, d = 60, 6, 30, 2, 20, 2*time.Second
+		proxies, pools, endpoints, poolsPerProxy, rate, duration = 60, 6, 30, 2, 20, 2*time.Second
 	}
 	variant := map[bool]string{false: "whole", true: "delta"}[delta]
 	dir, err := makeDir(o, "xds-scale-"+variant)
@@ -178,25 +182,25 @@
 		return err
 	}
 	names := make([]string, pools)
-	var conf strings.Builder
+	var poolsYAML strings.Builder
 	for n := range names {
 		names[n] = fmt.Sprintf("p%d", n)
 		if err := writePool(dir, names[n], endpoints, 0); err != nil {
 			return err
 		}
-		fmt.Fprintf(&conf, "  - {name: %s, members: {file: %s.yaml}, classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\n", names[n], names[n])
+		fmt.Fprintf(&poolsYAML, "  - {name: %s, members: {file: %s.yaml}, classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\n", names[n], names[n])
 	}
-	service, err := startControlWith(o, dir, "control", conf.String(), "  - {pool: p0}\n")
+	service, err := startControlWith(o, dir, "control", poolsYAML.String(), "  - {pool: p0}\n")
 	if err != nil {
 		return err
 	}
 	defer service.stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c := &proxyGroup{delta: delta, changedAt: map[int]time.Time{}, latency: map[int]time.Duration{}, changedPool: map[int]string{}, subscribers: map[string]int{}, acked: map[int]int{}}
+	group := &proxyGroup{delta: delta, changedAt: map[int]time.Time{}, latency: map[int]time.Duration{}, changedPool: map[int]string{}, subscribers: map[string]int{}, acked: map[int]int{}}
 	rng := rand.New(rand.NewPCG(o.Seed, 4))
-	var wait sync.WaitGroup
-	defer wait.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
 	var conn *grpc.ClientConn
 	for n := range proxies {
@@ -206,78 +210,78 @@
 			}
 			defer conn.Close()
 		}
-		mine := make([]string, 0, each)
-		for _, i := range rng.Perm(pools)[:each] {
-			mine = append(mine, names[i])
-			c.subscribers[names[i]]++
+		subscribed := make([]string, 0, poolsPerProxy)
+		for _, i := range rng.Perm(pools)[:poolsPerProxy] {
+			subscribed = append(subscribed, names[i])
+			group.subscribers[names[i]]++
 		}
-		at := conn
-		wait.Go(func() { c.runProxy(ctx, at, fmt.Sprintf("crowd-%d", n), mine) })
+		proxyConn := conn
+		wg.Go(func() { group.runProxy(ctx, proxyConn, fmt.Sprintf("crowd-%d", n), subscribed) })
 	}
-	for until := time.Now().Add(waitTimeout); c.acks.Load() < int64(proxies); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("%d of %d proxies have endpoints within a minute: %s", c.acks.Load(), proxies, service.Said())
+	for limit := time.Now().Add(waitTimeout); group.acks.Load() < int64(proxies); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(limit) || ctx.Err() != nil {
+			return fmt.Errorf("only %d of %d proxies have endpoints after a minute: %s", group.acks.Load(), proxies, service.Said())
 		}
 	}
-	before, cpu, began := c.bytes.Load(), service.CPU(), time.Now()
-	changes := int(rate * d.Seconds())
+	bytesBefore, cpuBefore, start := group.bytes.Load(), service.CPU(), time.Now()
+	changes := int(rate * duration.Seconds())
 	for n := 1; n <= changes; n++ {
 		select {
-		case <-time.After(time.Until(began.Add(time.Duration(float64(n) / rate * float64(time.Second))))):
+		case <-time.After(time.Until(start.Add(time.Duration(float64(n) / rate * float64(time.Second))))):
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 		pool := names[rng.IntN(pools)]
-		c.mu.Lock()
-		c.changedAt[n], c.changedPool[n] = time.Now(), pool
-		c.mu.Unlock()
+		group.mu.Lock()
+		group.changedAt[n], group.changedPool[n] = time.Now(), pool
+		group.mu.Unlock()
 		if err := writePool(dir, pool, endpoints, n); err != nil {
 			return err
 		}
 	}
-	took := time.Since(began)
+	took := time.Since(start)
 	missing := func() (n int) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for change, pool := range c.changedPool {
-			if c.acked[change] < c.subscribers[pool] {
+		group.mu.Lock()
+		defer group.mu.Unlock()
+		for change, pool := range group.changedPool {
+			if group.acked[change] < group.subscribers[pool] {
 				n++
 			}
 		}
 		return n
 	}
-	for until := time.Now().Add(10 * time.Second); missing() > 0 && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for limit := time.Now().Add(10 * time.Second); missing() > 0 && time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 	}
-	left := missing()
-	used := service.CPU() - cpu
+	unreached := missing()
+	used := service.CPU() - cpuBefore
 	memory := service.Memory("VmRSS")
 	cancel()
-	wait.Wait()
-	times := make([]time.Duration, 0, len(c.latency))
-	for _, t := range c.latency {
+	wg.Wait()
+	times := make([]time.Duration, 0, len(group.latency))
+	for _, t := range group.latency {
 		times = append(times, t)
 	}
 	slices.Sort(times)
-	at := variant + ": "
-	ms := func(p float64) float64 {
+	prefix := variant + ": "
+	percentileMS := func(p float64) float64 {
 		if len(times) == 0 {
 			return 0
 		}
 		return float64(Percentile(times, p).Microseconds()) / 1000
 	}
-	out.Report(at+"changes", float64(changes))
-	out.Check(at+"changes that did not reach every proxy", float64(left), "0", left == 0)
-	out.Report(at+"change to last answer, ms, p50", ms(50))
+	out.Report(prefix+"changes", float64(changes))
+	out.Check(prefix+"changes that did not reach every proxy", float64(unreached), "0", unreached == 0)
+	out.Report(prefix+"change to last answer, ms, p50", percentileMS(50))
 	if delta && !o.Short {
-		out.Check(at+"change to last answer, ms, p99", ms(99), "under 250", ms(99) < 250)
+		out.Check(prefix+"change to last answer, ms, p99", percentileMS(99), "under 250", percentileMS(99) < 250)
 	} else {
-		out.Report(at+"change to last answer, ms, p99", ms(99))
+		out.Report(prefix+"change to last answer, ms, p99", percentileMS(99))
 	}
-	out.Report(at+"bytes a change, KB", float64(c.bytes.Load()-before)/float64(changes)/1000)
-	out.Report(at+"cores of the service", used.Seconds()/took.Seconds())
-	out.Report(at+"memory of the service, MB", float64(memory)/(1<<20))
-	out.Report(at+"cores of the machine", float64(runtime.NumCPU()))
+	out.Report(prefix+"bytes a change, KB", float64(group.bytes.Load()-bytesBefore)/float64(changes)/1000)
+	out.Report(prefix+"cores of the service", used.Seconds()/took.Seconds())
+	out.Report(prefix+"memory of the service, MB", float64(memory)/(1<<20))
+	out.Report(prefix+"cores of the machine", float64(runtime.NumCPU()))
 	clean := service.stop()
-	out.Check(at+"the service ended by itself, with status 0", boolValue(clean), "1", clean)
+	out.Check(prefix+"the service ended by itself, with status 0", boolValue(clean), "1", clean)
 	return nil
 }
