--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -144,7 +144,7 @@
 
 // untilReady waits until a process says that it is ready.
 func untilReady(c *child.Child, address string) error {
-	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
+	text := httpc.FormatRequest("GET", "/health/ready", "backend.local", nil)
 	for until := time.Now().Add(controlWait); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		pool := httpc.NewPool(httpc.Options{Address: address})
 		r := pool.Do("", "GET", text, time.Now().Add(time.Second))
@@ -174,8 +174,8 @@
 			defer pool.Close()
 			for k := 0; time.Now().Before(until) && ctx.Err() == nil; k++ {
 				id := fmt.Sprintf("%d-%d", n, k)
-				text := httpc.Text("GET", "/any", "backend.local", nil, httpc.Field{Name: "X-Correlation-Id", Value: id},
-					httpc.Field{Name: "X-Time-Left-Ms", Value: "2500"})
+				text := httpc.FormatRequest("GET", "/any", "backend.local", nil, httpc.HeaderField{Name: "X-Correlation-Id", Value: id},
+					httpc.HeaderField{Name: "X-Time-Left-Ms", Value: "2500"})
 				began := time.Now()
 				r := pool.Do(id, "GET", text, began.Add(5*time.Second))
 				mine.asked++
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -108,11 +108,11 @@
 	for n, at := range removals {
 		name := fmt.Sprint(n)
 		left[name] = at
-		d.Change(at+model.Around(rng, s.Discovery.Notice.D()/2), model.Member{Name: name, Status: model.Terminating})
+		d.ScheduleChange(at+model.Jitter(rng, s.Discovery.Notice.D()/2), model.Member{Name: name, Status: model.Terminating})
 	}
 	var out []time.Duration
 	for {
-		now, any := d.Next()
+		now, any := d.NextPublish()
 		if !any {
 			return out, nil
 		}
--- a/internal/lab/drill/stall.go
+++ b/internal/lab/drill/stall.go
@@ -57,12 +57,12 @@
 	}
 	defer server.close()
 	rec := load.NewRecorder()
-	o := load.Options{URL: "http://" + server.address(), Timeout: s.Freeze + 10*time.Second, MaxOpen: 20000, Recorder: rec}
+	o := load.Options{URL: "http://" + server.address(), Timeout: s.Freeze + 10*time.Second, MaxInFlight: 20000, Recorder: rec}
 	server.begin(time.Now())
 	if closed > 0 {
-		err = load.Closed(ctx, closed, s.Rate, s.Whole, load.Item{Method: http.MethodGet, Target: "/"}, o)
+		err = load.RunClosedLoop(ctx, closed, s.Rate, s.Whole, load.Item{Method: http.MethodGet, Target: "/"}, o)
 	} else {
-		err = load.Run(ctx, &load.Steady{Item: load.Item{Method: http.MethodGet, Target: "/"},
+		err = load.Run(ctx, &load.SingleRequest{Item: load.Item{Method: http.MethodGet, Target: "/"},
 			Arrivals: load.NewArrivals(s.Rate, nil, nil, s.Whole)}, o)
 	}
 	return rec.Summary(), err
--- a/internal/lab/emulator/lost_test.go
+++ b/internal/lab/emulator/lost_test.go
@@ -23,7 +23,7 @@
 			plan := s.Lay(1)
 			var machines []*instance
 			for _, m := range plan.Machines[:2] {
-				m.Config.Conns.Delay = wait
+				m.Config.Connections.FirstRequestDelay = wait
 				i := newInstance(w, m, false, nil)
 				defer i.stop()
 				machines = append(machines, i)
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -124,11 +124,11 @@
 	s.mu.Lock()
 	s.process = p
 	if s.pool == nil {
-		s.pool = httpc.NewPool(httpc.Options{Address: s.listen, ConnectTimeout: time.Second, Extra: s.w.extra})
+		s.pool = httpc.NewPool(httpc.Options{Address: s.listen, ConnectTimeout: time.Second, OnUnsolicited: s.w.extra})
 	}
 	s.mu.Unlock()
 	s.w.tasks.Go(func() { s.watch(p) })
-	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
+	text := httpc.FormatRequest("GET", "/health/ready", "backend.local", nil)
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		check := httpc.NewPool(httpc.Options{Address: s.listen})
 		r := check.Do("", "GET", text, time.Now().Add(time.Second))
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -92,7 +92,7 @@
 
 	first   []*sidecar // of the first tier
 	frontMu sync.Mutex
-	front   model.Front
+	front   model.FrontendBalancer
 	ending  map[*sidecar]bool // front sidecars that have been told to stop and still run
 	picks   int               // of sidecars for clients
 
@@ -238,7 +238,7 @@
 		if err := w.enroll(s); err != nil {
 			return err
 		}
-		w.front.Admit(s.name, w.shareOf(s))
+		w.front.AddSidecar(s.name, w.shareOf(s))
 	}
 	return w.failure()
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	r := &Run{Dir: dir, Summary: sum}
-	seconds, err := results.Lines[load.Second](dir, results.SecondsFile)
+	seconds, err := results.Lines[load.SecondStats](dir, results.SecondsFile)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	return r, r.draw(dir, seconds, bands, plan, entries)
 }
 
-func (r *Run) draw(dir string, seconds []load.Second, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
+func (r *Run) draw(dir string, seconds []load.SecondStats, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
 	end := float64(len(seconds))
 	add := func(c Chart, err error) error {
 		if err == nil {
@@ -250,7 +250,7 @@
 	return series(names, counts)
 }
 
-func loadLines(seconds []load.Second) []line {
+func loadLines(seconds []load.SecondStats) []line {
 	kinds := []string{"intended", "answered well", "failed", "timed out"}
 	counts := make([][]float64, len(kinds))
 	for _, s := range seconds {
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -161,7 +161,7 @@
 		if c.Tries == 0 {
 			continue
 		}
-		rec.Intend(c.Asked)
+		rec.RecordIntended(c.Asked)
 		o := load.Outcome{Intended: c.Asked, Sent: c.Asked, Ended: c.LastTime, Status: c.Status, TimedOut: c.End == ledger.GaveUp}
 		if c.Served != 0 {
 			o.Ended, o.Status, o.TimedOut = c.Served, 200, false
--- a/internal/lab/results/results_test.go
+++ b/internal/lab/results/results_test.go
@@ -69,7 +69,7 @@
 	rec := load.NewRecorder()
 	for n := range 100 {
 		at := time.Duration(n) * 10 * time.Millisecond
-		rec.Intend(at)
+		rec.RecordIntended(at)
 		rec.Add(load.Outcome{Intended: at, Sent: at, Ended: at + time.Duration(n+1)*time.Millisecond, Status: 200})
 	}
 	sum := Head("load", "x", 1, time.Now())
@@ -84,7 +84,7 @@
 	if got, err := Load(dir); err != nil || got.OK != 100 || got.Machine.CPUs < 1 || got.Version == "" {
 		t.Errorf("%+v %v", got, err)
 	}
-	if seconds, err := Lines[load.Second](dir, SecondsFile); err != nil || len(seconds) != 1 || seconds[0].OK != 100 {
+	if seconds, err := Lines[load.SecondStats](dir, SecondsFile); err != nil || len(seconds) != 1 || seconds[0].OK != 100 {
 		t.Errorf("%v %v", seconds, err)
 	}
 	if _, err := Folder(dir, "x", 1, time.Now()); err == nil || !strings.Contains(err.Error(), "holds a run") {
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -115,12 +115,12 @@
 }
 
 // Model are the classes and habits as the model takes them.
-func (s *Scenario) Model() ([]model.Class, model.Habits) {
+func (s *Scenario) Model() ([]model.Class, model.ClientBehavior) {
 	var classes []model.Class
 	for _, c := range s.Classes {
-		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), Spread: c.Spread, Worth: c.Worth,
-			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Safe: c.Effect == "safe"})
+		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), WorkCV: c.Spread, Utility: c.Worth,
+			LatencyTarget: c.Aim.D(), TotalTimeout: c.GiveUp.D(), Safe: c.Effect == "safe"})
 	}
 	h := s.Clients
-	return classes, model.Habits{Retries: h.Retries, TryShare: h.TryShare, Backoff: h.Backoff.D(), Honour: h.Honour}
+	return classes, model.ClientBehavior{MaxRetries: h.Retries, AttemptTimeoutShare: h.TryShare, Backoff: h.Backoff.D(), HonorRetryAfter: h.Honour}
 }
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -66,11 +66,11 @@
 	if r := b.last[loaded.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
 		t.Errorf("%+v", r)
 	}
-	loaded.Break()
+	loaded.BreakStreams()
 	n := b.count(loaded.Address)
 	testkit.WaitUntil(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
 	w.SetAddresses(nil)
-	testkit.WaitUntil(t, "the stream ends", func() bool { return loaded.Streams() == 0 })
+	testkit.WaitUntil(t, "the stream ends", func() bool { return loaded.OpenStreams() == 0 })
 }
 
 // gRPC's own service, which we did not write, is understood: its first report comes at once.
@@ -114,7 +114,7 @@
 	}
 	defer x.Stop()
 	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).SetAddresses([]string{x.Address})
-	testkit.WaitUntil(t, "a stream", func() bool { return x.Streams() == 1 })
+	testkit.WaitUntil(t, "a stream", func() bool { return x.OpenStreams() == 1 })
 	cancel()
-	testkit.WaitUntil(t, "none", func() bool { return x.Streams() == 0 })
+	testkit.WaitUntil(t, "none", func() bool { return x.OpenStreams() == 0 })
 }
--- a/internal/transport/pace_test.go
+++ b/internal/transport/pace_test.go
@@ -53,8 +53,8 @@
 // play gives when each caller was served, counted from the end of the outage; those that were not have the run's end.
 func (c crowdCase) play(seed uint64) []time.Duration {
 	capacity := max(float64(c.callers)/c.queue, leastCapacity)
-	d := model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: c.timeout, RefuseFull: c.refuses,
-		WorksOffFailed: true}, nil)
+	d := model.NewDiscovery(model.DiscoveryConfig{CallsPerSecond: capacity, Timeout: c.timeout, RejectWhenFull: c.refuses,
+		ServeTimedOut: true}, nil)
 	var all, waiting callers
 	for i := range c.callers {
 		one := &caller{rng: rand.New(rand.NewPCG(seed, uint64(i)))}
