--- a/internal/lab/httpc/peek.go
+++ b/internal/lab/httpc/peek.go
@@ -10,7 +10,7 @@
 
 // pending looks, without waiting, whether bytes or the end have come on a connection that owes nothing. What TLS has
 // buffered cannot be seen so; such a connection counts as quiet.
-func pending(c net.Conn) (bytes, ended bool) {
+func peek(c net.Conn) (bytes, ended bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false, false
--- a/internal/lab/httpc/pool.go
+++ b/internal/lab/httpc/pool.go
@@ -61,8 +61,8 @@
 
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	last string // id of the last request
+	reader *bufio.Reader
+	lastID string // id of the last request
 }
 
 // NewPool makes an empty pool.
@@ -76,19 +76,19 @@
 // Do sends one request, whose text is ready, and reads its answer. It gives up at the deadline by closing the
 // connection. id names the request for Options.Extra.
 func (p *Pool) Do(id, method string, text []byte, deadline time.Time) Result {
-	r, crossed := p.once(id, method, text, deadline, false)
+	r, crossed := p.attempt(id, method, text, deadline, false)
 	if crossed { // the server closed between requests: the one it has not read goes out once more
-		r, _ = p.once(id, method, text, deadline, true)
+		r, _ = p.attempt(id, method, text, deadline, true)
 		r.Retried = true
 	}
 	r.EndedAt = time.Now()
 	return r
 }
 
-func (p *Pool) once(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, crossed bool) {
+func (p *Pool) attempt(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, crossed bool) {
 	c := (*conn)(nil)
 	if !fresh {
-		c = p.take()
+		c = p.takeIdle()
 	}
 	if r.NewConnection = c == nil; r.NewConnection {
 		if c, r.Err = p.dial(deadline); r.Err != nil {
@@ -96,11 +96,11 @@
 			return r, false
 		}
 	}
-	r.Progress, c.last = Connected, id
+	r.Progress, c.lastID = Connected, id
 	keep := false
 	defer func() {
 		if keep {
-			p.put(c)
+			p.release(c)
 		} else {
 			c.Close()
 		}
@@ -111,7 +111,7 @@
 		return r, !r.NewConnection && !r.TimedOut
 	}
 	r.Progress, r.WrittenAt = RequestWritten, time.Now()
-	if _, r.Err = c.in.Peek(1); r.Err != nil {
+	if _, r.Err = c.reader.Peek(1); r.Err != nil {
 		r.TimedOut = isTimeout(r.Err)
 		return r, !r.NewConnection && !r.TimedOut
 	}
@@ -127,7 +127,7 @@
 
 func (p *Pool) read(c *conn, method string, r *Result) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.in, &http.Request{Method: method})
+		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
@@ -165,7 +165,7 @@
 		}
 		raw = secure
 	}
-	return &conn{Conn: raw, in: bufio.NewReaderSize(raw, 4096)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, 4096)}, nil
 }
 
 // Rests tells whether a connection rests that may be used for the next request.
@@ -176,7 +176,7 @@
 }
 
 // take hands out the connection that was used last, if it still stands.
-func (p *Pool) take() *conn {
+func (p *Pool) takeIdle() *conn {
 	for {
 		p.mu.Lock()
 		if len(p.idle) == 0 {
@@ -186,7 +186,7 @@
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		p.mu.Unlock()
-		if !p.spent(c) {
+		if !p.unusable(c) {
 			return c
 		}
 		c.Close()
@@ -194,19 +194,19 @@
 }
 
 // spent tells whether a connection without a request is closed, or has brought something that nobody asked for.
-func (p *Pool) spent(c *conn) bool {
-	more, ended := c.in.Buffered() > 0, false
+func (p *Pool) unusable(c *conn) bool {
+	more, ended := c.reader.Buffered() > 0, false
 	if !more {
-		more, ended = pending(c.Conn)
+		more, ended = peek(c.Conn)
 	}
 	if more && p.options.OnUnsolicited != nil {
-		p.options.OnUnsolicited(c.last)
+		p.options.OnUnsolicited(c.lastID)
 	}
 	return more || ended
 }
 
-func (p *Pool) put(c *conn) {
-	if p.spent(c) {
+func (p *Pool) release(c *conn) {
+	if p.unusable(c) {
 		c.Close()
 		return
 	}
@@ -226,7 +226,7 @@
 	p.idle, p.closed = nil, true
 	p.mu.Unlock()
 	for _, c := range idle {
-		p.spent(c)
+		p.unusable(c)
 		c.Close()
 	}
 }
--- a/internal/lab/instances/orca.go
+++ b/internal/lab/instances/orca.go
@@ -20,9 +20,9 @@
 	grpc    *grpc.Server
 	report  func() *data.OrcaLoadReport
 
-	mu      sync.Mutex
-	streams int
-	cut     chan struct{} // closed to break the streams that are open
+	mu          sync.Mutex
+	streams     int
+	breakSignal chan struct{} // closed to break the streams that are open
 }
 
 // New starts an Instance on a free port of loopback. Without a report it runs but does not offer the service.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	i := &Instance{Address: ln.Addr().String(), grpc: grpc.NewServer(), report: report, cut: make(chan struct{})}
+	i := &Instance{Address: ln.Addr().String(), grpc: grpc.NewServer(), report: report, breakSignal: make(chan struct{})}
 	if report != nil {
 		service.RegisterOpenRcaServiceServer(i.grpc, i)
 	}
@@ -46,8 +46,8 @@
 func (i *Instance) BreakStreams() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	close(i.cut)
-	i.cut = make(chan struct{})
+	close(i.breakSignal)
+	i.breakSignal = make(chan struct{})
 }
 
 // Streams tells how many streams are open.
@@ -61,7 +61,7 @@
 func (i *Instance) StreamCoreMetrics(q *service.OrcaLoadReportRequest, out grpc.ServerStreamingServer[data.OrcaLoadReport]) error {
 	i.mu.Lock()
 	i.streams++
-	cut := i.cut
+	cut := i.breakSignal
 	i.mu.Unlock()
 	defer func() {
 		i.mu.Lock()
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -39,17 +39,17 @@
 
 // Arrivals draws the times at which requests are meant to go out.
 type Arrivals struct {
-	rate  float64
-	shape Shape
-	rng   *rand.Rand // nil for even spacing
-	now   time.Duration
-	first bool
-	end   time.Duration
+	rate      float64
+	shape     Shape
+	rng       *rand.Rand // nil for even spacing
+	now       time.Duration
+	immediate bool
+	end       time.Duration
 }
 
 // NewArrivals gives rate x shape requests a second until end: evenly spaced, or as a Poisson process if rng is set.
 func NewArrivals(rate float64, shape Shape, rng *rand.Rand, end time.Duration) *Arrivals {
-	return &Arrivals{rate: rate, shape: shape, rng: rng, first: rng == nil, end: end}
+	return &Arrivals{rate: rate, shape: shape, rng: rng, immediate: rng == nil, end: end}
 }
 
 // Next is the next time, or false once the end has come.
@@ -58,19 +58,19 @@
 	if a.rng != nil {
 		due = a.rng.ExpFloat64()
 	}
-	if a.first { // even spacing begins at once
-		a.first, due = false, 0
+	if a.immediate { // even spacing begins at once
+		a.immediate, due = false, 0
 	}
-	at, ok := a.after(due)
+	at, ok := a.timeAfter(due)
 	a.now = at
 	return at, ok && at < a.end
 }
 
 // after is when so many requests are expected to have come since now.
-func (a *Arrivals) after(due float64) (time.Duration, bool) {
+func (a *Arrivals) timeAfter(due float64) (time.Duration, bool) {
 	t := a.now
 	for {
-		next, last := a.corner(t)
+		next, last := a.nextPoint(t)
 		from := a.rate * a.shape.At(t)
 		if last {
 			if from <= 0 {
@@ -82,7 +82,7 @@
 			return a.end, false
 		}
 		span := (next - t).Seconds()
-		to := a.rate * a.before(next)
+		to := a.rate * a.factorBefore(next)
 		if area := (from + to) / 2 * span; area < due || area == 0 {
 			due -= area
 			t = next
@@ -104,7 +104,7 @@
 }
 
 // corner is the next corner after t; last if there is none.
-func (a *Arrivals) corner(t time.Duration) (next time.Duration, last bool) {
+func (a *Arrivals) nextPoint(t time.Duration) (next time.Duration, last bool) {
 	for _, p := range a.shape {
 		if p.At > t {
 			return p.At, false
@@ -114,7 +114,7 @@
 }
 
 // before is the factor as a corner is reached; two corners at one time make a step.
-func (a *Arrivals) before(t time.Duration) float64 {
+func (a *Arrivals) factorBefore(t time.Duration) float64 {
 	for _, p := range a.shape {
 		if p.At == t {
 			return p.Factor
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -29,7 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func all(a *Arrivals) []time.Duration {
+func allTimes(a *Arrivals) []time.Duration {
 	var out []time.Duration
 	for at, more := a.Next(); more; at, more = a.Next() {
 		out = append(out, at)
@@ -48,7 +48,7 @@
 		}
 		end := at + time.Second
 		const rate = 200.0
-		got := all(NewArrivals(rate, shape, nil, end))
+		got := allTimes(NewArrivals(rate, shape, nil, end))
 		// The integral by small steps.
 		sum, n := 0.0, 0
 		const step = 50 * time.Microsecond
@@ -68,7 +68,7 @@
 }
 
 func TestPoisson(t *testing.T) {
-	got := all(NewArrivals(1000, nil, model.NewRand(1, 1), 100*time.Second))
+	got := allTimes(NewArrivals(1000, nil, model.NewRand(1, 1), 100*time.Second))
 	if n := float64(len(got)); math.Abs(n-100_000) > 5*math.Sqrt(100_000) {
 		t.Errorf("%g arrivals", n)
 	}
@@ -81,7 +81,7 @@
 	if share := float64(short) / float64(len(got)); math.Abs(share-(1-1/math.E)) > 0.01 {
 		t.Errorf("%.3f of the gaps are under the mean", share)
 	}
-	if again := all(NewArrivals(1000, nil, model.NewRand(1, 1), 100*time.Second)); !reflect.DeepEqual(got, again) {
+	if again := allTimes(NewArrivals(1000, nil, model.NewRand(1, 1), 100*time.Second)); !reflect.DeepEqual(got, again) {
 		t.Error("the same seed gives other arrivals")
 	}
 }
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/pace.go
@@ -16,7 +16,7 @@
 }
 
 // fine is the stretch before a point in time that is not left to Go's timers.
-const fine = 2 * time.Millisecond
+const fineWait = 2 * time.Millisecond
 
 func newPacer() *pacer {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
@@ -33,7 +33,7 @@
 }
 
 // until waits for a time; false if ctx ended first.
-func (p *pacer) until(ctx context.Context, at time.Time) bool {
+func (p *pacer) waitUntil(ctx context.Context, at time.Time) bool {
 	for {
 		wait := time.Until(at)
 		switch {
@@ -41,20 +41,20 @@
 			return false
 		case wait <= 0:
 			return true
-		case wait > fine:
-			timer := time.NewTimer(wait - fine*3/4)
+		case wait > fineWait:
+			timer := time.NewTimer(wait - fineWait*3/4)
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
 				timer.Stop()
 			}
-		case !p.sleep(wait):
+		case !p.sleepOnTimerfd(wait):
 			time.Sleep(wait)
 		}
 	}
 }
 
-func (p *pacer) sleep(d time.Duration) bool {
+func (p *pacer) sleepOnTimerfd(d time.Duration) bool {
 	if p.timer == nil {
 		return false
 	}
--- a/internal/lab/load/recorder.go
+++ b/internal/lab/load/recorder.go
@@ -61,14 +61,14 @@
 
 // Recorder gathers outcomes. Latencies run from 1 µs to 10 minutes with three significant digits.
 type Recorder struct {
-	mu      sync.Mutex
-	latency *hdrhistogram.Histogram
-	service *hdrhistogram.Histogram
-	seconds []SecondStats
-	byTime  []*hdrhistogram.Histogram
-	s       Summary
-	worst   time.Duration
-	last    time.Duration
+	mu        sync.Mutex
+	latency   *hdrhistogram.Histogram
+	service   *hdrhistogram.Histogram
+	seconds   []SecondStats
+	perSecond []*hdrhistogram.Histogram
+	summary   Summary
+	maxLate   time.Duration
+	lastEnd   time.Duration
 }
 
 func histogram(digits int) *hdrhistogram.Histogram {
@@ -82,7 +82,7 @@
 func (r *Recorder) RecordIntended(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.s.Intended++
+	r.summary.Intended++
 	r.second(at).Intended++
 }
 
@@ -90,7 +90,7 @@
 	n := int(at / time.Second)
 	for len(r.seconds) <= n {
 		r.seconds = append(r.seconds, SecondStats{Second: len(r.seconds)})
-		r.byTime = append(r.byTime, histogram(2))
+		r.perSecond = append(r.perSecond, histogram(2))
 	}
 	return &r.seconds[n]
 }
@@ -101,37 +101,37 @@
 	defer r.mu.Unlock()
 	sec := r.second(o.Intended)
 	if o.Sent > 0 {
-		r.s.Sent++
+		r.summary.Sent++
 		if late := o.Sent - o.Intended; late > LateThreshold {
-			r.s.LateSends++
-			r.worst = max(r.worst, late)
+			r.summary.LateSends++
+			r.maxLate = max(r.maxLate, late)
 		}
 	}
 	if o.NewConnection {
-		r.s.Connections++
+		r.summary.Connections++
 	}
 	switch {
 	case o.TimedOut:
-		r.s.TimedOut++
+		r.summary.TimedOut++
 		sec.TimedOut++
 	case o.Status >= 200 && o.Status < 400:
-		r.s.OK++
+		r.summary.OK++
 		sec.OK++
 	default:
-		r.s.Failed++
+		r.summary.Failed++
 		sec.Failed++
 	}
-	r.last = max(r.last, o.Ended)
+	r.lastEnd = max(r.lastEnd, o.Ended)
 	if o.Status == 0 && !o.TimedOut {
 		return // broken: it has no latency
 	}
 	us := int64((o.Ended - o.Intended) / time.Microsecond)
 	r.latency.RecordValue(us)
-	r.byTime[int(o.Intended/time.Second)].RecordValue(us)
+	r.perSecond[int(o.Intended/time.Second)].RecordValue(us)
 	r.service.RecordValue(int64((o.Ended - o.Sent) / time.Microsecond))
 }
 
-func figures(h *hdrhistogram.Histogram) LatencyMS {
+func latencySummary(h *hdrhistogram.Histogram) LatencyMS {
 	at := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return LatencyMS{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000, Mean: h.Mean() / 1000}
 }
@@ -140,10 +140,10 @@
 func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.s
-	s.Latency, s.Service = figures(r.latency), figures(r.service)
-	s.MaxLateMS = float64(r.worst.Microseconds()) / 1000
-	s.Seconds = r.last.Seconds()
+	s := r.summary
+	s.Latency, s.Service = latencySummary(r.latency), latencySummary(r.service)
+	s.MaxLateMS = float64(r.maxLate.Microseconds()) / 1000
+	s.Seconds = r.lastEnd.Seconds()
 	if s.Seconds > 0 {
 		s.Rate = float64(s.Sent) / s.Seconds
 	}
@@ -156,8 +156,8 @@
 	defer r.mu.Unlock()
 	out := make([]SecondStats, len(r.seconds))
 	for i, s := range r.seconds {
-		h := r.byTime[i]
-		l := figures(h)
+		h := r.perSecond[i]
+		l := latencySummary(h)
 		s.P50, s.P90, s.P99, s.Max = l.P50, l.P90, l.P99, l.Max
 		out[i] = s
 	}
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -85,13 +85,13 @@
 		stop := progress(o, start)
 		defer stop()
 	}
-	g := &generator{o: o, target: target, pool: pool, start: start, work: make(chan job)}
+	g := &generator{options: o, target: target, pool: pool, start: start, requests: make(chan scheduledRequest)}
 	pace := newPacer()
 	defer pace.close()
 	var failed error
 	for {
 		item, at, more := source.Next()
-		if !more || !pace.until(ctx, start.Add(at)) {
+		if !more || !pace.waitUntil(ctx, start.Add(at)) {
 			break
 		}
 		o.Recorder.RecordIntended(at)
@@ -100,61 +100,61 @@
 				break
 			}
 		}
-		g.hand(job{item, at})
+		g.dispatch(scheduledRequest{item, at})
 	}
-	close(g.work)
-	g.wait.Wait()
+	close(g.requests)
+	g.workerGroup.Wait()
 	return failed
 }
 
-type job struct {
+type scheduledRequest struct {
 	item Item
 	at   time.Duration
 }
 
 // generator hands requests to goroutines that wait for one; it starts another when none does, up to MaxOpen.
 type generator struct {
-	o      Options
-	target Target
-	pool   *httpc.Pool
-	start  time.Time
-	work   chan job
-	open   int
-	wait   sync.WaitGroup
+	options     Options
+	target      Target
+	pool        *httpc.Pool
+	start       time.Time
+	requests    chan scheduledRequest
+	workers     int
+	workerGroup sync.WaitGroup
 }
 
-func (g *generator) hand(j job) {
+func (g *generator) dispatch(j scheduledRequest) {
 	select {
-	case g.work <- j:
+	case g.requests <- j:
 		return
 	default:
 	}
-	if g.open < g.o.MaxInFlight {
-		g.open++
-		g.wait.Go(func() {
-			g.do(j)
-			for j := range g.work {
-				g.do(j)
+	if g.workers < g.options.MaxInFlight {
+		g.workers++
+		g.workerGroup.Go(func() {
+			g.send(j)
+			for j := range g.requests {
+				g.send(j)
 			}
 		})
 		return
 	}
-	g.work <- j // all are out: it goes late, and counts from its time
+	g.requests <- j // all are out: it goes late, and counts from its time
 }
 
-func (g *generator) do(j job) {
+func (g *generator) send(j scheduledRequest) {
 	fields := make([]httpc.HeaderField, 0, len(j.item.Headers))
 	for name, value := range j.item.Headers {
 		fields = append(fields, httpc.HeaderField{Name: name, Value: value})
 	}
 	text := httpc.FormatRequest(j.item.Method, j.item.Target, g.target.Host, j.item.Body, fields...)
 	sent := time.Now()
-	r := g.pool.Do("", j.item.Method, text, sent.Add(g.o.Timeout))
+	r := g.pool.Do("", j.item.Method, text, sent.Add(g.options.Timeout))
 	out := Outcome{Intended: j.at, Sent: sent.Sub(g.start), Ended: r.EndedAt.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
 		NewConnection: r.NewConnection}
-	g.o.Recorder.Add(out)
-	if g.o.OnOutcome != nil {
-		g.o.OnOutcome(j.item, out)
+	g.options.Recorder.Add(out)
+	if g.options.OnOutcome != nil {
+		g.options.OnOutcome(j.item, out)
 	}
 }
 
@@ -243,7 +243,7 @@
 	}
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
-	g := &generator{o: o, target: target, pool: pool, start: time.Now()}
+	g := &generator{options: o, target: target, pool: pool, start: time.Now()}
 	each := seconds(float64(n) / rate)
 	var wait sync.WaitGroup
 	for i := range n {
@@ -251,10 +251,10 @@
 			pace := newPacer()
 			defer pace.close()
 			at := each * time.Duration(i) / time.Duration(n)
-			for at < d && pace.until(ctx, g.start.Add(at)) {
+			for at < d && pace.waitUntil(ctx, g.start.Add(at)) {
 				now := time.Since(g.start)
 				o.Recorder.RecordIntended(now)
-				g.do(job{item, now})
+				g.send(scheduledRequest{item, now})
 				at = max(at+each, time.Since(g.start)) // a request that should have gone meanwhile is forgotten
 			}
 		})
--- a/internal/lab/load/shapes.go
+++ b/internal/lab/load/shapes.go
@@ -39,7 +39,7 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("--shape: %q is neither %s nor a file: %w", name, names(), err)
+		return nil, fmt.Errorf("--shape: %q is neither %s nor a file: %w", name, shapeNameList(), err)
 	}
 	var corners []struct {
 		At     string  `yaml:"at"`
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-func names() string {
+func shapeNameList() string {
 	var all []string
 	for n := range ShapeNames {
 		all = append(all, n)
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -5,141 +5,143 @@
 	"time"
 )
 
-// Class is a kind of request that clients make.
+// Class is a class of requests that clients send.
 type Class struct {
 	Name          string
-	Share         float64 // of the requests
+	Share         float64 // fraction of all requests
 	Work          time.Duration
 	WorkCV        float64 // coefficient of variation of the work
 	Utility       float64
-	LatencyTarget time.Duration // an answer after it is worth nothing
-	TotalTimeout  time.Duration // how long a client waits in all, over all its tries
-	Safe          bool          // may be repeated after any failure
+	LatencyTarget time.Duration // a later response has no utility
+	TotalTimeout  time.Duration // how long a client waits over all its attempts
+	Safe          bool          // may be retried after any failure
 }
 
-// Habits is how clients behave.
+// ClientBehavior describes how clients retry.
 type ClientBehavior struct {
-	MaxRetries          int           // further tries at the most
-	AttemptTimeoutShare float64       // of the time to give up that one try is given
-	Backoff             time.Duration // between tries; 0 for at once
-	HonorRetryAfter     float64       // share of clients that heed Retry-After
+	MaxRetries          int
+	AttemptTimeoutShare float64       // timeout of one attempt, as a fraction of the total timeout
+	Backoff             time.Duration // between attempts; 0 to retry immediately
+	HonorRetryAfter     float64       // fraction of clients that honor Retry-After
 }
 
-// TryEnd is how a try looked to the client.
+// AttemptResult is the result of a client attempt as the client sees it.
 type AttemptResult uint8
 
-// The ends of a try.
+// The results of a client attempt.
 const (
 	AttemptServed       AttemptResult = iota + 1
-	AttemptRejected                   // trying again is harmless
+	AttemptRejected                   // not processed, so a retry is safe
 	AttemptNotConnected               // the sidecar could not be reached
-	AttemptFailed                     // it may have run
+	AttemptFailed                     // may have been processed
 	AttemptTimedOut
-	AttemptDeclined // refused, and nothing is gained by another attempt
+	AttemptDeclined // rejected in a way that a retry cannot change
 )
 
-// Try is one request that a client sends.
+// ClientAttempt is one request sent by a client.
 type ClientAttempt struct {
-	At       time.Duration // when it goes out
-	Deadline time.Duration // when the client gives this try up
+	At       time.Duration // when it is sent
+	Deadline time.Duration // when the client gives up on this attempt
 	Retry    bool
 }
 
-// Client is one piece of business: a first try and its repeats.
+// Client is one client request: the first attempt and its retries.
 type Client struct {
-	ClassIndex int
-	Work       float64 // core-seconds in all
-	StartedAt  time.Duration
-	class      Class
-	habits     ClientBehavior
-	tries      int
-	heeds      bool
+	ClassIndex       int
+	Work             float64 // core-seconds
+	StartedAt        time.Duration
+	class            Class
+	behavior         ClientBehavior
+	attempts         int
+	honorsRetryAfter bool
 }
 
-// NewClient draws a client that asks at a time.
-func NewClient(rng *rand.Rand, classes []Class, habits ClientBehavior, at time.Duration) *Client {
+// NewClient draws a client whose first attempt is at the given time.
+func NewClient(rng *rand.Rand, classes []Class, behavior ClientBehavior, at time.Duration) *Client {
 	n, x := 0, rng.Float64()
 	for x -= classes[0].Share; x >= 0 && n < len(classes)-1; x -= classes[n].Share {
 		n++
 	}
 	c := classes[n]
-	return &Client{ClassIndex: n, Work: Lognormal(rng, c.Work.Seconds(), c.WorkCV), StartedAt: at, class: c, habits: habits,
-		heeds: rng.Float64() < habits.HonorRetryAfter}
+	return &Client{ClassIndex: n, Work: Lognormal(rng, c.Work.Seconds(), c.WorkCV), StartedAt: at, class: c, behavior: behavior,
+		honorsRetryAfter: rng.Float64() < behavior.HonorRetryAfter}
 }
 
-// First is the first try.
-func (c *Client) FirstAttempt() ClientAttempt { return c.try(c.StartedAt) }
+// FirstAttempt returns the first attempt.
+func (c *Client) FirstAttempt() ClientAttempt { return c.attempt(c.StartedAt) }
 
-func (c *Client) try(at time.Duration) ClientAttempt {
-	t := ClientAttempt{At: at, Retry: c.tries > 0,
-		Deadline: min(at+time.Duration(c.habits.AttemptTimeoutShare*float64(c.class.TotalTimeout)), c.StartedAt+c.class.TotalTimeout)}
-	c.tries++
-	return t
+// attempt counts and returns an attempt sent at the given time.
+func (c *Client) attempt(at time.Duration) ClientAttempt {
+	a := ClientAttempt{At: at, Retry: c.attempts > 0,
+		Deadline: min(at+time.Duration(c.behavior.AttemptTimeoutShare*float64(c.class.TotalTimeout)), c.StartedAt+c.class.TotalTimeout)}
+	c.attempts++
+	return a
 }
 
-// Next is the try that follows one that ended, if the client makes one.
-func (c *Client) NextAttempt(now time.Duration, end AttemptResult, retryAfter time.Duration) (ClientAttempt, bool) {
-	again := end == AttemptRejected || end == AttemptNotConnected || c.class.Safe && (end == AttemptFailed || end == AttemptTimedOut)
-	if end == AttemptServed || !again || c.tries > c.habits.MaxRetries {
+// NextAttempt returns the retry that follows an ended attempt, or false if the client does not retry.
+func (c *Client) NextAttempt(now time.Duration, result AttemptResult, retryAfter time.Duration) (ClientAttempt, bool) {
+	retry := result == AttemptRejected || result == AttemptNotConnected || c.class.Safe && (result == AttemptFailed || result == AttemptTimedOut)
+	if result == AttemptServed || !retry || c.attempts > c.behavior.MaxRetries {
 		return ClientAttempt{}, false
 	}
-	wait := c.habits.Backoff
-	if c.heeds {
+	wait := c.behavior.Backoff
+	if c.honorsRetryAfter {
 		wait = max(wait, retryAfter)
 	}
 	if now+wait >= c.StartedAt+c.class.TotalTimeout {
 		return ClientAttempt{}, false
 	}
-	return c.try(now + wait), true
+	return c.attempt(now + wait), true
 }
 
-// Front spreads clients over the sidecars of their zone. It learns late that one has died.
+// FrontendBalancer distributes client connections over the sidecars of their zone. It detects a dead sidecar with a delay.
 type FrontendBalancer struct {
-	order []*place
-	gone  map[string]time.Duration // noticed from then on
+	targets  []*balancerTarget
+	deadFrom map[string]time.Duration // when the death of a sidecar is detected
 }
 
-// place is a sidecar in the front's turns: a smooth weighted round robin.
-type place struct {
-	name          string
-	share, credit float64
+// balancerTarget is a sidecar in the smooth weighted round robin of a FrontendBalancer.
+type balancerTarget struct {
+	name                  string
+	weight, currentWeight float64
 }
 
-// Admit takes a sidecar that has said it is ready. Share is how much it gets beside others, 1 for an even part.
-func (f *FrontendBalancer) AddSidecar(name string, share float64) {
-	delete(f.gone, name)
-	for _, p := range f.order {
-		if p.name == name {
+// AddSidecar adds a sidecar that has reported ready, or clears its death. The weight is relative to that of the others; 1 is an
+// even share.
+func (b *FrontendBalancer) AddSidecar(name string, weight float64) {
+	delete(b.deadFrom, name)
+	for _, t := range b.targets {
+		if t.name == name {
 			return
 		}
 	}
-	f.order = append(f.order, &place{name: name, share: share})
+	b.targets = append(b.targets, &balancerTarget{name: name, weight: weight})
 }
 
-// Died tells that a sidecar's process has ended, and when the front layer notices.
-func (f *FrontendBalancer) MarkDead(noticed time.Duration, name string) {
-	if f.gone == nil {
-		f.gone = map[string]time.Duration{}
+// MarkDead records that a sidecar's process has ended, and when the balancer detects it.
+func (b *FrontendBalancer) MarkDead(detected time.Duration, name string) {
+	if b.deadFrom == nil {
+		b.deadFrom = map[string]time.Duration{}
 	}
-	f.gone[name] = noticed
+	b.deadFrom[name] = detected
 }
 
-// Pick is the sidecar for the next connection; empty where there is none. The front deals in turn.
-func (f *FrontendBalancer) Pick(now time.Duration) string {
-	var next *place
+// Pick returns the sidecar for the next connection by smooth weighted round robin, or an empty name if there is none.
+func (b *FrontendBalancer) Pick(now time.Duration) string {
+	var next *balancerTarget
 	sum := 0.0
-	for _, p := range f.order {
-		if at, dead := f.gone[p.name]; dead && now >= at {
+	for _, t := range b.targets {
+		if at, dead := b.deadFrom[t.name]; dead && now >= at {
 			continue
 		}
-		sum += p.share
-		if p.credit += p.share; next == nil || p.credit > next.credit {
-			next = p
+		sum += t.weight
+		if t.currentWeight += t.weight; next == nil || t.currentWeight > next.currentWeight {
+			next = t
 		}
 	}
 	if next == nil {
 		return ""
 	}
-	next.credit -= sum
+	next.currentWeight -= sum
 	return next.name
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Status is what discovery says of an instance.
+// Status is the status of an instance in discovery.
 type Status string
 
 // The statuses of the platform's discovery.
@@ -16,79 +16,81 @@
 	Gone        Status = "Gone"
 )
 
-// Member is an entry of discovery's list.
+// Member is an entry in discovery's endpoint list.
 type Member struct {
 	Name      string
 	Kind      string
 	Group     int
 	Status    Status
-	StartedAt time.Duration // of its last start; 0 for long ago
+	StartedAt time.Duration // time of its last start; 0 if it started before the run
 }
 
-// DiscoveryConfig says how slow and coarse discovery is.
+// DiscoveryConfig describes the delays and limits of discovery.
 type DiscoveryConfig struct {
-	Period         time.Duration // changes are published together, once in each
-	CallsPerSecond float64       // calls a second, served in turn
-	Timeout        time.Duration // a call that waits longer fails
-	KeptVersions   int           // published versions that a watch may resume from
-	// RefuseFull has a call that would wait too long fail at once, which costs a tenth of a turn; otherwise it fails after its
-	// time-out.
+	Period         time.Duration // changes are batched and published at most once per period
+	CallsPerSecond float64       // calls are served one after another
+	Timeout        time.Duration // a call that waits longer in the queue fails
+	KeptVersions   int           // number of published versions from which a watch may resume
+	// RejectWhenFull makes a call that would wait too long fail immediately, at a tenth of a call's service time. Otherwise it
+	// fails after its timeout.
 	RejectWhenFull bool
-	// WorksOffFailed has a call that fails after its time-out take its turn all the same, as whoever serves calls does not know
-	// that nobody waits any more.
+	// ServeTimedOut makes a call that timed out consume its service time all the same, as a server does that cannot tell
+	// that the caller has gone away.
 	ServeTimedOut bool
 }
 
-// Update is what a call or a watch is told.
+// Update is the response to a call or a message on a watch.
 type Update struct {
 	Index   int64
 	Full    bool
 	Members []Member
 }
 
-// Discovery is the service that tells sidecars of instances. It sees changes late and publishes them in versions.
+// Discovery is the service that tells sidecars which instances exist. It sees changes with a delay and publishes them as
+// numbered versions.
 type Discovery struct {
-	config  DiscoveryConfig
-	index   int64
-	now     map[string]Member
-	log     []Update // versions published, oldest first
-	pending []due
-	next    time.Duration
-	free    time.Duration // when the calls taken so far are served
-	slower  float64       // than its capacity says; 0 for not
+	config      DiscoveryConfig
+	index       int64
+	members     map[string]Member
+	versions    []Update // published versions, oldest first
+	pending     []pendingChange
+	nextPublish time.Duration
+	busyUntil   time.Duration // when all calls accepted so far have been served
+	slowdown    float64       // factor on the service time of calls; 0 for none
 }
 
-type due struct {
+// pendingChange is a member change and the time at which discovery sees it.
+type pendingChange struct {
 	at     time.Duration
 	member Member
 }
 
-// NewDiscovery starts with a list known to all, as version 1.
+// NewDiscovery returns a discovery whose version 1 is the given list.
 func NewDiscovery(config DiscoveryConfig, members []Member) *Discovery {
-	d := &Discovery{config: config, index: 1, now: map[string]Member{}}
+	d := &Discovery{config: config, index: 1, members: map[string]Member{}}
 	for _, m := range members {
-		d.now[m.Name] = m
+		d.members[m.Name] = m
 	}
 	return d
 }
 
-// Change tells of a member that discovery will see at a time. What it would have seen later of the same member is older
-// news and falls away.
+// ScheduleChange schedules a member change that discovery sees at the given time. Changes of the same member that were
+// scheduled for later are obsolete and are dropped.
 func (d *Discovery) ScheduleChange(at time.Duration, m Member) {
-	d.pending = slices.DeleteFunc(d.pending, func(p due) bool { return p.member.Name == m.Name && p.at >= at })
-	d.pending = append(d.pending, due{at, m})
-	slices.SortStableFunc(d.pending, func(a, b due) int { return int(a.at - b.at) })
+	d.pending = slices.DeleteFunc(d.pending, func(p pendingChange) bool { return p.member.Name == m.Name && p.at >= at })
+	d.pending = append(d.pending, pendingChange{at, m})
+	slices.SortStableFunc(d.pending, func(a, b pendingChange) int { return int(a.at - b.at) })
 }
 
-// Next tells when a version may be published.
+// NextPublish returns the earliest time at which the next version may be published, or false if no change is pending.
 func (d *Discovery) NextPublish() (time.Duration, bool) {
 	if len(d.pending) == 0 {
 		return 0, false
 	}
-	return max(d.pending[0].at, d.next), true
+	return max(d.pending[0].at, d.nextPublish), true
 }
 
-// Advance publishes what has been seen by now; the update is empty if there is nothing.
+// Advance publishes the changes seen so far. It returns false if there are none or the period has not passed.
 func (d *Discovery) Advance(now time.Duration) (Update, bool) {
 	if t, any := d.NextPublish(); !any || now < t {
 		return Update{}, false
@@ -99,65 +101,65 @@
 		d.pending = d.pending[1:]
 		changed[m.Name] = m
 		if m.Status == Gone {
-			delete(d.now, m.Name)
+			delete(d.members, m.Name)
 		} else {
-			d.now[m.Name] = m
+			d.members[m.Name] = m
 		}
 	}
 	d.index++
-	u := Update{Index: d.index, Members: sorted(changed)}
-	d.log = append(d.log, u)
-	if len(d.log) > max(d.config.KeptVersions, 1) {
-		d.log = d.log[1:]
+	u := Update{Index: d.index, Members: sortedByName(changed)}
+	d.versions = append(d.versions, u)
+	if len(d.versions) > max(d.config.KeptVersions, 1) {
+		d.versions = d.versions[1:]
 	}
-	d.next = now + d.config.Period
+	d.nextPublish = now + d.config.Period
 	return u, true
 }
 
-// Since is what changed after a version, or the whole list where that is too long ago.
+// ChangesSince returns the changes after a version, or the full list if that version is no longer kept or is unknown.
 func (d *Discovery) ChangesSince(index int64) Update {
 	u := Update{Index: d.index}
-	if index > d.index || index < d.index-int64(len(d.log)) {
-		u.Full, u.Members = true, sorted(d.now)
+	if index > d.index || index < d.index-int64(len(d.versions)) {
+		u.Full, u.Members = true, sortedByName(d.members)
 		return u
 	}
 	changed := map[string]Member{}
-	for _, v := range d.log {
+	for _, v := range d.versions {
 		if v.Index > index {
 			for _, m := range v.Members {
 				changed[m.Name] = m
 			}
 		}
 	}
-	u.Members = sorted(changed)
+	u.Members = sortedByName(changed)
 	return u
 }
 
-// Call takes a call in turn: when it is served, or false with when it fails because it waited too long.
+// Call queues a call. It returns when the call is served, or false and when it fails because its wait exceeds the timeout.
 func (d *Discovery) Call(now time.Duration) (time.Duration, bool) {
-	begin := max(now, d.free)
-	turn := time.Duration(float64(time.Second) / d.config.CallsPerSecond * max(d.slower, 1))
+	start := max(now, d.busyUntil)
+	serviceTime := time.Duration(float64(time.Second) / d.config.CallsPerSecond * max(d.slowdown, 1))
 	switch {
-	case begin-now <= d.config.Timeout:
-		d.free = begin + turn
-		return d.free, true
+	case start-now <= d.config.Timeout:
+		d.busyUntil = start + serviceTime
+		return d.busyUntil, true
 	case d.config.RejectWhenFull:
-		d.free = begin + turn/refusalShare
+		d.busyUntil = start + serviceTime/rejectionSpeedup
 		return now, false
 	}
 	if d.config.ServeTimedOut {
-		d.free = begin + turn
+		d.busyUntil = start + serviceTime
 	}
 	return now + d.config.Timeout, false
 }
 
-// refusalShare is the part of a call's turn that a refusal takes.
-const refusalShare = 10
+// rejectionSpeedup is how many times less service time a rejected call takes than a served one.
+const rejectionSpeedup = 10
 
-// Slow has calls take so many times their turn.
-func (d *Discovery) SetSlowdown(factor float64) { d.slower = factor }
+// SetSlowdown multiplies the service time of calls by a factor.
+func (d *Discovery) SetSlowdown(factor float64) { d.slowdown = factor }
 
-func sorted(members map[string]Member) []Member {
+func sortedByName(members map[string]Member) []Member {
 	out := make([]Member, 0, len(members))
 	for _, m := range members {
 		out = append(out, m)
--- a/internal/lab/model/doc.go
+++ b/internal/lab/model/doc.go
@@ -1,5 +1,5 @@
-// Package model is the lab's picture of the platform: instances, discovery, the front layer and clients, each a state
-// machine that knows no socket, clock, goroutine or file. Time is an argument of every event, counted from the start of
-// the run, so that one model runs on sockets in real time and with thousands of instances in virtual time. The same
-// seed and the same events give the same actions.
+// Package model simulates the platform: instances, discovery, the front-end load balancer and clients. Each is a state
+// machine without sockets, clocks, goroutines or files. Every event carries its time, counted from the start of the run,
+// so the same model runs on sockets in real time and with thousands of instances in virtual time. The same seed and the
+// same events produce the same actions.
 package model
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,20 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-func plain() Config {
+func plainConfig() Config {
 	return Config{Cores: 1, Speed: 1, Slots: 4, QueueLimit: 2, ThrashThreshold: 100, LoadReports: LoadReports{Period: 100 * time.Millisecond}}
 }
 
-// drive lets an instance run until nothing is left or the end, and gives the time and outcome of each answer.
-func drive(i *Instance, end time.Duration) (at map[uint64]time.Duration, how map[uint64]Outcome, calls []uint64) {
-	at, how = map[uint64]time.Duration{}, map[uint64]Outcome{}
+// runUntil advances an instance until it is idle or the end is reached, and returns the time and outcome of each response and
+// the calls to the tier below.
+func runUntil(i *Instance, end time.Duration) (at map[uint64]time.Duration, outcomes map[uint64]Outcome, calls []uint64) {
+	at, outcomes = map[uint64]time.Duration{}, map[uint64]Outcome{}
 	for {
 		for _, a := range i.TakeActions() {
 			if a.Call {
 				calls = append(calls, a.AttemptID)
 				continue
 			}
-			at[a.AttemptID], how[a.AttemptID] = i.now, a.Outcome
+			at[a.AttemptID], outcomes[a.AttemptID] = i.now, a.Outcome
 		}
 		next, any := i.NextEvent()
 		if !any || next > end {
@@ -31,37 +32,37 @@
 	}
 }
 
-func near(t *testing.T, what string, got, want time.Duration) {
+func assertNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if d := got - want; d < -2*time.Millisecond || d > 2*time.Millisecond {
 		t.Errorf("%s: %s, want %s", what, got, want)
 	}
 }
 
-// Two requests share a core evenly: what is alone runs at full speed.
+// Two running requests share a core evenly; a single one gets all of it.
 func TestCoresAreShared(t *testing.T) {
-	i := NewInstance(plain(), NewRand(1, 1), 0, false)
+	i := NewInstance(plainConfig(), NewRand(1, 1), 0, false)
 	far := time.Hour
 	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, Deadline: far})
 	i.Arrive(50*time.Millisecond, Request{AttemptID: 2, Work: 0.1, Deadline: far})
-	at, _, _ := drive(i, time.Minute)
-	near(t, "first", at[1], 150*time.Millisecond)
-	near(t, "second", at[2], 200*time.Millisecond)
+	at, _, _ := runUntil(i, time.Minute)
+	assertNear(t, "first", at[1], 150*time.Millisecond)
+	assertNear(t, "second", at[2], 200*time.Millisecond)
 }
 
-// The same work takes as the troubles say: slow, paused, cold, handshakes beside it.
-func TestTroublesTakeTime(t *testing.T) {
+// The time for the same work depends on speed, slowdown, pause, cold start, thrashing and concurrent handshakes.
+func TestConditionsChangeServiceTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Config)
 		cold   bool
-		meet   func(*Instance)
+		setup  func(*Instance)
 		want   time.Duration
 	}{
 		"none":      {want: 100 * time.Millisecond},
 		"fast":      {change: func(c *Config) { c.Speed = 2 }, want: 50 * time.Millisecond},
-		"slow":      {meet: func(i *Instance) { i.SetSlowdown(0, 4) }, want: 400 * time.Millisecond},
-		"paused":    {meet: func(i *Instance) { i.Pause(0, 300*time.Millisecond) }, want: 400 * time.Millisecond},
-		"handshake": {change: func(c *Config) { c.Connections = ConnectionCosts{HandshakeWork: 20 * time.Millisecond} }, meet: func(i *Instance) { i.ConnectionOpened(0) }, want: 120 * time.Millisecond},
+		"slow":      {setup: func(i *Instance) { i.SetSlowdown(0, 4) }, want: 400 * time.Millisecond},
+		"paused":    {setup: func(i *Instance) { i.Pause(0, 300*time.Millisecond) }, want: 400 * time.Millisecond},
+		"handshake": {change: func(c *Config) { c.Connections = ConnectionCosts{HandshakeWork: 20 * time.Millisecond} }, setup: func(i *Instance) { i.ConnectionOpened(0) }, want: 120 * time.Millisecond},
 		"thrash":    {change: func(c *Config) { c.ThrashFactor, c.ThrashThreshold = 1, 0 }, want: 200 * time.Millisecond},
 		// Capacity 0.5 + 0.5*t: 0.1 = 0.5t + 0.25t², t = 0.1832 s.
 		"cold": {change: func(c *Config) {
@@ -69,60 +70,60 @@
 		}, cold: true, want: 183 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			config := plain()
+			config := plainConfig()
 			if c.change != nil {
 				c.change(&config)
 			}
 			i := NewInstance(config, NewRand(1, 1), 0, c.cold)
-			if c.meet != nil {
-				c.meet(i)
+			if c.setup != nil {
+				c.setup(i)
 			}
 			i.Arrive(0, Request{AttemptID: 1, Work: 0.1, Deadline: time.Hour})
-			at, _, _ := drive(i, time.Minute)
-			near(t, "answer", at[1], c.want)
+			at, _, _ := runUntil(i, time.Minute)
+			assertNear(t, "answer", at[1], c.want)
 		})
 	}
 }
 
-// A request keeps its slot while it waits for the tier below; what finds no slot waits, what finds no room is turned
-// away, and so is what is over or comes while the instance drains.
-func TestSlotsRoomAndCalls(t *testing.T) {
-	config := plain()
+// A request keeps its slot while it waits for the tier below. A request without a free slot is queued. It is rejected if the
+// queue is full, its deadline has passed or the instance is draining.
+func TestSlotsQueueAndCalls(t *testing.T) {
+	config := plainConfig()
 	config.Slots, config.QueueLimit = 1, 1
 	i := NewInstance(config, NewRand(1, 1), 0, false)
 	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, DownstreamCalls: 2, Deadline: time.Hour})
 	i.Arrive(0, Request{AttemptID: 2, Work: 0.1, Deadline: time.Hour})
 	i.Arrive(0, Request{AttemptID: 3, Work: 0.1, Deadline: time.Hour})
-	at, how, calls := drive(i, time.Minute)
-	if len(calls) != 1 || how[3] != Rejected || i.InFlight() != 2 {
-		t.Fatalf("calls %v, outcomes %v, held %d", calls, how, i.InFlight())
+	at, outcomes, calls := runUntil(i, time.Minute)
+	if len(calls) != 1 || outcomes[3] != Rejected || i.InFlight() != 2 {
+		t.Fatalf("calls %v, outcomes %v, in flight %d", calls, outcomes, i.InFlight())
 	}
 	i.CallEnded(time.Second, 1, true)
-	if _, _, calls = drive(i, time.Minute); len(calls) != 1 {
-		t.Fatalf("second call: %v", calls)
+	if _, _, calls = runUntil(i, time.Minute); len(calls) != 1 {
+		t.Fatalf("got calls %v, want the second call", calls)
 	}
 	i.CallEnded(2*time.Second, 1, true)
-	at, how, _ = drive(i, time.Minute)
-	near(t, "first", at[1], 2050*time.Millisecond)
-	near(t, "waited", at[2], 2150*time.Millisecond)
+	at, outcomes, _ = runUntil(i, time.Minute)
+	assertNear(t, "first", at[1], 2050*time.Millisecond)
+	assertNear(t, "queued", at[2], 2150*time.Millisecond)
 	i.Arrive(3*time.Second, Request{AttemptID: 4, Work: 0.1, Deadline: 3 * time.Second})
 	i.Drain(3 * time.Second)
 	i.Arrive(3*time.Second, Request{AttemptID: 5, Work: 0.1, Deadline: time.Hour})
-	if _, how, _ = drive(i, time.Minute); how[4] != Rejected || how[5] != Rejected {
-		t.Errorf("over and draining: %v", how)
+	if _, outcomes, _ = runUntil(i, time.Minute); outcomes[4] != Rejected || outcomes[5] != Rejected {
+		t.Errorf("past the deadline and while draining: outcomes %v, want both rejected", outcomes)
 	}
 	i = NewInstance(config, NewRand(1, 1), 0, false)
 	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, DownstreamCalls: 1, Deadline: time.Hour})
-	drive(i, time.Minute)
+	runUntil(i, time.Minute)
 	i.CallEnded(time.Second, 1, false)
-	if _, how, _ = drive(i, time.Minute); how[1] != Failed {
-		t.Errorf("a failed call: %v", how)
+	if _, outcomes, _ = runUntil(i, time.Minute); outcomes[1] != Failed {
+		t.Errorf("after a failed call: outcomes %v, want failed", outcomes)
 	}
 }
 
-// An instance chokes after waiting for long enough and recovers after its rest.
-func TestChoke(t *testing.T) {
-	config := plain()
+// An instance is overloaded after TriggerAfter of queueing and recovers after RecoverAfter of low utilization.
+func TestOverload(t *testing.T) {
+	config := plainConfig()
 	config.Slots = 50
 	config.Overload = Overload{QueuedPerCore: 3, TriggerAfter: time.Second, Slowdown: 4, RecoverBelow: 0.5, RecoverAfter: 2 * time.Second, MaxDuration: time.Minute}
 	i := NewInstance(config, NewRand(1, 1), 0, false)
@@ -131,65 +132,67 @@
 	}
 	i.Advance(900 * time.Millisecond)
 	if i.Overloaded() {
-		t.Error("choked too early")
+		t.Error("overloaded too early")
 	}
 	i.Advance(1100 * time.Millisecond)
 	if !i.Overloaded() {
-		t.Error("not choked")
+		t.Error("not overloaded after TriggerAfter")
 	}
-	drive(i, time.Minute)
+	runUntil(i, time.Minute)
 	idle := i.now
 	i.Advance(idle + 1900*time.Millisecond)
 	if !i.Overloaded() {
 		t.Error("recovered too early")
 	}
 	if i.Advance(idle + 2100*time.Millisecond); i.Overloaded() {
-		t.Error("not recovered")
+		t.Error("not recovered after RecoverAfter")
 	}
 }
 
-// A cold instance bears its budget and falls over beyond it, turned away or not; a warm one does not. What a request turns out
-// to cost does not count: with one of ten times the mean among few, two sidecars that kept to the budget broke the rule.
-func TestColdFalls(t *testing.T) {
+// An instance in its cold start tolerates its budget and crashes beyond it, whether or not requests are rejected; a warmed-up
+// instance does not crash. The actual cost of a request must not count: a single request of ten times the mean among a few made
+// two sidecars fail that had kept within the budget.
+func TestColdStartCrash(t *testing.T) {
 	for _, c := range []struct {
-		cold  bool
-		share float64 // of the budget
-		odd   float64 // the drawn work, in means
-		falls bool
+		cold    bool
+		share   float64 // of the budget
+		factor  float64 // actual work as a multiple of the mean
+		crashes bool
 	}{{true, 0.9, 1, false}, {true, 1.1, 1, true}, {true, 0.9, 10, false}, {true, 1.1, 0.1, true}, {false, 3, 1, false}} {
-		config := plain()
+		config := plainConfig()
 		config.ColdStart = ColdStart{InitialShare: 0.2, Duration: 100 * time.Second, LoadFactor: 2.5, Window: 1500 * time.Millisecond, MeanWork: 0.01}
 		i := NewInstance(config, NewRand(1, 1), 0, c.cold)
 		budget := config.ColdStart.Budget(0.2)
 		for n := range 50 {
 			mean := budget * c.share / 50
-			i.Arrive(time.Duration(n)*20*time.Millisecond, Request{AttemptID: uint64(n + 1), Work: c.odd * mean, MeanWork: mean, Deadline: time.Hour})
+			i.Arrive(time.Duration(n)*20*time.Millisecond, Request{AttemptID: uint64(n + 1), Work: c.factor * mean, MeanWork: mean, Deadline: time.Hour})
 		}
-		// 75 calls of 10 ms, and 2 x root of 75 + 2 by chance.
+		// n = 75 requests of 10 ms, plus 2*sqrt(75) + 2 for random variation.
 		if math.Abs(budget-0.9432) > 1e-4 {
-			t.Errorf("the budget is %g", budget)
+			t.Errorf("budget is %g, want 0.9432", budget)
 		}
-		if i.Crashed() != c.falls {
-			t.Errorf("cold %v, %.1f of the budget: fallen %v", c.cold, c.share, i.Crashed())
+		if i.Crashed() != c.crashes {
+			t.Errorf("cold start %v, %.1f of the budget: crashed %v", c.cold, c.share, i.Crashed())
 		}
 	}
 }
 
-// Whatever comes in whatever order: each request gets one answer, no slot leaks, no more work is done than the cores can do.
-func TestInstanceKeepsItsBooks(t *testing.T) {
+// For any sequence of events, each request gets exactly one response, no slot leaks, and no more work is done than the cores
+// can do.
+func TestInstanceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: 1, Slots: rapid.IntRange(1, 6).Draw(t, "slots"),
 			QueueLimit: rapid.IntRange(0, 4).Draw(t, "queue"), ErrorShare: 0.1, ThrashThreshold: 3, ThrashFactor: 0.1,
 			LoadReports: LoadReports{Period: 50 * time.Millisecond, Delay: 20 * time.Millisecond},
 			Overload:    Overload{QueuedPerCore: 2, TriggerAfter: 200 * time.Millisecond, Slowdown: 2, RecoverBelow: 0.3, RecoverAfter: 300 * time.Millisecond, MaxDuration: time.Second}}
 		i := NewInstance(config, NewRand(rapid.Uint64().Draw(t, "seed"), 1), 0, false)
-		now, answers, calling, work, n := time.Duration(0), map[uint64]int{}, map[uint64]bool{}, 0.0, uint64(0)
-		take := func() {
+		now, responses, calling, work, n := time.Duration(0), map[uint64]int{}, map[uint64]bool{}, 0.0, uint64(0)
+		collect := func() {
 			for _, a := range i.TakeActions() {
 				if a.Call {
 					calling[a.AttemptID] = true
-				} else if answers[a.AttemptID]++; answers[a.AttemptID] > 1 {
-					t.Fatalf("request %d is answered twice", a.AttemptID)
+				} else if responses[a.AttemptID]++; responses[a.AttemptID] > 1 {
+					t.Fatalf("request %d got two responses", a.AttemptID)
 				}
 			}
 		}
@@ -212,9 +215,9 @@
 			case 4:
 				i.SetSlowdown(now, rapid.Float64Range(1, 5).Draw(t, "slow"))
 			}
-			take()
-			if i.slots > config.Slots || len(i.queue) > config.QueueLimit || i.slots < 0 {
-				t.Fatalf("%d slots, %d waiting", i.slots, len(i.queue))
+			collect()
+			if i.usedSlots > config.Slots || len(i.queue) > config.QueueLimit || i.usedSlots < 0 {
+				t.Fatalf("%d slots used, %d requests queued", i.usedSlots, len(i.queue))
 			}
 		}
 		for range 10000 {
@@ -224,73 +227,73 @@
 			}
 			next, any := i.NextEvent()
 			if !any {
-				if take(); len(calling) == 0 {
+				if collect(); len(calling) == 0 {
 					break
 				}
 				continue
 			}
 			i.Advance(next)
-			take()
+			collect()
 		}
-		if uint64(len(answers)) != n || i.InFlight() != 0 {
-			t.Fatalf("%d of %d answered, %d held", len(answers), n, i.InFlight())
+		if uint64(len(responses)) != n || i.InFlight() != 0 {
+			t.Fatalf("%d of %d requests got a response, %d in flight", len(responses), n, i.InFlight())
 		}
-		if max := i.now.Seconds() * float64(config.Cores); i.done > 0 && work > 0 && i.done > max+1e-6 {
-			t.Fatalf("%.3f core-seconds for each job within %.3f", i.done, max)
+		if max := i.now.Seconds() * float64(config.Cores); i.workPerJob > 0 && work > 0 && i.workPerJob > max+1e-6 {
+			t.Fatalf("%.3f core-seconds per job, but only %.3f were available", i.workPerJob, max)
 		}
 	})
 }
 
-// Three thousand instances play a virtual minute at 60% load in one goroutine: the model needs no clock of its own, and
-// the same seed gives the same run.
+// Simulates 3000 instances at 60% load in virtual time in one goroutine: the model needs no clock of its own, and the same
+// seed gives the same run.
 func TestThousandsInVirtualTime(t *testing.T) {
 	const count, work = 3000, 0.05
-	play := func() (answered int, last time.Duration, mean float64) {
+	simulate := func() (responses int, last time.Duration, mean float64) {
 		rng := NewRand(7, 7)
-		wait := time.Duration(0)
+		total := time.Duration(0)
 		for k := range count {
-			i := NewInstance(plain(), NewRand(7, uint64(k)), 0, false)
-			asked := map[uint64]time.Duration{}
+			i := NewInstance(plainConfig(), NewRand(7, uint64(k)), 0, false)
+			sentAt := map[uint64]time.Duration{}
 			now := time.Duration(0)
 			for n := uint64(1); ; n++ {
 				now += time.Duration(rng.ExpFloat64() * work / 0.6 * 1e9)
 				if now > 3*time.Second {
 					break
 				}
-				asked[n] = now
+				sentAt[n] = now
 				for next, any := i.NextEvent(); any && next < now; next, any = i.NextEvent() {
 					i.Advance(next)
 					for _, a := range i.TakeActions() {
-						answered++
-						wait += i.now - asked[a.AttemptID]
+						responses++
+						total += i.now - sentAt[a.AttemptID]
 						last = max(last, i.now)
 					}
 				}
 				i.Arrive(now, Request{AttemptID: n, Work: work, Deadline: time.Hour})
 			}
 		}
-		return answered, last, (wait / time.Duration(max(answered, 1))).Seconds()
+		return responses, last, (total / time.Duration(max(responses, 1))).Seconds()
 	}
-	a, last, mean := play()
-	if b, again, same := play(); a != b || last != again || mean != same {
-		t.Error("the same seed gives another run")
+	responses, last, mean := simulate()
+	if responses2, last2, mean2 := simulate(); responses != responses2 || last != last2 || mean != mean2 {
+		t.Error("the same seed gives a different run")
 	}
-	// Processor sharing holds a request for work/(1-load) on average, less what finds no room.
-	if a < count*30 || mean < work || math.Abs(mean-work/0.4) > 0.4*work/0.4 {
-		t.Errorf("%d answered, held for %.3f s on average", a, mean)
+	// Under processor sharing a request takes work/(1-load) on average, or less because some requests are rejected.
+	if responses < count*30 || mean < work || math.Abs(mean-work/0.4) > 0.4*work/0.4 {
+		t.Errorf("%d responses, %.3f s on average", responses, mean)
 	}
 }
 
-// Reports show what was, late.
+// Load reports show the load with a delay.
 func TestReports(t *testing.T) {
-	config := plain()
+	config := plainConfig()
 	config.LoadReports = LoadReports{Period: 100 * time.Millisecond, Delay: 300 * time.Millisecond}
 	i := NewInstance(config, NewRand(1, 1), 0, false)
 	for n := range uint64(3) {
 		i.Arrive(0, Request{AttemptID: n + 1, Work: 1, Deadline: time.Hour})
 	}
 	if _, any := i.Report(250 * time.Millisecond); any {
-		t.Error("a report shows before its delay")
+		t.Error("a report is visible before its delay")
 	}
 	load, any := i.Report(time.Second)
 	if !any || load.Inflight != 3 || load.Util < 0.9 {
@@ -298,118 +301,116 @@
 	}
 	i.SetReportDelay(time.Second, 5*time.Second)
 	i.Advance(10 * time.Second)
-	if i.Report(10 * time.Second); len(i.reports.coming) < 45 {
-		t.Errorf("%d reports on the way", len(i.reports.coming))
+	if i.Report(10 * time.Second); len(i.reports.pending) < 45 {
+		t.Errorf("%d delayed reports, want 45 or more", len(i.reports.pending))
 	}
 }
 
 func TestDiscovery(t *testing.T) {
-	ready := func(name string, since time.Duration) Member {
-		return Member{Name: name, Status: Ready, StartedAt: since}
-	}
+	ready := func(name string, at time.Duration) Member { return Member{Name: name, Status: Ready, StartedAt: at} }
 	d := NewDiscovery(DiscoveryConfig{Period: time.Second, CallsPerSecond: 2, Timeout: time.Second, KeptVersions: 2}, []Member{ready("a", 0), ready("b", 0)})
 	d.ScheduleChange(5*time.Second, Member{Name: "a", Status: Gone})
-	d.ScheduleChange(3*time.Second, ready("a", 2*time.Second)) // it is back before discovery saw it gone
+	d.ScheduleChange(3*time.Second, ready("a", 2*time.Second)) // restarted before discovery saw it gone
 	d.ScheduleChange(3200*time.Millisecond, Member{Name: "b", Status: Gone})
 	if _, any := d.Advance(2 * time.Second); any {
-		t.Error("published before it was seen")
+		t.Error("a change is published before discovery sees it")
 	}
 	u, _ := d.Advance(3 * time.Second)
 	if u.Index != 2 || len(u.Members) != 1 || u.Members[0] != ready("a", 2*time.Second) {
 		t.Errorf("%+v", u)
 	}
 	if _, any := d.Advance(3900 * time.Millisecond); any {
-		t.Error("two versions within a period")
+		t.Error("two versions are published within one period")
 	}
 	if u, _ = d.Advance(4 * time.Second); len(u.Members) != 1 || u.Members[0].Status != Gone {
 		t.Errorf("%+v", u)
 	}
 	if next, any := d.NextPublish(); any {
-		t.Errorf("more at %s", next)
+		t.Errorf("unexpected pending version at %s", next)
 	}
 	if u = d.ChangesSince(1); u.Full || len(u.Members) != 2 {
-		t.Errorf("since 1: %+v", u)
+		t.Errorf("changes since 1: %+v", u)
 	}
 	for _, index := range []int64{0, -1, 99} {
 		if u = d.ChangesSince(index); !u.Full || len(u.Members) != 1 || u.Index != 3 {
-			t.Errorf("since %d: %+v", index, u)
+			t.Errorf("changes since %d: %+v", index, u)
 		}
 	}
 	first, ok := d.Call(0)
 	second, ok2 := d.Call(0)
 	d.Call(0)
-	if fails, ok4 := d.Call(0); !ok || !ok2 || ok4 || first != 500*time.Millisecond || second != time.Second || fails != time.Second {
-		t.Errorf("calls: %s %s %s", first, second, fails)
+	if failsAt, ok4 := d.Call(0); !ok || !ok2 || ok4 || first != 500*time.Millisecond || second != time.Second || failsAt != time.Second {
+		t.Errorf("calls end at %s, %s and %s", first, second, failsAt)
 	}
 }
 
-// A client repeats only what its class and the answer allow, and never past its time.
-func TestClients(t *testing.T) {
+// A client retries only if its class and the result allow it, and never after its total timeout.
+func TestClientRetries(t *testing.T) {
 	classes := []Class{{Name: "c", Share: 1, Work: time.Second, TotalTimeout: 6 * time.Second}}
-	habits := ClientBehavior{MaxRetries: 2, AttemptTimeoutShare: 0.5, Backoff: time.Second}
+	behavior := ClientBehavior{MaxRetries: 2, AttemptTimeoutShare: 0.5, Backoff: time.Second}
 	for _, c := range []struct {
-		safe  bool
-		end   AttemptResult
-		again bool
+		safe   bool
+		result AttemptResult
+		retry  bool
 	}{{false, AttemptServed, false}, {true, AttemptServed, false}, {false, AttemptRejected, true}, {false, AttemptNotConnected, true}, {false, AttemptFailed, false},
 		{false, AttemptTimedOut, false}, {true, AttemptFailed, true}, {true, AttemptTimedOut, true}} {
 		classes[0].Safe = c.safe
-		k := NewClient(NewRand(1, 1), classes, habits, 10*time.Second)
-		first := k.FirstAttempt()
+		client := NewClient(NewRand(1, 1), classes, behavior, 10*time.Second)
+		first := client.FirstAttempt()
 		if first.At != 10*time.Second || first.Deadline != 13*time.Second || first.Retry {
 			t.Errorf("%+v", first)
 		}
-		next, again := k.NextAttempt(11*time.Second, c.end, 0)
-		if again != c.again || again && (next.At != 12*time.Second || next.Deadline != 15*time.Second || !next.Retry) {
-			t.Errorf("%+v: %+v %v", c, next, again)
+		next, retry := client.NextAttempt(11*time.Second, c.result, 0)
+		if retry != c.retry || retry && (next.At != 12*time.Second || next.Deadline != 15*time.Second || !next.Retry) {
+			t.Errorf("%+v: %+v %v", c, next, retry)
 		}
-		if again {
-			if _, again = k.NextAttempt(15500*time.Millisecond, c.end, 0); again {
-				t.Error("a try past the client's time")
+		if retry {
+			if _, retry = client.NextAttempt(15500*time.Millisecond, c.result, 0); retry {
+				t.Error("an attempt after the total timeout")
 			}
-			if _, again = k.NextAttempt(12*time.Second, c.end, 0); !again {
-				t.Error("no third try")
+			if _, retry = client.NextAttempt(12*time.Second, c.result, 0); !retry {
+				t.Error("no third attempt")
 			}
-			if _, again = k.NextAttempt(12*time.Second, c.end, 0); again {
-				t.Error("more tries than allowed")
+			if _, retry = client.NextAttempt(12*time.Second, c.result, 0); retry {
+				t.Error("more attempts than allowed")
 			}
 		}
 	}
-	habits.HonorRetryAfter = 1
-	k := NewClient(NewRand(1, 1), classes, habits, 0)
-	k.FirstAttempt()
-	if next, _ := k.NextAttempt(0, AttemptRejected, 2*time.Second); next.At != 2*time.Second {
-		t.Errorf("Retry-After is not heeded: %+v", next)
+	behavior.HonorRetryAfter = 1
+	client := NewClient(NewRand(1, 1), classes, behavior, 0)
+	client.FirstAttempt()
+	if next, _ := client.NextAttempt(0, AttemptRejected, 2*time.Second); next.At != 2*time.Second {
+		t.Errorf("Retry-After is not honored: %+v", next)
 	}
 }
 
-func TestFront(t *testing.T) {
-	f := FrontendBalancer{}
-	if f.Pick(0) != "" {
-		t.Error("picked from nothing")
-	}
-	f.AddSidecar("a", 1)
-	f.AddSidecar("b", 1)
-	f.MarkDead(time.Second, "a")
+func TestFrontendBalancer(t *testing.T) {
+	b := FrontendBalancer{}
+	if b.Pick(0) != "" {
+		t.Error("picked a sidecar from an empty balancer")
+	}
+	b.AddSidecar("a", 1)
+	b.AddSidecar("b", 1)
+	b.MarkDead(time.Second, "a")
 	count := func(at time.Duration) map[string]int {
 		n := map[string]int{}
 		for range 100 {
-			n[f.Pick(at)]++
+			n[b.Pick(at)]++
 		}
 		return n
 	}
 	if n := count(500 * time.Millisecond); n["a"] != 50 {
-		t.Errorf("before the notice: %v", n)
+		t.Errorf("before the death is detected: %v", n)
 	}
 	if n := count(time.Second); n["b"] != 100 {
-		t.Errorf("after the notice: %v", n)
+		t.Errorf("after the death is detected: %v", n)
 	}
-	f.AddSidecar("a", 1)
+	b.AddSidecar("a", 1)
 	if n := count(2 * time.Second); n["a"] != 50 {
-		t.Errorf("admitted again: %v", n)
+		t.Errorf("after adding it again: %v", n)
 	}
-	f.AddSidecar("c", 3)
+	b.AddSidecar("c", 3)
 	if n := count(2 * time.Second); n["a"] != 20 || n["c"] != 60 {
-		t.Errorf("with three times the share: %v", n)
+		t.Errorf("with three times the weight: %v", n)
 	}
 }
