--- a/internal/lab/emulator/timeline.go
+++ b/internal/lab/emulator/timeline.go
@@ -66,7 +66,7 @@
 	case scenario.LateReports:
 		i.do(func() { i.model.SetReportDelay(now, e.Span) })
 	case scenario.SpoilAnswers:
-		i.do(func() { i.model.SetCorruptShare(now, e.Factor) })
+		i.do(func() { i.model.Corrupt(now, e.Factor) })
 	case scenario.Busy:
 		i.do(func() { i.model.SetRejecting(now, e.Factor > 0) })
 	case scenario.Misroute:
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -416,7 +416,7 @@
 func (i *Instance) SetReportDelay(now, d time.Duration) { i.Advance(now); i.reportDelay = d }
 
 // SetCorruptShare sets the fraction x of responses that are corrupted.
-func (i *Instance) SetCorruptShare(now time.Duration, x float64) {
+func (i *Instance) Corrupt(now time.Duration, x float64) {
 	i.Advance(now)
 	i.config.CorruptShare = x
 }
