--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -1,7 +1,7 @@
-// Package load is the lab's open-loop load generator: arrivals are drawn ahead and do not wait for answers, and latency
-// counts from the time at which a request was meant to go out. So a server that stalls is charged with every request
-// that should have been sent while it did; a closed loop leaves those out (coordinated omission, see the page of wrk2
-// and HdrHistogram's).
+// Package load is the lab's open-loop load generator. Arrival times do not depend on responses, and latency is measured
+// from the time at which a request was intended to be sent. A server that stalls is therefore charged with every request
+// that should have been sent during the stall. A closed loop leaves those out (coordinated omission, see the documentation
+// of wrk2 and HdrHistogram).
 package load
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Point is a corner of a rate's curve: a factor of the rate at a time. Between corners it is a straight line.
+// Point is a point of a Shape: a factor of the rate at a time. Factors between points are interpolated linearly.
 type Point struct {
 	At     time.Duration
 	Factor float64
 }
 
-// Shape is a piecewise linear curve of factors, in order of time. Before the first corner and after the last it is
-// level. An empty shape is 1 throughout.
+// Shape is a piecewise linear curve of rate factors, in order of time. It is constant before the first point and after the
+// last. An empty shape is 1 throughout.
 type Shape []Point
 
-// At is the factor at a time.
+// At returns the factor at time t.
 func (s Shape) At(t time.Duration) float64 {
 	if len(s) == 0 {
 		return 1
@@ -37,7 +37,7 @@
 	return s[len(s)-1].Factor
 }
 
-// Arrivals draws the times at which requests are meant to go out.
+// Arrivals generates the times at which requests are intended to be sent.
 type Arrivals struct {
 	rate      float64
 	shape     Shape
@@ -47,27 +47,28 @@
 	end       time.Duration
 }
 
-// NewArrivals gives rate x shape requests a second until end: evenly spaced, or as a Poisson process if rng is set.
+// NewArrivals returns arrivals at rate x shape requests per second until end: evenly spaced, or as a Poisson process if rng
+// is set.
 func NewArrivals(rate float64, shape Shape, rng *rand.Rand, end time.Duration) *Arrivals {
 	return &Arrivals{rate: rate, shape: shape, rng: rng, immediate: rng == nil, end: end}
 }
 
-// Next is the next time, or false once the end has come.
+// Next returns the next time, or false once the end is reached.
 func (a *Arrivals) Next() (time.Duration, bool) {
-	due := 1.0 // expected requests until the next
+	expected := 1.0 // expected number of requests until the next one
 	if a.rng != nil {
-		due = a.rng.ExpFloat64()
+		expected = a.rng.ExpFloat64()
 	}
-	if a.immediate { // even spacing begins at once
-		a.immediate, due = false, 0
+	if a.immediate { // even spacing starts with a request at time 0
+		a.immediate, expected = false, 0
 	}
-	at, ok := a.timeAfter(due)
+	at, ok := a.timeAfter(expected)
 	a.now = at
 	return at, ok && at < a.end
 }
 
-// after is when so many requests are expected to have come since now.
-func (a *Arrivals) timeAfter(due float64) (time.Duration, bool) {
+// timeAfter returns the time at which the expected number of requests since a.now reaches the given value.
+func (a *Arrivals) timeAfter(expected float64) (time.Duration, bool) {
 	t := a.now
 	for {
 		next, last := a.nextPoint(t)
@@ -76,34 +77,34 @@
 			if from <= 0 {
 				return a.end, false
 			}
-			if x := due / from; x < (a.end - t).Seconds() { // a rate next to nothing would overflow the clock
+			if x := expected / from; x < (a.end - t).Seconds() { // a rate close to zero would overflow time.Duration
 				return t + seconds(x), true
 			}
 			return a.end, false
 		}
 		span := (next - t).Seconds()
 		to := a.rate * a.factorBefore(next)
-		if area := (from + to) / 2 * span; area < due || area == 0 {
-			due -= area
+		if area := (from + to) / 2 * span; area < expected || area == 0 {
+			expected -= area
 			t = next
 			if t >= a.end {
 				return a.end, false
 			}
 			continue
 		}
-		// from*x + slope/2*x*x = due
+		// from*x + slope/2*x*x = expected
 		slope := (to - from) / span
 		x := 0.0
 		if math.Abs(slope) < 1e-12 {
-			x = due / from
+			x = expected / from
 		} else {
-			x = (math.Sqrt(math.Max(0, from*from+2*slope*due)) - from) / slope
+			x = (math.Sqrt(math.Max(0, from*from+2*slope*expected)) - from) / slope
 		}
 		return t + seconds(math.Min(x, span)), true
 	}
 }
 
-// corner is the next corner after t; last if there is none.
+// nextPoint returns the time of the next point of the shape after t; last is true if there is none.
 func (a *Arrivals) nextPoint(t time.Duration) (next time.Duration, last bool) {
 	for _, p := range a.shape {
 		if p.At > t {
@@ -113,7 +114,8 @@
 	return 0, true
 }
 
-// before is the factor as a corner is reached; two corners at one time make a step.
+// factorBefore returns the factor immediately before t, the time of a point. It differs from At where two points at the same
+// time form a step.
 func (a *Arrivals) factorBefore(t time.Duration) float64 {
 	for _, p := range a.shape {
 		if p.At == t {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -29,6 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
+// allTimes returns all arrival times.
 func allTimes(a *Arrivals) []time.Duration {
 	var out []time.Duration
 	for at, more := a.Next(); more; at, more = a.Next() {
@@ -37,8 +38,8 @@
 	return out
 }
 
-// Constant arrivals stand where the integral of the rate says: by any curve, the n-th comes when n are expected.
-func TestArrivalsFollowTheCurve(t *testing.T) {
+// Evenly spaced arrivals follow the integral of the rate: for any shape, the n-th request comes when n are expected.
+func TestArrivalsFollowShape(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var shape Shape
 		at := time.Duration(0)
@@ -49,20 +50,20 @@
 		end := at + time.Second
 		const rate = 200.0
 		got := allTimes(NewArrivals(rate, shape, nil, end))
-		// The integral by small steps.
+		// Integrate the rate in small steps.
 		sum, n := 0.0, 0
 		const step = 50 * time.Microsecond
 		for x := time.Duration(0); x < end; x += step {
 			sum += rate * (shape.At(x) + shape.At(x+step-1)) / 2 * step.Seconds()
 			for n < len(got) && got[n] <= x+step {
 				if math.Abs(sum-float64(n)) > 0.5 {
-					t.Fatalf("request %d comes at %s, when %.2f are expected", n, got[n], sum)
+					t.Fatalf("request %d is at %s, where %.2f are expected", n, got[n], sum)
 				}
 				n++
 			}
 		}
 		if math.Abs(float64(len(got))-sum) > 1.5 {
-			t.Fatalf("%d requests, %.2f are expected", len(got), sum)
+			t.Fatalf("%d requests, want %.2f", len(got), sum)
 		}
 	})
 }
@@ -79,10 +80,10 @@
 		}
 	}
 	if share := float64(short) / float64(len(got)); math.Abs(share-(1-1/math.E)) > 0.01 {
-		t.Errorf("%.3f of the gaps are under the mean", share)
+		t.Errorf("%.3f of the gaps are below the mean", share)
 	}
 	if again := allTimes(NewArrivals(1000, nil, model.NewRand(1, 1), 100*time.Second)); !reflect.DeepEqual(got, again) {
-		t.Error("the same seed gives other arrivals")
+		t.Error("the same seed gives different arrivals")
 	}
 }
 
@@ -111,7 +112,7 @@
 	}
 	for _, bad := range []string{"- {at: 1, factor: 1}", "- {at: 2s, factor: 1}\n- {at: 1s, factor: 1}", "- {at: 1s, factor: -1}", "- {at: 1s, fctor: 1}"} {
 		if _, err := NamedShape(write(bad), 0); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 	if _, err := NamedShape("no-such-shape", 0); err == nil || !strings.Contains(err.Error(), "due-date-morning") {
@@ -122,11 +123,11 @@
 func TestTraces(t *testing.T) {
 	head := `{"format":"kitewood-trace/1"}` + "\n"
 	for text, want := range map[string]string{
-		"":      "the trace holds no request",
-		head:    "the trace holds no request",
+		"":      "the trace contains no requests",
+		head:    "the trace contains no requests",
 		"hello": "line 1: not a trace",
 		head + `{"at_ms":1,"method":"GET","target":"/","colour":1}`:                                            "line 2: json: unknown field",
-		head + `{"at_ms":1,"method":"GET","target":"x"}`:                                                       "line 2: a request has",
+		head + `{"at_ms":1,"method":"GET","target":"x"}`:                                                       "line 2: a request requires",
 		head + `{"at_ms":5000,"method":"GET","target":"/"}` + "\n" + `{"at_ms":1,"method":"GET","target":"/"}`: "line 3: at_ms 1 is before",
 		head + `{"at_ms":-1,"method":"GET","target":"/"}`:                                                      "line 2: at_ms -1 is before",
 	} {
@@ -136,16 +137,16 @@
 	}
 }
 
-// What goes through the recorder is written with its times, and a replay sends the same at them.
+// Record writes each request with its time, and a replay sends the same requests at those times.
 func TestRecordAndReplay(t *testing.T) {
 	var mu sync.Mutex
-	var came []string
+	var received []string
 	var times []time.Time
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := new(bytes.Buffer)
 		body.ReadFrom(r.Body)
 		mu.Lock()
-		came = append(came, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("X-Class")+" "+body.String())
+		received = append(received, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("X-Class")+" "+body.String())
 		times = append(times, time.Now())
 		mu.Unlock()
 	}))
@@ -192,18 +193,18 @@
 	if err := Run(context.Background(), &Replay{Items: items, Speed: 2}, Options{URL: target.URL, Timeout: 5 * time.Second, MaxInFlight: 10, Recorder: rec}); err != nil {
 		t.Fatal(err)
 	}
-	if len(came) != 4 || came[0] != came[2] || came[1] != came[3] || came[1] != "POST /pay c money" {
-		t.Errorf("%q", came)
+	if len(received) != 4 || received[0] != received[2] || received[1] != received[3] || received[1] != "POST /pay c money" {
+		t.Errorf("%q", received)
 	}
 	if first, second := times[1].Sub(times[0]), times[3].Sub(times[2]); second < first/4 || second > first {
-		t.Errorf("at double speed the gap of %s is %s", first, second)
+		t.Errorf("at double speed the gap of %s became %s", first, second)
 	}
 	if s := rec.Summary(); s.OK != 2 || s.Intended != 2 || s.Sent != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Whatever a target does, each intended request is counted once, as what it was.
+// Each intended request is counted once under its outcome, whatever the target does.
 func TestOutcomesAreCounted(t *testing.T) {
 	n := 0
 	var mu sync.Mutex
@@ -235,8 +236,9 @@
 	}
 }
 
-// A generator that may have too few requests out falls behind, says so, and still counts from the intended time.
-func TestFallingBehindIsTold(t *testing.T) {
+// A generator with too low a limit of requests in flight falls behind, reports late sends, and still measures latency from the
+// intended time.
+func TestFallingBehindIsReported(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(50 * time.Millisecond) }))
 	defer target.Close()
 	rec := NewRecorder()
@@ -245,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// 100 requests of 50 ms, one after another: the last, due at 0.99 s, ends at 5 s or later.
+	// 100 sequential requests of 50 ms: the last one, intended at 0.99 s, ends at 5 s or later.
 	if s := rec.Summary(); s.LateSends < 90 || s.Latency.Max < 3900 || s.Service.P50 > 1000 || s.OK != 100 {
 		t.Errorf("%+v", s)
 	}
@@ -256,7 +258,7 @@
 		got, err := ParseURL(text)
 		if want == "" {
 			if err == nil {
-				t.Errorf("%q is taken", text)
+				t.Errorf("%q is accepted", text)
 			}
 		} else if err != nil || got.Address+" "+got.Path != want || (got.TLS != nil) != strings.HasPrefix(text, "https") {
 			t.Errorf("%q: %+v %v", text, got, err)
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/pace.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// pacer waits for points in time. Go's own timers are waited for in whole milliseconds while nothing else runs, which
-// would make every other send late by half of one; the last stretch is waited for on a timer of the system instead, whose
-// end shows like that of any other read.
+// pacer waits for points in time. The Go runtime waits for its timers in whole milliseconds while nothing else runs, which
+// would make every other send half a millisecond late. The last part of a wait therefore uses a timerfd, whose expiry
+// arrives through the network poller like any other read.
 type pacer struct {
-	timer *os.File // nil where the system has none
+	timer *os.File // a timerfd; nil if the system has none
 }
 
-// fine is the stretch before a point in time that is not left to Go's timers.
+// fineWait is the last part of a wait, for which Go's timers are too coarse.
 const fineWait = 2 * time.Millisecond
 
 func newPacer() *pacer {
@@ -32,7 +32,7 @@
 	}
 }
 
-// until waits for a time; false if ctx ended first.
+// waitUntil waits until at. It returns false if ctx ends first.
 func (p *pacer) waitUntil(ctx context.Context, at time.Time) bool {
 	for {
 		wait := time.Until(at)
@@ -54,6 +54,7 @@
 	}
 }
 
+// sleepOnTimerfd sleeps for d on the timerfd. It returns false if that is not possible.
 func (p *pacer) sleepOnTimerfd(d time.Duration) bool {
 	if p.timer == nil {
 		return false
@@ -68,7 +69,7 @@
 	if err != nil {
 		return false
 	}
-	var ends [8]byte
-	_, err = p.timer.Read(ends[:])
+	var expirations [8]byte
+	_, err = p.timer.Read(expirations[:])
 	return err == nil
 }
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// maxRecorded bounds the body of a recorded request.
+// maxRecorded is the maximum body size of a recorded request, in bytes.
 const maxRecorded = 64 << 10
 
-// hopHeaders are fields of a connection and not of a request; a replay makes its own.
+// hopHeaders are header fields that belong to a connection, not to a request; a replay sets its own.
 var hopHeaders = []string{"Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive", "Te", "Trailer", "Upgrade", "Proxy-Connection"}
 
-// Record passes what comes to listen on to a URL, and writes each request into the trace as it comes, until ctx ends.
+// Record proxies requests received on ln to a URL and writes each one to the trace on arrival, until ctx ends.
 func Record(ctx context.Context, ln net.Listener, to *url.URL, t *Tracer, log *slog.Logger) error {
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(to) },
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, err error) {
-			log.Debug("the target did not answer", "error", err)
+			log.Debug("no response from the target", "error", err)
 			w.WriteHeader(http.StatusBadGateway)
 		},
 	}
 	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came := time.Now()
+		receivedAt := time.Now()
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxRecorded+1))
 		switch {
 		case err != nil:
@@ -45,16 +45,16 @@
 		for _, name := range hopHeaders {
 			delete(item.Headers, name)
 		}
-		if err := t.Add(came, item); err != nil {
-			log.Error("the trace cannot be written", "error", err)
+		if err := t.Add(receivedAt, item); err != nil {
+			log.Error("cannot write the trace", "error", err)
 		}
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		proxy.ServeHTTP(w, r)
 	})}
 	stop := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		server.Shutdown(end)
+		server.Shutdown(shutdownCtx)
 	})
 	defer stop()
 	if err := server.Serve(ln); err != http.ErrServerClosed {
--- a/internal/lab/load/recorder.go
+++ b/internal/lab/load/recorder.go
@@ -7,15 +7,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how one request ended.
+// Outcome describes how one request ended.
 type Outcome struct {
 	Intended, Sent, Ended time.Duration // since the start of the run
-	Status                int           // 0 if no whole answer came
+	Status                int           // 0 if no complete response was received
 	TimedOut              bool
-	NewConnection         bool // made a connection
+	NewConnection         bool // opened a connection
 }
 
-// LatencyMS are the figures of a latency histogram, in milliseconds.
+// LatencyMS summarizes a latency histogram, in milliseconds.
 type LatencyMS struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -25,28 +25,28 @@
 	Mean float64 `json:"mean"`
 }
 
-// Summary is what a load run has to tell. Latency counts from the intended time, of every request that was answered or
-// timed out; ServiceMS counts from the send, and leaves out what a stall held back.
+// Summary summarizes a load run. Latency covers every request that got a response or timed out, measured from the intended
+// time. Service is measured from the send, so it leaves out delays that a stall caused before the send.
 type Summary struct {
 	Latency     LatencyMS `json:"latency_ms"`
 	Service     LatencyMS `json:"service_ms"`
 	Intended    int       `json:"intended"`
 	Sent        int       `json:"sent"`
 	OK          int       `json:"ok"`
-	Failed      int       `json:"failed"` // answered other than 2xx or 3xx, or broken
+	Failed      int       `json:"failed"` // status other than 2xx or 3xx, or connection broken
 	TimedOut    int       `json:"timed_out"`
-	LateSends   int       `json:"late_sends"` // went out over LateAfter after their time
+	LateSends   int       `json:"late_sends"` // sent more than LateThreshold after the intended time
 	MaxLateMS   float64   `json:"worst_late_ms"`
 	Connections int       `json:"connections"`
 	Seconds     float64   `json:"seconds"`
-	Rate        float64   `json:"rate"` // sent a second
+	Rate        float64   `json:"rate"` // requests sent per second
 	CutShort    bool      `json:"cut_short"`
 }
 
-// LateAfter is how far behind its time a send counts as late: the generator itself has fallen behind.
+// LateThreshold is the delay beyond which a send counts as late, which means that the generator itself has fallen behind.
 const LateThreshold = 10 * time.Millisecond
 
-// Second is one second of a run, by the intended time.
+// SecondStats are the results of one second of a run, by intended time.
 type SecondStats struct {
 	Second   int     `json:"second"`
 	Intended int     `json:"intended"`
@@ -59,7 +59,7 @@
 	Max      float64 `json:"max_ms"`
 }
 
-// Recorder gathers outcomes. Latencies run from 1 µs to 10 minutes with three significant digits.
+// Recorder collects outcomes. Latencies are recorded from 1 µs to 10 minutes with three significant digits.
 type Recorder struct {
 	mu        sync.Mutex
 	latency   *hdrhistogram.Histogram
@@ -75,10 +75,10 @@
 	return hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), digits)
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{latency: histogram(3), service: histogram(3)} }
 
-// Intend counts a request whose time has come, whatever becomes of it.
+// RecordIntended counts a request whose intended time has been reached, whatever its outcome.
 func (r *Recorder) RecordIntended(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,6 +86,7 @@
 	r.second(at).Intended++
 }
 
+// second returns the statistics of the second that contains at, and creates them if needed.
 func (r *Recorder) second(at time.Duration) *SecondStats {
 	n := int(at / time.Second)
 	for len(r.seconds) <= n {
@@ -95,7 +96,7 @@
 	return &r.seconds[n]
 }
 
-// Add takes an outcome.
+// Add records an outcome.
 func (r *Recorder) Add(o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +124,7 @@
 	}
 	r.lastEnd = max(r.lastEnd, o.Ended)
 	if o.Status == 0 && !o.TimedOut {
-		return // broken: it has no latency
+		return // broken connection: there is no latency
 	}
 	us := int64((o.Ended - o.Intended) / time.Microsecond)
 	r.latency.RecordValue(us)
@@ -131,12 +132,13 @@
 	r.service.RecordValue(int64((o.Ended - o.Sent) / time.Microsecond))
 }
 
+// latencySummary converts a histogram in microseconds.
 func latencySummary(h *hdrhistogram.Histogram) LatencyMS {
 	at := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return LatencyMS{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000, Mean: h.Mean() / 1000}
 }
 
-// Summary is what there is so far.
+// Summary returns the summary so far.
 func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +152,7 @@
 	return s
 }
 
-// Seconds is the run second by second.
+// Seconds returns the statistics of each second of the run.
 func (r *Recorder) Seconds() []SecondStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +166,7 @@
 	return out
 }
 
-// Histogram is a copy of the latencies from the intended time, in microseconds.
+// Histogram returns a copy of the latencies from the intended time, in microseconds.
 func (r *Recorder) Histogram() *hdrhistogram.Histogram {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -14,29 +14,29 @@
 	"kitewood/internal/lab/httpc"
 )
 
-// Source gives the requests of a run, in order of their intended times.
+// Source generates the requests of a run, in order of their intended times.
 type Source interface {
 	Next() (Item, time.Duration, bool)
 }
 
-// Options say whom to load and how.
+// Options configure a load run.
 type Options struct {
-	URL         string // http or https; its path is for sources that have none
+	URL         string // http or https; its path is the target for sources without one of their own
 	Timeout     time.Duration
-	MaxInFlight int // requests out at once; more wait, and their latency counts on
+	MaxInFlight int // limit of requests in flight; further ones wait, and the wait counts towards their latency
 	Recorder    *Recorder
-	Tracer      *Tracer // records what goes out; nil for none
+	Tracer      *Tracer // records the requests sent; nil for none
 	OnProgress  func(Progress)
-	OnOutcome   func(Item, Outcome) // takes every outcome, from any goroutine; nil if nobody asks
+	OnOutcome   func(Item, Outcome) // called with every outcome, from any goroutine; nil for none
 }
 
-// Progress is how a load run stands.
+// Progress is the progress of a load run.
 type Progress struct {
 	Elapsed time.Duration
 	Summary Summary
 }
 
-// Target is where a URL leads.
+// Target is the server that a URL refers to.
 type Target struct {
 	Address string
 	Host    string
@@ -44,7 +44,7 @@
 	TLS     *tls.Config
 }
 
-// ParseURL reads the URL of a target.
+// ParseURL parses the URL of a target.
 func ParseURL(text string) (Target, error) {
 	u, err := url.Parse(text)
 	if err != nil {
@@ -62,21 +62,21 @@
 		return Target{}, fmt.Errorf("%q: an http or https URL is wanted", text)
 	}
 	if u.Hostname() == "" {
-		return Target{}, fmt.Errorf("%q names no host", text)
+		return Target{}, fmt.Errorf("%q has no host", text)
 	}
 	t.Address = net.JoinHostPort(u.Hostname(), port)
 	return t, nil
 }
 
-// Run sends what source gives at its times, whether or not earlier requests have been answered, and waits for the
-// last. It ends early, cleanly, with ctx.
+// Run sends the requests of source at their intended times, whether or not earlier ones have completed, and waits for the
+// last response. When ctx ends, it stops sending and returns after the requests in flight.
 func Run(ctx context.Context, source Source, o Options) error {
 	target, err := ParseURL(o.URL)
 	if err != nil {
 		return err
 	}
 	if o.Recorder == nil || o.Timeout <= 0 || o.MaxInFlight < 1 {
-		return errors.New("load: a recorder, a timeout and a number of requests out at once are needed")
+		return errors.New("load: a recorder, a timeout and a limit of requests in flight are required")
 	}
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
@@ -107,12 +107,13 @@
 	return failed
 }
 
+// scheduledRequest is a request and its intended time.
 type scheduledRequest struct {
 	item Item
 	at   time.Duration
 }
 
-// generator hands requests to goroutines that wait for one; it starts another when none does, up to MaxOpen.
+// generator passes requests to idle worker goroutines. If none is idle, it starts another, up to MaxInFlight.
 type generator struct {
 	options     Options
 	target      Target
@@ -123,41 +124,44 @@
 	workerGroup sync.WaitGroup
 }
 
-func (g *generator) dispatch(j scheduledRequest) {
+// dispatch passes a request to a worker. It blocks if all workers are busy and no more may be started.
+func (g *generator) dispatch(r scheduledRequest) {
 	select {
-	case g.requests <- j:
+	case g.requests <- r:
 		return
 	default:
 	}
 	if g.workers < g.options.MaxInFlight {
 		g.workers++
 		g.workerGroup.Go(func() {
-			g.send(j)
-			for j := range g.requests {
-				g.send(j)
+			g.send(r)
+			for r := range g.requests {
+				g.send(r)
 			}
 		})
 		return
 	}
-	g.requests <- j // all are out: it goes late, and counts from its time
+	g.requests <- r // sent late, but measured from its intended time
 }
 
-func (g *generator) send(j scheduledRequest) {
-	fields := make([]httpc.HeaderField, 0, len(j.item.Headers))
-	for name, value := range j.item.Headers {
+// send sends a request, waits for its end and records the outcome.
+func (g *generator) send(s scheduledRequest) {
+	fields := make([]httpc.HeaderField, 0, len(s.item.Headers))
+	for name, value := range s.item.Headers {
 		fields = append(fields, httpc.HeaderField{Name: name, Value: value})
 	}
-	text := httpc.FormatRequest(j.item.Method, j.item.Target, g.target.Host, j.item.Body, fields...)
+	text := httpc.FormatRequest(s.item.Method, s.item.Target, g.target.Host, s.item.Body, fields...)
 	sent := time.Now()
-	r := g.pool.Do("", j.item.Method, text, sent.Add(g.options.Timeout))
-	out := Outcome{Intended: j.at, Sent: sent.Sub(g.start), Ended: r.EndedAt.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
+	r := g.pool.Do("", s.item.Method, text, sent.Add(g.options.Timeout))
+	out := Outcome{Intended: s.at, Sent: sent.Sub(g.start), Ended: r.EndedAt.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
 		NewConnection: r.NewConnection}
 	g.options.Recorder.Add(out)
 	if g.options.OnOutcome != nil {
-		g.options.OnOutcome(j.item, out)
+		g.options.OnOutcome(s.item, out)
 	}
 }
 
+// progress reports the progress once per second until stop is called.
 func progress(o Options, start time.Time) (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
@@ -176,32 +180,32 @@
 	return func() { close(done); wait.Wait() }
 }
 
-// Steady is a source of one kind of request at the times of Arrivals.
+// SingleRequest is a source that repeats one request at the times of Arrivals.
 type SingleRequest struct {
 	Item     Item
 	Arrivals *Arrivals
 }
 
-// Next is the next request.
+// Next returns the next request and its intended time, or false at the end.
 func (s *SingleRequest) Next() (Item, time.Duration, bool) {
 	at, more := s.Arrivals.Next()
 	return s.Item, at, more
 }
 
-// Mix is a source of several kinds of requests, by their weights.
+// Mix is a source that chooses among several requests at random, by weight.
 type Mix struct {
 	Kinds    []WeightedItem
 	Arrivals *Arrivals
-	Draw     func() float64 // in [0,1)
+	Draw     func() float64 // random number in [0,1)
 }
 
-// Weighted is one kind of request of a mix.
+// WeightedItem is one request of a Mix.
 type WeightedItem struct {
 	Item   Item
 	Weight float64
 }
 
-// Next is the next request.
+// Next returns the next request and its intended time, or false at the end.
 func (m *Mix) Next() (Item, time.Duration, bool) {
 	at, more := m.Arrivals.Next()
 	sum := 0.0
@@ -217,14 +221,14 @@
 	return m.Kinds[len(m.Kinds)-1].Item, at, more
 }
 
-// Replay is a source that plays a trace, Speed times as fast as it was recorded.
+// Replay is a source that replays a trace, Speed times as fast as it was recorded.
 type Replay struct {
 	Items []Item
 	Speed float64
 	next  int
 }
 
-// Next is the next request.
+// Next returns the next request and its intended time, or false at the end.
 func (r *Replay) Next() (Item, time.Duration, bool) {
 	if r.next >= len(r.Items) {
 		return Item{}, 0, false
@@ -234,8 +238,9 @@
 	return i, time.Duration(float64(i.At()) / r.Speed), true
 }
 
-// Closed sends requests as a closed loop does: each of n callers waits for its answer before its next request, which
-// it spaces evenly to the rate in all. It is here to show what such a loop leaves out when the server stalls.
+// RunClosedLoop sends requests as a closed loop does: each of n callers waits for its response before its next request, and
+// spaces its requests evenly so that all callers together reach the rate. It exists to show which requests such a loop leaves
+// out when the server stalls.
 func RunClosedLoop(ctx context.Context, n int, rate float64, d time.Duration, item Item, o Options) error {
 	target, err := ParseURL(o.URL)
 	if err != nil {
@@ -244,18 +249,18 @@
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
 	g := &generator{options: o, target: target, pool: pool, start: time.Now()}
-	each := seconds(float64(n) / rate)
+	interval := seconds(float64(n) / rate)
 	var wait sync.WaitGroup
 	for i := range n {
 		wait.Go(func() {
 			pace := newPacer()
 			defer pace.close()
-			at := each * time.Duration(i) / time.Duration(n)
+			at := interval * time.Duration(i) / time.Duration(n)
 			for at < d && pace.waitUntil(ctx, g.start.Add(at)) {
 				now := time.Since(g.start)
 				o.Recorder.RecordIntended(now)
 				g.send(scheduledRequest{item, now})
-				at = max(at+each, time.Since(g.start)) // a request that should have gone meanwhile is forgotten
+				at = max(at+interval, time.Since(g.start)) // requests that should have been sent meanwhile are skipped
 			}
 		})
 	}
