--- a/internal/lab/httpc/peek.go
+++ b/internal/lab/httpc/peek.go
@@ -8,9 +8,9 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// pending looks, without waiting, whether bytes or the end have come on a connection that owes nothing. What TLS has
-// buffered cannot be seen so; such a connection counts as quiet.
-func peek(c net.Conn) (bytes, ended bool) {
+// peek checks without blocking whether an idle connection has received data or has been closed by the peer. This is not
+// possible for TLS, whose connections count as open and without data.
+func peek(c net.Conn) (data, closed bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false, false
@@ -19,15 +19,15 @@
 	if err != nil {
 		return false, true
 	}
-	var one [1]byte
+	var buf [1]byte
 	err = raw.Control(func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			bytes = true
+			data = true
 		case err != syscall.EAGAIN && err != syscall.EINTR:
-			ended = true
+			closed = true
 		}
 	})
-	return bytes, ended || err != nil
+	return data, closed || err != nil
 }
--- a/internal/lab/httpc/pool.go
+++ b/internal/lab/httpc/pool.go
@@ -1,6 +1,6 @@
-// Package httpc is an HTTP/1.1 client as the platform's clients are: a request at a time on a connection, connections
-// kept, further ones opened when all are busy, a time-out that closes the connection. It tells how far each request had
-// come, and what came on a connection when nothing was owed.
+// Package httpc is an HTTP/1.1 client that behaves like the platform's clients: one request at a time on a connection,
+// keep-alive, new connections when all are in use, and a timeout that closes the connection. It reports how far each request
+// progressed and whether a connection received unsolicited data.
 package httpc
 
 import (
@@ -16,39 +16,39 @@
 	"time"
 )
 
-// Progress is how far a request had come when it ended.
+// Progress is how far a request had progressed when it ended.
 type Progress uint8
 
 // The stages of a request.
 const (
 	NotConnected     Progress = iota
-	Connected                 // not written whole
-	RequestWritten            // the last byte is out
-	ResponseReceived          // a whole answer came
+	Connected                 // the request was not written completely
+	RequestWritten            // the last byte has been written
+	ResponseReceived          // a complete response was received
 )
 
-// Result is how a request ended.
+// Result describes how a request ended.
 type Result struct {
 	Progress      Progress
 	Status        int
 	Header        http.Header
 	Body          []byte
-	WrittenAt     time.Time // the last byte went out; zero if it did not
+	WrittenAt     time.Time // when the last byte was written; zero if it was not
 	EndedAt       time.Time
-	NewConnection bool // on a connection of its own making
-	Retried       bool // went out once more, on a new connection, as the old one closed before any of the answer
+	NewConnection bool // the request opened its connection
+	Retried       bool // sent again on a new connection, as a reused one closed before any byte of the response
 	TimedOut      bool
 	Err           error
 }
 
-// Options say how a pool connects.
+// Options configure a Pool.
 type Options struct {
 	Address        string
 	TLS            *tls.Config // nil for plain TCP
-	LocalAddr      net.Addr    // local address, nil for any
+	LocalAddr      net.Addr    // nil for any
 	ConnectTimeout time.Duration
-	OnUnsolicited  func(last string) // bytes came after the answer to the request that was last on the connection
-	MaxBody        int64
+	OnUnsolicited  func(last string) // called with the id of the connection's last request when data follows its response
+	MaxBody        int64             // bytes of a response body that are read; 0 for 1 MiB
 }
 
 // Pool holds the connections to one address.
@@ -59,13 +59,14 @@
 	closed  bool
 }
 
+// conn is a connection with the reader of its responses.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	lastID string // id of the last request
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	if options.MaxBody == 0 {
 		options.MaxBody = 1 << 20
@@ -73,11 +74,11 @@
 	return &Pool{options: options}
 }
 
-// Do sends one request, whose text is ready, and reads its answer. It gives up at the deadline by closing the
-// connection. id names the request for Options.Extra.
+// Do sends one formatted request and reads its response. It gives up at the deadline by closing the connection. id identifies
+// the request to Options.OnUnsolicited.
 func (p *Pool) Do(id, method string, text []byte, deadline time.Time) Result {
-	r, crossed := p.attempt(id, method, text, deadline, false)
-	if crossed { // the server closed between requests: the one it has not read goes out once more
+	r, retry := p.attempt(id, method, text, deadline, false)
+	if retry { // the server closed the idle connection before it read the request
 		r, _ = p.attempt(id, method, text, deadline, true)
 		r.Retried = true
 	}
@@ -85,7 +86,9 @@
 	return r
 }
 
-func (p *Pool) attempt(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, crossed bool) {
+// attempt sends a request once, on a new connection if fresh is set or none is idle. retry is true if a reused connection
+// failed before any byte of the response, other than by timeout.
+func (p *Pool) attempt(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, retry bool) {
 	c := (*conn)(nil)
 	if !fresh {
 		c = p.takeIdle()
@@ -115,34 +118,36 @@
 		r.TimedOut = isTimeout(r.Err)
 		return r, !r.NewConnection && !r.TimedOut
 	}
-	answer, err := p.read(c, method, &r)
+	resp, err := p.read(c, method, &r)
 	if err != nil {
 		r.Err, r.TimedOut = err, isTimeout(err)
 		return r, false
 	}
 	r.Progress = ResponseReceived
-	keep = !answer.Close
+	keep = !resp.Close
 	return r, false
 }
 
+// read reads a response and skips interim ones. It sets the status, header and body of r if the response is complete.
 func (p *Pool) read(c *conn, method string, r *Result) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= 100 && answer.StatusCode < 200 {
+		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(answer.Body, p.options.MaxBody))
-		answer.Body.Close()
-		if err == nil { // half an answer has no status
-			r.Status, r.Header, r.Body = answer.StatusCode, answer.Header, body
+		body, err := io.ReadAll(io.LimitReader(resp.Body, p.options.MaxBody))
+		resp.Body.Close()
+		if err == nil { // an incomplete response has no status
+			r.Status, r.Header, r.Body = resp.StatusCode, resp.Header, body
 		}
-		return answer, err
+		return resp, err
 	}
 }
 
+// dial opens a connection before the deadline and within the connect timeout.
 func (p *Pool) dial(deadline time.Time) (*conn, error) {
 	limit := deadline
 	if t := p.options.ConnectTimeout; t > 0 {
@@ -168,14 +173,14 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, 4096)}, nil
 }
 
-// Rests tells whether a connection rests that may be used for the next request.
+// HasIdle reports whether there is an idle connection.
 func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-// take hands out the connection that was used last, if it still stands.
+// takeIdle removes and returns the most recently used idle connection that is still usable, or nil.
 func (p *Pool) takeIdle() *conn {
 	for {
 		p.mu.Lock()
@@ -193,18 +198,19 @@
 	}
 }
 
-// spent tells whether a connection without a request is closed, or has brought something that nobody asked for.
+// unusable reports whether an idle connection was closed or received unsolicited data. It calls OnUnsolicited for the latter.
 func (p *Pool) unusable(c *conn) bool {
-	more, ended := c.reader.Buffered() > 0, false
-	if !more {
-		more, ended = peek(c.Conn)
+	data, closed := c.reader.Buffered() > 0, false
+	if !data {
+		data, closed = peek(c.Conn)
 	}
-	if more && p.options.OnUnsolicited != nil {
+	if data && p.options.OnUnsolicited != nil {
 		p.options.OnUnsolicited(c.lastID)
 	}
-	return more || ended
+	return data || closed
 }
 
+// release returns a connection to the pool, or closes it if it is unusable or the pool is closed.
 func (p *Pool) release(c *conn) {
 	if p.unusable(c) {
 		c.Close()
@@ -219,7 +225,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// Close ends the idle connections, after a last look at each for what nobody asked for.
+// Close closes the idle connections, after a last check of each for unsolicited data.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -232,14 +238,14 @@
 }
 
 func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Field is one header field of a request.
+// HeaderField is a header field of a request.
 type HeaderField struct{ Name, Value string }
 
-// Text writes a request.
+// FormatRequest formats a request for Pool.Do.
 func FormatRequest(method, target, host string, body []byte, fields ...HeaderField) []byte {
 	var b bytes.Buffer
 	b.WriteString(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n")
--- a/internal/lab/httpc/pool_test.go
+++ b/internal/lab/httpc/pool_test.go
@@ -13,7 +13,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve answers each connection by a script: what is written for each request on it, in turn; "close" ends it.
+// serveScripts starts a server. Each connection follows one script, which lists the response to each request in turn; "close"
+// closes the connection, "silent" reads a request without a response.
 func serveScripts(t *testing.T, scripts ...[]string) (address string, requests *atomic.Int32) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,8 +31,8 @@
 			go func() {
 				defer c.Close()
 				in := bufio.NewReader(c)
-				for _, answer := range script {
-					if answer == "close" {
+				for _, response := range script {
+					if response == "close" {
 						return
 					}
 					r, err := http.ReadRequest(in)
@@ -40,11 +41,11 @@
 					}
 					r.Body.Close()
 					requests.Add(1)
-					if answer == "silent" {
+					if response == "silent" {
 						in.Peek(1)
 						return
 					}
-					c.Write([]byte(answer))
+					c.Write([]byte(response))
 				}
 				in.Peek(1)
 			}()
@@ -55,11 +56,12 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
+// doGET sends a GET request with a timeout of 500 ms.
 func doGET(p *Pool, id string) Result {
 	return p.Do(id, "GET", FormatRequest("GET", "/", "h", nil), time.Now().Add(500*time.Millisecond))
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	address, _ := serveScripts(t, []string{ok, "HTTP/1.1 102 Wait\r\n\r\n" + ok, "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"}, []string{ok})
 	p := NewPool(Options{Address: address})
 	defer p.Close()
@@ -73,8 +75,8 @@
 	}
 }
 
-// A request that crosses the close of a resting connection goes out once more; one on a new connection does not.
-func TestCrossedCloseIsSentOnceMore(t *testing.T) {
+// A request is retried if the server closes a reused connection at the same moment, but not if it closes a new one.
+func TestRetryAfterCloseOfReusedConnection(t *testing.T) {
 	address, requests := serveScripts(t, []string{ok, "close"}, []string{ok}, []string{"close"})
 	p := NewPool(Options{Address: address})
 	defer p.Close()
@@ -83,7 +85,7 @@
 		t.Errorf("%+v", r)
 	}
 	if n := requests.Load(); n != 2 {
-		t.Errorf("%d requests came", n)
+		t.Errorf("server received %d requests, want 2", n)
 	}
 	q := NewPool(Options{Address: address})
 	defer q.Close()
@@ -92,39 +94,39 @@
 	}
 }
 
-// What comes behind an answer is told with the id of that answer's request, and the connection is given up.
-func TestExtraBytesAreTold(t *testing.T) {
+// Data after a response is reported with the id of that response's request, and the connection is not reused.
+func TestUnsolicitedDataIsReported(t *testing.T) {
 	address, _ := serveScripts(t, []string{ok + ok}, []string{ok})
-	var extra []string
-	p := NewPool(Options{Address: address, OnUnsolicited: func(id string) { extra = append(extra, id) }})
+	var reported []string
+	p := NewPool(Options{Address: address, OnUnsolicited: func(id string) { reported = append(reported, id) }})
 	defer p.Close()
 	doGET(p, "first")
 	if r := doGET(p, "second"); !r.NewConnection || r.Status != 200 {
 		t.Errorf("%+v", r)
 	}
-	if len(extra) != 1 || extra[0] != "first" {
-		t.Errorf("told: %q", extra)
+	if len(reported) != 1 || reported[0] != "first" {
+		t.Errorf("reported ids: %q", reported)
 	}
 }
 
-func TestProgressIsTold(t *testing.T) {
+func TestProgressIsReported(t *testing.T) {
 	address, _ := serveScripts(t, []string{"silent"}, []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"})
 	p := NewPool(Options{Address: address})
 	defer p.Close()
 	if r := doGET(p, "x"); !r.TimedOut || r.Progress != RequestWritten || r.EndedAt.Sub(r.WrittenAt) < 300*time.Millisecond {
-		t.Errorf("silent: %+v", r)
+		t.Errorf("no response: %+v", r)
 	}
 	if r := doGET(p, "x"); r.Progress != RequestWritten || r.Err == nil {
-		t.Errorf("half an answer: %+v", r)
+		t.Errorf("incomplete response: %+v", r)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := ln.Addr().String()
+	unused := ln.Addr().String()
 	ln.Close()
-	q := NewPool(Options{Address: nobody})
+	q := NewPool(Options{Address: unused})
 	if r := doGET(q, "x"); r.Progress != NotConnected || r.Err == nil || !r.WrittenAt.IsZero() {
-		t.Errorf("refused: %+v", r)
+		t.Errorf("connection refused: %+v", r)
 	}
 }
--- a/internal/lab/instances/orca.go
+++ b/internal/lab/instances/orca.go
@@ -1,4 +1,4 @@
-// Package instances are small stand-ins of instances that offer what the lab's emulator does not: load out of band.
+// Package instances provides test instances with a feature that the lab's emulator lacks: out-of-band load reports over ORCA.
 package instances
 
 import (
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Instance offers the ORCA service as its documentation has it: a report at once, then one at each interval that is asked for.
+// Instance serves the ORCA service as specified: one report immediately, then one per requested interval.
 type Instance struct {
 	service.UnimplementedOpenRcaServiceServer
 	Address string
@@ -22,10 +22,10 @@
 
 	mu          sync.Mutex
 	streams     int
-	breakSignal chan struct{} // closed to break the streams that are open
+	breakSignal chan struct{} // closed to break the open streams
 }
 
-// New starts an Instance on a free port of loopback. Without a report it runs but does not offer the service.
+// New starts an Instance on a free loopback port. If report is nil, the server runs without the ORCA service.
 func New(report func() *data.OrcaLoadReport) (*Instance, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,10 +39,10 @@
 	return i, nil
 }
 
-// Stop ends it.
+// Stop stops the server.
 func (i *Instance) Stop() { i.grpc.Stop() }
 
-// Break breaks the streams that are open.
+// BreakStreams ends the open streams with status Unavailable.
 func (i *Instance) BreakStreams() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -50,29 +50,29 @@
 	i.breakSignal = make(chan struct{})
 }
 
-// Streams tells how many streams are open.
+// OpenStreams returns the number of open streams.
 func (i *Instance) OpenStreams() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.streams
 }
 
-// StreamCoreMetrics is the service.
+// StreamCoreMetrics implements the ORCA service.
 func (i *Instance) StreamCoreMetrics(q *service.OrcaLoadReportRequest, out grpc.ServerStreamingServer[data.OrcaLoadReport]) error {
 	i.mu.Lock()
 	i.streams++
-	cut := i.breakSignal
+	broken := i.breakSignal
 	i.mu.Unlock()
 	defer func() {
 		i.mu.Lock()
 		defer i.mu.Unlock()
 		i.streams--
 	}()
-	every := q.GetReportInterval().AsDuration()
-	if every <= 0 {
-		every = time.Minute
+	interval := q.GetReportInterval().AsDuration()
+	if interval <= 0 {
+		interval = time.Minute
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		if err := out.Send(i.report()); err != nil {
@@ -80,7 +80,7 @@
 		}
 		select {
 		case <-tick.C:
-		case <-cut:
+		case <-broken:
 			return status.Error(codes.Unavailable, "broken off")
 		case <-out.Context().Done():
 			return out.Context().Err()
--- a/internal/lab/model/instance.go
+++ b/internal/lab/model/instance.go
@@ -415,11 +415,8 @@
 // SetReportDelay sets an additional delay of load reports; 0 removes it.
 func (i *Instance) SetReportDelay(now, d time.Duration) { i.Advance(now); i.reportDelay = d }
 
-// SetCorruptShare sets the fraction x of responses that are corrupted.
-func (i *Instance) Corrupt(now time.Duration, x float64) {
-	i.Advance(now)
-	i.config.CorruptShare = x
-}
+// Corrupt sets the probability p that a response is corrupted.
+func (i *Instance) Corrupt(now time.Duration, p float64) { i.Advance(now); i.config.CorruptShare = p }
 
 // Crashed reports whether the instance exceeded its budget during its cold start. It never recovers.
 func (i *Instance) Crashed() bool { return i.crashed }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// plainConfig returns a machine with one core, four slots and a queue of two.
 func plainConfig() Config {
 	return Config{Cores: 1, Speed: 1, Slots: 4, QueueLimit: 2, ThrashThreshold: 100, LoadReports: LoadReports{Period: 100 * time.Millisecond}}
 }
@@ -32,6 +33,7 @@
 	}
 }
 
+// assertNear checks that got is within 2 ms of want.
 func assertNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if d := got - want; d < -2*time.Millisecond || d > 2*time.Millisecond {
@@ -80,7 +82,7 @@
 			}
 			i.Arrive(0, Request{AttemptID: 1, Work: 0.1, Deadline: time.Hour})
 			at, _, _ := runUntil(i, time.Minute)
-			assertNear(t, "answer", at[1], c.want)
+			assertNear(t, "response", at[1], c.want)
 		})
 	}
 }
