--- a/cmd/kitewood-lab/main_test.go
+++ b/cmd/kitewood-lab/main_test.go
@@ -23,13 +23,13 @@
 var lab string
 
 func TestMain(m *testing.M) {
-	testkit.WithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
+	testkit.MainWithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
 }
 
 // call runs the lab and gives what it wrote.
 func call(t *testing.T, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
-	return testkit.Run(t, lab, args...)
+	return testkit.RunProgram(t, lab, args...)
 }
 
 // Each drill keeps its promise in its short form, and says so in the form that other programs read.
@@ -222,7 +222,7 @@
 	if !json.Valid(out.Bytes()) {
 		t.Errorf("%s", out.String())
 	}
-	if left, err := drill.Children(dir); err != nil || len(left) > 0 {
+	if left, err := drill.SidecarProcesses(dir); err != nil || len(left) > 0 {
 		t.Errorf("left: %v %v", left, err)
 	}
 }
@@ -235,7 +235,7 @@
 		t.Fatal(err)
 	}
 	count := func() int {
-		left, err := drill.Children(dir)
+		left, err := drill.SidecarProcesses(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -12,10 +12,10 @@
 
 // etcdBurstDrill replaces much of a pool within a second, by way of etcd.
 var etcdBurstDrill = Drill{
-	Name:    "etcd-burst",
-	About:   "40 instances leave etcd and 30 come within a second, under load by proxies and sidecars: nothing at those that left 500 ms after",
-	Control: true,
-	Run:     runEtcdBurst,
+	Name:         "etcd-burst",
+	Description:  "40 instances leave etcd and 30 come within a second, under load by proxies and sidecars: nothing at those that left 500 ms after",
+	NeedsControl: true,
+	Run:          runEtcdBurst,
 }
 
 const (
--- a/internal/lab/drill/fleetoverload.go
+++ b/internal/lab/drill/fleetoverload.go
@@ -16,10 +16,10 @@
 
 // fleetOverloadDrill brings overload and failing parts to a fleet of sidecars.
 var fleetOverloadDrill = Drill{
-	Name:   "fleet-overload",
-	About:  "a fleet of sidecars in overload, with parts that fail: the worthiest is served, nothing multiplies, service is back in 5 s",
-	Wrongs: rig.WrongNames(),
-	Run:    runFleetOverload,
+	Name:        "fleet-overload",
+	Description: "a fleet of sidecars in overload, with parts that fail: the worthiest is served, nothing multiplies, service is back in 5 s",
+	Defects:     rig.WrongNames(),
+	Run:         runFleetOverload,
 }
 
 const (
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := rig.Wrong(s, o.Wrong); err != nil {
+	if err := rig.Wrong(s, o.Defect); err != nil {
 		return nil, err
 	}
 	if o.Short {
@@ -99,7 +99,7 @@
 		}
 		held.beside(small)
 	}
-	if o.Wrong == "" {
+	if o.Defect == "" {
 		if err := closedLoops(ctx, o, out); err != nil {
 			return nil, err
 		}
--- a/internal/lab/drill/stall.go
+++ b/internal/lab/drill/stall.go
@@ -13,9 +13,9 @@
 
 // stallDrill holds the load generator to a result computed by hand.
 var stallDrill = Drill{
-	Name:  "stall",
-	About: "a server that freezes under constant load: every percentile of the generator within 1% of the computed one",
-	Run:   runStall,
+	Name:        "stall",
+	Description: "a server that freezes under constant load: every percentile of the generator within 1% of the computed one",
+	Run:         runStall,
 }
 
 // Stall is a scripted server's behaviour: answers take Service, but what is due within the freeze comes at its end.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -174,8 +174,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Cut || len(r.Entries) == 0 || time.Since(began) > 30*time.Second {
-		t.Errorf("cut %v, %d entries, %s", r.Cut, len(r.Entries), time.Since(began))
+	if !r.CutShort || len(r.Entries) == 0 || time.Since(began) > 30*time.Second {
+		t.Errorf("cut %v, %d entries, %s", r.CutShort, len(r.Entries), time.Since(began))
 	}
 	rules := s.Rules()
 	rules.Slack = lenient
--- a/internal/lab/emulator/lost_test.go
+++ b/internal/lab/emulator/lost_test.go
@@ -54,7 +54,7 @@
 				t.Fatal("the connection was not reset")
 			}
 			send(machines[1]) // at once, as a sidecar may
-			testkit.Until(t, "both are entered, and the second has its end", func() bool {
+			testkit.WaitUntil(t, "both are entered, and the second has its end", func() bool {
 				n := map[ledger.Kind]int{}
 				for _, e := range w.book.Entries() {
 					n[e.Kind]++
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -51,7 +51,7 @@
 type Process struct {
 	Name      string  `json:"name"`
 	Tier      int     `json:"tier"`
-	RestMB    float64 `json:"rest_mb"`
+	IdleMB    float64 `json:"rest_mb"`
 	PeakMB    float64 `json:"peak_mb"`
 	CPUSecond float64 `json:"cpu_s"`
 }
@@ -162,7 +162,7 @@
 	s.mu.Lock()
 	peak := p.peak
 	s.mu.Unlock()
-	s.w.addProcess(Process{Name: s.name, Tier: s.tier, RestMB: float64(p.rest) / (1 << 20), PeakMB: float64(peak) / (1 << 20),
+	s.w.addProcess(Process{Name: s.name, Tier: s.tier, IdleMB: float64(p.rest) / (1 << 20), PeakMB: float64(peak) / (1 << 20),
 		CPUSecond: cpu.Seconds()})
 	close(p.ended)
 }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -54,8 +54,8 @@
 	Plan      *scenario.Plan
 	Processes []Process
 	Samples   []Sample
-	Cut       bool // ended before its time
-	Took      time.Duration
+	CutShort  bool // ended before its time
+	Duration  time.Duration
 }
 
 // Sample is the load of an instance at a time.
@@ -63,7 +63,7 @@
 	At       time.Duration `json:"at"`
 	Instance string        `json:"instance"`
 	Tier     int           `json:"tier"`
-	Held     int           `json:"held"`
+	InFlight int           `json:"held"`
 	Conns    int           `json:"conns"`
 }
 
@@ -177,7 +177,7 @@
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &Result{Entries: entries, Plan: w.plan, Processes: w.processes, Samples: w.samples, Cut: cut, Took: took}, w.failed
+	return &Result{Entries: entries, Plan: w.plan, Processes: w.processes, Samples: w.samples, CutShort: cut, Duration: took}, w.failed
 }
 
 // rebase makes now the start of the run: starting dozens of processes takes a time that differs from machine to machine.
@@ -382,7 +382,7 @@
 		}
 		for _, i := range instances {
 			s := Sample{At: w.book.Now(), Instance: i.machine.Name, Tier: i.machine.Tier}
-			i.do(func() { s.Held, s.Conns = len(i.copies), len(i.conns) })
+			i.do(func() { s.InFlight, s.Conns = len(i.copies), len(i.conns) })
 			w.mu.Lock()
 			w.samples = append(w.samples, s)
 			w.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := ownViolations(filepath.Join(o.Dir, "sidecars"), run.Took)
+	own, err := ownViolations(filepath.Join(o.Dir, "sidecars"), run.Duration)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -25,7 +25,7 @@
 )
 
 func TestMain(m *testing.M) {
-	testkit.Seed()
+	testkit.FixSeed()
 	goleak.VerifyTestMain(m)
 }
 
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -286,7 +286,7 @@
 			by[s.Instance] = l
 			names = append(names, s.Instance)
 		}
-		l.XYs = append(l.XYs, plotter.XY{X: s.At.Seconds(), Y: float64(s.Held)})
+		l.XYs = append(l.XYs, plotter.XY{X: s.At.Seconds(), Y: float64(s.InFlight)})
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		if len(a) != len(b) {
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -125,7 +125,7 @@
 	rec := Latencies(r.Entries)
 	sum := head
 	sum.Summary = rec.Summary()
-	sum.CutShort, sum.Service = r.Cut, &service
+	sum.CutShort, sum.Service = r.CutShort, &service
 	sum.Rules = map[string]int{}
 	for _, name := range ledger.RuleNames {
 		sum.Rules[name] = 0
@@ -178,7 +178,7 @@
 	p := &Processes{Count: len(r.Processes)}
 	cpu, first := 0.0, 0.0
 	for _, x := range r.Processes {
-		p.RestMB += x.RestMB / float64(len(r.Processes))
+		p.RestMB += x.IdleMB / float64(len(r.Processes))
 		p.PeakMB = max(p.PeakMB, x.PeakMB)
 		cpu += x.CPUSecond
 		if x.Tier == 0 {
