--- a/cmd/kitewood-lab/load.go
+++ b/cmd/kitewood-lab/load.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	sum := results.Head("load", c.String("url"), seed, started)
+	sum := results.NewSummary("load", c.String("url"), seed, started)
 	sum.Summary = rec.Summary()
 	sum.CutShort = ctx.Err() != nil
 	sum.Summary.CutShort = sum.CutShort
@@ -176,14 +176,14 @@
 		}
 	}
 	if out := c.String("out"); out != "" {
-		dir, err := results.Folder(out, "load", seed, started)
+		dir, err := results.CreateDir(out, "load", seed, started)
 		if err != nil {
 			return err
 		}
-		if err := results.KeepLoad(dir, sum, rec); err != nil {
+		if err := results.WriteLoad(dir, sum, rec); err != nil {
 			return err
 		}
-		path, err := report.Keep(dir)
+		path, err := report.WriteFile(dir)
 		if err != nil {
 			return err
 		}
--- a/cmd/kitewood-lab/main_test.go
+++ b/cmd/kitewood-lab/main_test.go
@@ -169,8 +169,8 @@
 	if out, err, ok = call(t, "replay", "--url", target.URL, "--speed", "2", "--out", b, trace); !ok {
 		t.Fatal(out, err)
 	}
-	first, err1 := results.Load(a)
-	second, err2 := results.Load(b)
+	first, err1 := results.ReadSummary(a)
+	second, err2 := results.ReadSummary(b)
 	if err1 != nil || err2 != nil || first.OK != second.OK || second.Seconds > first.Seconds*0.8 {
 		t.Errorf("%v %v %+v %+v", err1, err2, first, second)
 	}
@@ -215,8 +215,8 @@
 	if took := time.Since(began); took > 20*time.Second {
 		t.Errorf("it took %s to end", took)
 	}
-	sum, lerr := results.Load(dir)
-	if lerr != nil || !sum.CutShort || sum.Service.Clients == 0 || sum.Broken() > 0 {
+	sum, lerr := results.ReadSummary(dir)
+	if lerr != nil || !sum.CutShort || sum.Service.ClientRequests == 0 || sum.Violations() > 0 {
 		t.Errorf("%v %+v %s", lerr, sum, err.String())
 	}
 	if !json.Valid(out.Bytes()) {
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -53,16 +53,16 @@
 		if r.CutShort {
 			return nil, context.Cause(ctx)
 		}
-		for _, b := range ledger.Judge(r.Entries, s.Rules()) {
-			if b.Rule == ledger.RuleCrash {
+		for _, b := range ledger.FindViolations(r.Entries, s.Rules()) {
+			if b.Rule == ledger.RuleNoCrash {
 				crashes++
 			} else {
 				broken++
 			}
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
-		v := ledger.Serve(r.Entries, s.Served())
-		clients, operations, worst = clients+v.Clients, operations+v.Calls, min(worst, v.Service)
+		v := ledger.MeasureService(r.Entries, s.Served())
+		clients, operations, worst = clients+v.ClientRequests, operations+v.SidecarRequests, min(worst, v.Service)
 	}
 	out.Tell("clients", float64(clients))
 	out.Hold("operations of sidecars", float64(operations), "above 0", operations > 0)
--- a/internal/lab/emulator/caller.go
+++ b/internal/lab/emulator/caller.go
@@ -42,14 +42,14 @@
 	class := &w.s.Classes[q.class]
 	now := w.book.Now()
 	left := (q.deadline - now).Milliseconds()
-	e := ledger.Entry{ID: id, Client: q.client, Tier: q.tier, Class: q.class, Work: q.work, Deadline: q.deadline, Repeat: q.repeat,
-		Since: q.intended, Parent: q.parent}
+	e := ledger.Entry{ID: id, ClientRequest: q.client, Tier: q.tier, Class: q.class, Work: q.work, Deadline: q.deadline, Retry: q.repeat,
+		Since: q.intended, ParentAttempt: q.parent}
 	pool := (*httpc.Pool)(nil)
 	if s != nil {
 		e.Sidecar, pool = s.name, s.client()
 	}
 	if pool == nil || left <= 0 {
-		e.Kind = ledger.Unasked
+		e.Kind = ledger.RequestUnsent
 		w.book.Add(e)
 		return model.TryNotReached, declined{}
 	}
@@ -77,34 +77,34 @@
 	}
 	r := pool.Do(id, method, text, w.book.Start().Add(until))
 	if r.Progress < httpc.Written {
-		e.Kind = ledger.Unasked
+		e.Kind = ledger.RequestUnsent
 		w.book.Add(e)
 		return model.TryNotReached, declined{}
 	}
 	asked := e
-	asked.Kind, asked.At = ledger.Asked, r.Written.Sub(w.book.Start())
+	asked.Kind, asked.At = ledger.RequestSent, r.Written.Sub(w.book.Start())
 	w.book.Add(asked)
 	e.At = r.Ended.Sub(w.book.Start())
 	e.Since = 0
 	switch {
 	case w.frozen(q.by):
-		e.Kind = ledger.Left
+		e.Kind = ledger.CallerGone
 		w.book.Add(e)
 		return model.TryFailed, declined{}
 	case r.Progress == httpc.Answered:
 		e.Kind, e.Status, e.Note = ledger.Answered, r.Status, tokenOf(r.Body, id)
 	case r.TimedOut && e.At < q.deadline:
-		e.Kind = ledger.Quit
+		e.Kind = ledger.CallerClosed
 	case r.TimedOut:
-		e.Kind = ledger.GaveUp
+		e.Kind = ledger.TimedOut
 	default:
-		e.Kind, e.Note = ledger.Broken, r.Err.Error()
+		e.Kind, e.Note = ledger.ConnectionBroken, r.Err.Error()
 	}
 	w.book.Add(e)
 	switch {
-	case e.Kind == ledger.GaveUp, e.Kind == ledger.Quit, e.At > q.deadline:
+	case e.Kind == ledger.TimedOut, e.Kind == ledger.CallerClosed, e.At > q.deadline:
 		return model.TryTimedOut, declined{}
-	case e.Kind == ledger.Broken:
+	case e.Kind == ledger.ConnectionBroken:
 		return model.TryFailed, declined{}
 	case r.Status == 200:
 		return model.TryServed, declined{}
--- a/internal/lab/emulator/instance.go
+++ b/internal/lab/emulator/instance.go
@@ -103,7 +103,7 @@
 		i.since, note = now, "cold"
 	}
 	i.model = model.NewInstance(i.machine.Config, i.rng, now, cold)
-	i.w.book.Add(ledger.Entry{At: max(now, 1), Kind: ledger.Life, Tier: i.machine.Tier, Instance: i.machine.Name, Since: i.since, Note: note,
+	i.w.book.Add(ledger.Entry{At: max(now, 1), Kind: ledger.InstanceStarted, Tier: i.machine.Tier, Instance: i.machine.Name, Since: i.since, Note: note,
 		Capacity: float64(i.machine.Config.Cores) * i.machine.Config.Speed})
 }
 
@@ -131,11 +131,11 @@
 	}
 	if choked := i.model.Choked(); choked != i.choked {
 		if i.choked = choked; choked {
-			i.w.book.Add(ledger.Entry{Kind: ledger.Choked, Tier: i.machine.Tier, Instance: i.machine.Name})
+			i.w.book.Add(ledger.Entry{Kind: ledger.InstanceOverloaded, Tier: i.machine.Tier, Instance: i.machine.Name})
 		}
 	}
 	if i.model.Fallen() {
-		i.w.book.Add(ledger.Entry{Kind: ledger.Fell, Tier: i.machine.Tier, Instance: i.machine.Name})
+		i.w.book.Add(ledger.Entry{Kind: ledger.InstanceCrashed, Tier: i.machine.Tier, Instance: i.machine.Name})
 		i.down()
 		i.w.registry.seen(i.machine, model.Gone, i.since, i.w.s.Discovery.SilentNotice.D())
 		return -1
@@ -176,8 +176,8 @@
 	if a.HasLoad {
 		out.load = i.w.loadText(i.machine.Tier, a.Load)
 	}
-	i.w.book.Add(ledger.Entry{Kind: ledger.Ended, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
-		Instance: i.machine.Name, Copy: a.Copy, Outcome: outcome, Status: out.status, Work: t.tierWork, Note: note})
+	i.w.book.Add(ledger.Entry{Kind: ledger.AttemptEnded, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
+		Instance: i.machine.Name, AttemptID: a.Copy, Outcome: outcome, Status: out.status, Work: t.tierWork, Note: note})
 	t.conn.send(out)
 }
 
@@ -264,7 +264,7 @@
 		return
 	}
 	i.conns[c] = true
-	i.w.book.Add(ledger.Entry{Kind: ledger.Opened, Tier: i.machine.Tier, Instance: i.machine.Name, Sidecar: c.sidecar})
+	i.w.book.Add(ledger.Entry{Kind: ledger.ConnectionOpened, Tier: i.machine.Tier, Instance: i.machine.Name, Sidecar: c.sidecar})
 	c.counted = i.model.Opened(i.w.book.Now())
 	i.w.tasks.Go(c.read)
 }
@@ -293,8 +293,8 @@
 }
 
 func (i *instance) left(n uint64, t *attempt) {
-	i.w.book.Add(ledger.Entry{Kind: ledger.Closed, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
-		Instance: i.machine.Name, Copy: n})
+	i.w.book.Add(ledger.Entry{Kind: ledger.AttemptClosed, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
+		Instance: i.machine.Name, AttemptID: n})
 }
 
 // arrive takes a request whose last byte has come.
@@ -313,23 +313,23 @@
 			t.request.Calls++
 		}
 	}
-	e := ledger.Entry{Kind: ledger.Arrived, ID: r.id, Tier: i.machine.Tier, Class: r.class, Sidecar: c.sidecar,
-		Instance: i.machine.Name, Copy: n, Work: t.tierWork, Mean: mean, Deadline: now + r.left}
+	e := ledger.Entry{Kind: ledger.AttemptArrived, ID: r.id, Tier: i.machine.Tier, Class: r.class, Sidecar: c.sidecar,
+		Instance: i.machine.Name, AttemptID: n, Work: t.tierWork, MeanWork: mean, Deadline: now + r.left}
 	switch {
 	case c.behind:
-		e.Note = ledger.Behind
+		e.Note = ledger.DelayedNote
 	case i.silent:
 		e.Note = "silent"
 	}
 	begun := e
-	begun.Kind, begun.At, begun.Note, begun.Deadline = ledger.Begun, r.begun, "", r.begun+r.left
+	begun.Kind, begun.At, begun.Note, begun.Deadline = ledger.AttemptBegun, r.begun, "", r.begun+r.left
 	i.w.book.Add(begun)
 	if c.broken > 0 {
 		// It was read, or waited as a first request does, while the process ended: it was lost with its connection then. Entered
 		// as one that comes now it would have no end, and its sidecar has long known of that.
 		e.At = c.broken
 		i.w.book.Add(e)
-		e.Kind, e.Work, e.Mean, e.Deadline = ledger.Closed, 0, 0, 0
+		e.Kind, e.Work, e.MeanWork, e.Deadline = ledger.AttemptClosed, 0, 0, 0
 		i.w.book.Add(e)
 		return
 	}
@@ -479,7 +479,7 @@
 		}
 		q, status := c.i.w.request(r)
 		if status != 0 {
-			c.i.w.book.Add(ledger.Entry{Kind: ledger.Trouble, Sidecar: c.sidecar, Instance: c.i.machine.Name, Status: status,
+			c.i.w.book.Add(ledger.Entry{Kind: ledger.FaultInjected, Sidecar: c.sidecar, Instance: c.i.machine.Name, Status: status,
 				Note: "unusable request " + r.Method + " " + r.URL.Path})
 			c.send(answer{status: status})
 			continue
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -71,7 +71,7 @@
 		now := r.w.book.Now()
 		if u, any := d.Advance(now); any {
 			for _, m := range u.Members {
-				r.w.book.Add(ledger.Entry{Kind: ledger.Told, Tier: t, Instance: m.Name, Outcome: string(m.Status), Since: m.Since})
+				r.w.book.Add(ledger.Entry{Kind: ledger.Notified, Tier: t, Instance: m.Name, Outcome: string(m.Status), Since: m.Since})
 			}
 			for w := range r.watches {
 				if w.sidecar.tier == t {
@@ -199,7 +199,7 @@
 
 // down takes discovery off; its watches end.
 func (r *registry) down() {
-	r.w.book.Add(ledger.Entry{Kind: ledger.Offline})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryOffline})
 	r.do(func() {
 		r.off = true
 		r.server.Close()
@@ -212,7 +212,7 @@
 		r.off = false
 		r.serve()
 	})
-	r.w.book.Add(ledger.Entry{Kind: ledger.Online})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryOnline})
 }
 
 func (r *registry) close() {
@@ -246,7 +246,7 @@
 		http.Error(w, "nobody's address", http.StatusServiceUnavailable)
 		return
 	}
-	r.w.book.Add(ledger.Entry{Kind: ledger.Called, Sidecar: s.name, Tier: s.tier, Outcome: map[bool]string{true: "served", false: "busy"}[served]})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryCalled, Sidecar: s.name, Tier: s.tier, Outcome: map[bool]string{true: "served", false: "busy"}[served]})
 	if wait := at - r.w.book.Now(); wait > 0 {
 		select {
 		case <-time.After(wait):
@@ -350,7 +350,7 @@
 			known[m.Name] = m
 		}
 		for _, name := range names {
-			r.w.book.Add(ledger.Entry{Kind: ledger.Told, Tier: s.tier, Sidecar: name, Instance: m.Name,
+			r.w.book.Add(ledger.Entry{Kind: ledger.Notified, Tier: s.tier, Sidecar: name, Instance: m.Name,
 				Outcome: string(m.Status), Since: m.Since})
 		}
 	}
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -120,7 +120,7 @@
 	if err := s.w.starter.Start(p.cmd); err != nil {
 		return err
 	}
-	s.w.book.Add(ledger.Entry{Kind: ledger.Up, Sidecar: s.name, Tier: s.tier})
+	s.w.book.Add(ledger.Entry{Kind: ledger.SidecarStarted, Sidecar: s.name, Tier: s.tier})
 	s.mu.Lock()
 	s.process = p
 	if s.pool == nil {
@@ -155,7 +155,7 @@
 	expected := p.expected
 	s.mu.Unlock()
 	if !expected {
-		s.w.book.Add(ledger.Entry{Kind: ledger.Crashed, Sidecar: s.name, Tier: s.tier,
+		s.w.book.Add(ledger.Entry{Kind: ledger.SidecarCrashed, Sidecar: s.name, Tier: s.tier,
 			Note: p.cmd.ProcessState.String() + ": " + s.lastLine()})
 	}
 	cpu := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
@@ -217,9 +217,9 @@
 
 // stand has the process stand still, and go on again.
 func (s *sidecar) stand(still bool) {
-	kind, sig := ledger.Resumed, syscall.SIGCONT
+	kind, sig := ledger.SidecarResumed, syscall.SIGCONT
 	if still {
-		kind, sig = ledger.Stopped, syscall.SIGSTOP
+		kind, sig = ledger.SidecarPaused, syscall.SIGSTOP
 	}
 	s.w.book.Add(ledger.Entry{Kind: kind, Sidecar: s.name, Tier: s.tier})
 	s.signal(sig, false)
@@ -227,7 +227,7 @@
 
 // kill ends it outright.
 func (s *sidecar) kill() {
-	s.w.book.Add(ledger.Entry{Kind: ledger.Down, Sidecar: s.name, Tier: s.tier})
+	s.w.book.Add(ledger.Entry{Kind: ledger.SidecarEnded, Sidecar: s.name, Tier: s.tier})
 	if p := s.signal(syscall.SIGKILL, true); p != nil {
 		<-p.ended
 	}
--- a/internal/lab/emulator/timeline.go
+++ b/internal/lab/emulator/timeline.go
@@ -21,7 +21,7 @@
 			return
 		}
 		w.log.Debug("timeline", "at", w.book.Now().Round(time.Millisecond), "event", e.String())
-		w.book.Add(ledger.Entry{Kind: ledger.Trouble, Instance: e.Instance, Note: e.String()})
+		w.book.Add(ledger.Entry{Kind: ledger.FaultInjected, Instance: e.Instance, Note: e.String()})
 		if i := w.instance(e.Instance); i != nil {
 			w.happen(i, e, &open)
 			continue
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -82,7 +82,7 @@
 	debug    bool
 	dir      string
 	log      *slog.Logger
-	book     *ledger.Book
+	book     *ledger.Recorder
 	block    *block
 	registry *registry
 	starter  *child.Starter
@@ -128,7 +128,7 @@
 		w.paths = newPaths(w)
 	}
 	w.caller = &caller{w: w, prefix: rand.Uint64()}
-	w.book = ledger.NewBook()
+	w.book = ledger.NewRecorder()
 	if err := os.MkdirAll(filepath.Join(w.dir, "sidecars"), 0o755); err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 	w.down()
 	// What is ended now is no news, but for what came behind answers and for what ended by itself.
 	entries := slices.DeleteFunc(w.book.Entries(), func(e ledger.Entry) bool {
-		return e.At > took && e.Kind != ledger.Extra && e.Kind != ledger.Crashed
+		return e.At > took && e.Kind != ledger.ExtraBytes && e.Kind != ledger.SidecarCrashed
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,7 +183,7 @@
 // rebase makes now the start of the run: starting dozens of processes takes a time that differs from machine to machine.
 // What was entered before stands at its very beginning, and the models begin anew.
 func (w *World) rebase() {
-	w.book.Rebase()
+	w.book.ResetStart()
 	for _, i := range w.instances {
 		i.do(i.renew)
 	}
@@ -318,7 +318,7 @@
 }
 
 // extra takes word of bytes behind an answer.
-func (w *World) extra(id string) { w.book.Add(ledger.Entry{Kind: ledger.Extra, ID: id}) }
+func (w *World) extra(id string) { w.book.Add(ledger.Entry{Kind: ledger.ExtraBytes, ID: id}) }
 
 // down ends all processes, listeners and goroutines of the run, and waits for them. It may be called twice.
 func (w *World) down() {
