--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -90,81 +90,81 @@
 
 // Of adds up the entries of a run, which are in order of time.
 func Summarize(entries []ledger.Entry, goal ledger.Objective) *Account {
-	b := &book{a: &Account{}, calls: map[string]*call{}, copies: map[uint64]*attempt{}, under: map[uint64][]string{},
-		tries: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
+	b := &builder{account: &Account{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{}, childRequests: map[uint64][]string{},
+		clientAttempts: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
 	for i := range entries {
-		b.take(&entries[i])
+		b.add(&entries[i])
 	}
-	b.worths(entries, goal)
+	b.addUtility(entries, goal)
 	return b.finish()
 }
 
 // call is one operation at a sidecar: a client's try, or an instance's call.
-type call struct {
-	tier   int
-	copies []uint64
-	served uint64 // the attempt whose answer the caller got; 0 for none
+type request struct {
+	tier     int
+	attempts []uint64
+	servedBy uint64 // the attempt whose answer the caller got; 0 for none
 }
 
 // attempt is one that reached an instance.
 type attempt struct {
-	tier   int
-	work   float64
-	void   bool // no work: it was turned away, or the machine was off the network
-	useful bool
+	tier     int
+	work     float64
+	excluded bool // no work: it was turned away, or the machine was off the network
+	useful   bool
 }
 
 type instance struct {
 	Instance
-	unserved bool
-	seconds  map[[2]int]int // by what and second
+	lastUnserved bool
+	perSecond    map[[2]int]int // by what and second
 }
 
-type book struct {
-	a         *Account
-	calls     map[string]*call
-	copies    map[uint64]*attempt
-	under     map[uint64][]string // calls that were made for an attempt
-	tries     map[int][]string    // of clients
-	instances map[string]*instance
-	sidecars  map[string]*Sidecar
+type builder struct {
+	account        *Account
+	requests       map[string]*request
+	attempts       map[uint64]*attempt
+	childRequests  map[uint64][]string // calls that were made for an attempt
+	clientAttempts map[int][]string    // of clients
+	instances      map[string]*instance
+	sidecars       map[string]*Sidecar
 }
 
 // What is counted by the second at an instance.
 const (
-	probes = iota
-	opened
-	trials
-	attempts
+	probeCount = iota
+	connectionCount
+	afterFailureCount
+	attemptCount
 )
 
-func (b *book) tier(n int) *Tier {
-	for len(b.a.Tiers) <= n {
-		b.a.Tiers = append(b.a.Tiers, Tier{})
+func (b *builder) tier(n int) *Tier {
+	for len(b.account.Tiers) <= n {
+		b.account.Tiers = append(b.account.Tiers, Tier{})
 	}
-	return &b.a.Tiers[n]
+	return &b.account.Tiers[n]
 }
 
-func (b *book) second(at time.Duration) *Second {
+func (b *builder) second(at time.Duration) *Second {
 	n := max(int(at/time.Second), 0)
-	for len(b.a.Seconds) <= n {
-		b.a.Seconds = append(b.a.Seconds, Second{})
+	for len(b.account.Seconds) <= n {
+		b.account.Seconds = append(b.account.Seconds, Second{})
 	}
-	return &b.a.Seconds[n]
+	return &b.account.Seconds[n]
 }
 
 // at counts one in a tier's place.
-func at(list *[]int, tier int) {
+func increment(list *[]int, tier int) {
 	for len(*list) <= tier {
 		*list = append(*list, 0)
 	}
 	(*list)[tier]++
 }
 
-func (b *book) instance(e *ledger.Entry) *instance {
+func (b *builder) instance(e *ledger.Entry) *instance {
 	i := b.instances[e.Instance]
 	if i == nil {
-		i = &instance{Instance: Instance{Name: e.Instance, Tier: e.Tier}, seconds: map[[2]int]int{}}
+		i = &instance{Instance: Instance{Name: e.Instance, Tier: e.Tier}, perSecond: map[[2]int]int{}}
 		b.instances[e.Instance] = i
 	}
 	return i
@@ -172,12 +172,12 @@
 
 func (i *instance) count(r *Rate, what int, at time.Duration) {
 	key := [2]int{what, int(at / time.Second)}
-	i.seconds[key]++
+	i.perSecond[key]++
 	r.Count++
-	r.MaxPerSecond = max(r.MaxPerSecond, i.seconds[key])
+	r.MaxPerSecond = max(r.MaxPerSecond, i.perSecond[key])
 }
 
-func (b *book) sidecar(e *ledger.Entry) *Sidecar {
+func (b *builder) sidecar(e *ledger.Entry) *Sidecar {
 	s := b.sidecars[e.Sidecar]
 	if s == nil {
 		s = &Sidecar{Name: e.Sidecar, Tier: e.Tier}
@@ -186,36 +186,36 @@
 	return s
 }
 
-func (b *book) take(e *ledger.Entry) {
+func (b *builder) add(e *ledger.Entry) {
 	switch e.Kind {
 	case ledger.RequestSent, ledger.RequestUnsent:
-		b.ask(e)
+		b.addRequest(e)
 	case ledger.AttemptArrived:
-		b.arrive(e)
+		b.addArrival(e)
 	case ledger.AttemptEnded:
-		b.ended(e)
+		b.addEnd(e)
 	case ledger.Answered:
-		b.answered(e)
+		b.addAnswer(e)
 	case ledger.ConnectionOpened:
 		i := b.instance(e)
-		i.count(&i.Connections, opened, e.At)
+		i.count(&i.Connections, connectionCount, e.At)
 		b.second(e.At).ConnectionsOpened++
 	case ledger.Probed:
 		i := b.instance(e)
-		i.count(&i.Probes, probes, e.At)
+		i.count(&i.Probes, probeCount, e.At)
 		b.second(e.At).Probes++
 	case ledger.DiscoveryCalled:
 		s := b.second(e.At)
 		s.Discovery++
-		b.a.Discovery.Count++
-		b.a.Discovery.MaxPerSecond = max(b.a.Discovery.MaxPerSecond, s.Discovery)
+		b.account.Discovery.Count++
+		b.account.Discovery.MaxPerSecond = max(b.account.Discovery.MaxPerSecond, s.Discovery)
 	}
 }
 
-func (b *book) ask(e *ledger.Entry) {
+func (b *builder) addRequest(e *ledger.Entry) {
 	if e.ClientRequest > 0 {
-		b.tries[e.ClientRequest] = append(b.tries[e.ClientRequest], e.ID)
-		b.a.ClientAttempts++
+		b.clientAttempts[e.ClientRequest] = append(b.clientAttempts[e.ClientRequest], e.ID)
+		b.account.ClientAttempts++
 		if e.Retry {
 			b.second(e.At).ClientRetries++
 		}
@@ -223,74 +223,74 @@
 	if e.Kind == ledger.RequestUnsent {
 		return
 	}
-	b.calls[e.ID] = &call{tier: e.Tier}
+	b.requests[e.ID] = &request{tier: e.Tier}
 	b.tier(e.Tier).Requests++
 	b.sidecar(e).Requests++
 	if e.ParentAttempt != 0 {
-		b.under[e.ParentAttempt] = append(b.under[e.ParentAttempt], e.ID)
+		b.childRequests[e.ParentAttempt] = append(b.childRequests[e.ParentAttempt], e.ID)
 	}
 }
 
-func (b *book) arrive(e *ledger.Entry) {
+func (b *builder) addArrival(e *ledger.Entry) {
 	t, i := b.tier(e.Tier), b.instance(e)
 	t.Attempts++
-	at(&b.second(e.At).Attempts, e.Tier)
-	i.count(&i.Attempts, attempts, e.At)
-	if i.unserved {
-		i.count(&i.AttemptsAfterFailure, trials, e.At)
+	increment(&b.second(e.At).Attempts, e.Tier)
+	i.count(&i.Attempts, attemptCount, e.At)
+	if i.lastUnserved {
+		i.count(&i.AttemptsAfterFailure, afterFailureCount, e.At)
 	}
 	silent := e.Note == "silent"
-	b.copies[e.AttemptID] = &attempt{tier: e.Tier, work: e.Work, void: silent}
-	c := b.calls[e.ID]
+	b.attempts[e.AttemptID] = &attempt{tier: e.Tier, work: e.Work, excluded: silent}
+	c := b.requests[e.ID]
 	if c == nil { // its caller was gone before its word of the request was entered
-		c = &call{tier: e.Tier}
-		b.calls[e.ID] = c
+		c = &request{tier: e.Tier}
+		b.requests[e.ID] = c
 	}
-	c.copies = append(c.copies, e.AttemptID)
-	i.unserved = i.unserved || silent
+	c.attempts = append(c.attempts, e.AttemptID)
+	i.lastUnserved = i.lastUnserved || silent
 }
 
-func (b *book) ended(e *ledger.Entry) {
+func (b *builder) addEnd(e *ledger.Entry) {
 	i := b.instance(e)
-	i.unserved = e.Outcome != "served"
-	if x := b.copies[e.AttemptID]; x != nil && e.Outcome == "turned" {
-		x.void = true
+	i.lastUnserved = e.Outcome != "served"
+	if x := b.attempts[e.AttemptID]; x != nil && e.Outcome == "turned" {
+		x.excluded = true
 		b.tier(e.Tier).RejectedAttempts++
 	}
 }
 
-func (b *book) answered(e *ledger.Entry) {
+func (b *builder) addAnswer(e *ledger.Entry) {
 	switch {
 	case e.Status == 200:
-		if c := b.calls[e.ID]; c != nil {
-			for _, n := range c.copies {
-				if tokenOf(e.Note) == n {
-					c.served = n
+		if c := b.requests[e.ID]; c != nil {
+			for _, n := range c.attempts {
+				if attemptFromNote(e.Note) == n {
+					c.servedBy = n
 				}
 			}
 		}
 	case e.Status == 503 || e.Status == 429:
 		b.tier(e.Tier).Rejected++
 		b.sidecar(e).Rejected++
-		at(&b.second(e.At).Rejected, e.Tier)
+		increment(&b.second(e.At).Rejected, e.Tier)
 	default:
 		b.tier(e.Tier).Failed++
 	}
 }
 
 // tokenOf is the attempt that an answer's note names; 0 for none.
-func tokenOf(note string) uint64 {
+func attemptFromNote(note string) uint64 {
 	n, _ := strconv.ParseUint(note[strings.LastIndexByte(note, '/')+1:], 10, 64)
 	return n
 }
 
 // worths counts what clients asked for and got, by the second in which they asked.
-func (b *book) worths(entries []ledger.Entry, goal ledger.Objective) {
+func (b *builder) addUtility(entries []ledger.Entry, goal ledger.Objective) {
 	for _, c := range ledger.ClientRequests(entries) {
 		if c.Attempts == 0 || c.Class >= len(goal.Classes) {
 			continue
 		}
-		b.a.ClientRequests++
+		b.account.ClientRequests++
 		s, worth := b.second(c.IntendedAt), goal.Classes[c.Class].Utility
 		if goal.UtilityPerWork {
 			worth *= c.Work
@@ -309,36 +309,36 @@
 }
 
 // caused is how many attempts a call has led to, in all tiers; useful marks those that its answer rests on.
-func (b *book) caused(id string, useful bool) int {
-	c := b.calls[id]
+func (b *builder) countAttempts(id string, useful bool) int {
+	c := b.requests[id]
 	if c == nil {
 		return 0
 	}
-	n := len(c.copies)
-	for _, copy := range c.copies {
-		mine := useful && copy == c.served
+	n := len(c.attempts)
+	for _, copy := range c.attempts {
+		mine := useful && copy == c.servedBy
 		if mine {
-			b.copies[copy].useful = true
+			b.attempts[copy].useful = true
 		}
-		for _, below := range b.under[copy] {
-			n += b.caused(below, mine)
+		for _, below := range b.childRequests[copy] {
+			n += b.countAttempts(below, mine)
 		}
 	}
 	return n
 }
 
-func (b *book) finish() *Account {
-	a := b.a
-	for _, ids := range b.tries {
+func (b *builder) finish() *Account {
+	a := b.account
+	for _, ids := range b.clientAttempts {
 		n := 0
 		for _, id := range ids {
-			n += b.caused(id, true)
+			n += b.countAttempts(id, true)
 		}
 		a.MaxAttempts = max(a.MaxAttempts, n)
 	}
 	lost := make([]float64, len(a.Tiers))
-	for _, x := range b.copies {
-		if x.void {
+	for _, x := range b.attempts {
+		if x.excluded {
 			continue
 		}
 		a.Tiers[x.tier].Work += x.work
@@ -351,21 +351,21 @@
 		a.Attempts += a.Tiers[t].Attempts
 		a.Work += a.Tiers[t].Work
 		sum += lost[t]
-		a.Tiers[t].LostWork = part(lost[t], a.Tiers[t].Work)
+		a.Tiers[t].LostWork = ratio(lost[t], a.Tiers[t].Work)
 	}
-	a.LostWork = part(sum, a.Work)
-	for _, c := range b.calls {
-		if len(c.copies) > 0 {
+	a.LostWork = ratio(sum, a.Work)
+	for _, c := range b.requests {
+		if len(c.attempts) > 0 {
 			firsts++
 		}
 	}
-	a.AttemptsPerRequest, a.ExtraAttempts = part(float64(a.Attempts), float64(a.ClientRequests)), part(float64(a.Attempts-firsts), float64(a.Attempts))
+	a.AttemptsPerRequest, a.ExtraAttempts = ratio(float64(a.Attempts), float64(a.ClientRequests)), ratio(float64(a.Attempts-firsts), float64(a.Attempts))
 	for _, s := range b.sidecars {
 		a.Sidecars = append(a.Sidecars, *s)
 	}
 	slices.SortFunc(a.Sidecars, func(x, y Sidecar) int { return cmp.Or(x.Tier-y.Tier, cmp.Compare(x.Name, y.Name)) })
 	for t := range a.Tiers {
-		a.Tiers[t].RejectionSpread = spread(a.Sidecars, t)
+		a.Tiers[t].RejectionSpread = rejectionSpread(a.Sidecars, t)
 	}
 	for _, i := range b.instances {
 		a.Instances = append(a.Instances, i.Instance)
@@ -376,7 +376,7 @@
 
 // spread is between the highest and the lowest share of refusals among a tier's sidecars that took at least three quarters
 // of what the middle one did, and no more than a third more.
-func spread(all []Sidecar, tier int) float64 {
+func rejectionSpread(all []Sidecar, tier int) float64 {
 	var of []Sidecar
 	for _, s := range all {
 		if s.Tier == tier && s.Requests > 0 {
@@ -398,7 +398,7 @@
 	return math.Max(high-low, 0)
 }
 
-func part(x, of float64) float64 {
+func ratio(x, of float64) float64 {
 	if of <= 0 {
 		return 0
 	}
@@ -411,17 +411,17 @@
 // Served is the share of the worth asked for from one time to another that was served in time, of one class or of All; ok
 // is false where nothing was asked for.
 func (a *Account) ServedShare(class int, from, to time.Duration) (share float64, ok bool) {
-	worth, got := a.sum(class, from, to)
-	return part(got, worth), worth > 0
+	worth, got := a.sumUtility(class, from, to)
+	return ratio(got, worth), worth > 0
 }
 
 // Worth is what was served in time from one time to another, a second.
 func (a *Account) UtilityRate(from, to time.Duration) float64 {
-	_, got := a.sum(AllClasses, from, to)
-	return part(got, (to - from).Seconds())
+	_, got := a.sumUtility(AllClasses, from, to)
+	return ratio(got, (to - from).Seconds())
 }
 
-func (a *Account) sum(class int, from, to time.Duration) (worth, got float64) {
+func (a *Account) sumUtility(class int, from, to time.Duration) (worth, got float64) {
 	for n, s := range a.Seconds {
 		if at := time.Duration(n) * time.Second; at < from || at >= to {
 			continue
--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-var goal = ledger.Objective{Classes: []ledger.ClassObjective{{Name: "look", Utility: 2, LatencyTarget: time.Second}}}
+var objective = ledger.Objective{Classes: []ledger.ClassObjective{{Name: "look", Utility: 2, LatencyTarget: time.Second}}}
 
 // story is a client whose first try is failed two tiers down, and whose second is served: written by hand, so that the sums
 // can be checked by hand.
-func story() []ledger.Entry {
+func retriedRequest() []ledger.Entry {
 	asked := func(at time.Duration, id string, tier int, client int, parent uint64, repeat bool) ledger.Entry {
 		return ledger.Entry{At: at, Kind: ledger.RequestSent, ID: id, Tier: tier, ClientRequest: client, ParentAttempt: parent, Retry: repeat,
 			Sidecar: fmt.Sprintf("s%d", tier), Work: 1}
@@ -43,7 +43,7 @@
 }
 
 func TestAccount(t *testing.T) {
-	a := Summarize(story(), goal)
+	a := Summarize(retriedRequest(), objective)
 	for _, c := range []struct {
 		name      string
 		got, want float64
@@ -71,18 +71,18 @@
 }
 
 // Only sidecars with like traffic are set beside one another.
-func TestSpread(t *testing.T) {
+func TestRejectionSpread(t *testing.T) {
 	all := []Sidecar{{"a", 0, 100, 10}, {"b", 0, 110, 33}, {"c", 0, 90, 9}, {"quiet", 0, 10, 10}, {"busy", 0, 900, 0}, {"other", 1, 100, 90}}
-	if s := spread(all, 0); s < 0.199 || s > 0.201 {
+	if s := rejectionSpread(all, 0); s < 0.199 || s > 0.201 {
 		t.Errorf("%g, want 0.3 less 0.1", s)
 	}
-	if s := spread(all, 2); s != 0 {
+	if s := rejectionSpread(all, 2); s != 0 {
 		t.Errorf("%g of a tier that is not there", s)
 	}
 }
 
 // A further try counts if the entry refused its client at once before, and not if that one had waited or run.
-func TestAgain(t *testing.T) {
+func TestRetriesAfterRejection(t *testing.T) {
 	at := func(ms int, kind ledger.Kind, id string, client, status int) ledger.Entry {
 		return ledger.Entry{At: time.Duration(ms) * time.Millisecond, Kind: kind, ID: id, ClientRequest: client, Status: status}
 	}
--- a/internal/lab/account/again.go
+++ b/internal/lab/account/again.go
@@ -7,7 +7,7 @@
 )
 
 // refusedAtOnce is how soon a refusal at the entry comes that is no wait for room.
-const refusedAtOnce = 20 * time.Millisecond
+const immediateRejection = 20 * time.Millisecond
 
 // Again counts, from one time to another, the further tries of clients that the entry has refused at once, and those of them
 // that were let in: where all sidecars refuse the same, asking elsewhere wins nothing. Entries are in order of time.
@@ -29,7 +29,7 @@
 			reached[e.ID] = true
 		case ledger.Answered:
 			a := asked[e.ID]
-			if a != nil && a.ClientRequest > 0 && a.At >= from && e.Status == 503 && e.At-a.At < refusedAtOnce && !reached[e.ID] {
+			if a != nil && a.ClientRequest > 0 && a.At >= from && e.Status == 503 && e.At-a.At < immediateRejection && !reached[e.ID] {
 				refused[a.ClientRequest] = true
 			}
 		}
--- a/internal/lab/count/count_test.go
+++ b/internal/lab/count/count_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-const at = "time=2026-12-01T12:00:0"
+const timePrefix = "time=2026-12-01T12:00:0"
 
 // Two sidecars of one tier; the second has a line that is none of slog's, as of a panic's stack.
-var logs = []string{
-	at + "0.000Z level=INFO msg=serving tier=0\n" +
-		at + "0.100Z level=DEBUG msg=\"discovery is asked\" since=0\n" +
-		at + "1.500Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=3s status=\"timed out\" took=1s opened=true\n" +
-		at + "2.000Z level=DEBUG msg=attempt class=0 attempt=1 destination=a age=3.5s status=ok took=400ms opened=true\n" +
-		at + "2.000Z level=DEBUG msg=answer repeat=true verdict=served took=1.5s\n",
-	at + "0.000Z level=INFO msg=serving tier=0\ngoroutine 1 [running]:\n" +
-		at + "1.000Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=0s status=reset took=300ms opened=true\n" +
-		at + "1.100Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=0s status=ok took=200ms opened=true\n" +
-		at + "1.200Z level=WARN msg=\"the watch of discovery has ended\" error=EOF\n",
+var sidecarLogs = []string{
+	timePrefix + "0.000Z level=INFO msg=serving tier=0\n" +
+		timePrefix + "0.100Z level=DEBUG msg=\"discovery is asked\" since=0\n" +
+		timePrefix + "1.500Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=3s status=\"timed out\" took=1s opened=true\n" +
+		timePrefix + "2.000Z level=DEBUG msg=attempt class=0 attempt=1 destination=a age=3.5s status=ok took=400ms opened=true\n" +
+		timePrefix + "2.000Z level=DEBUG msg=answer repeat=true verdict=served took=1.5s\n",
+	timePrefix + "0.000Z level=INFO msg=serving tier=0\ngoroutine 1 [running]:\n" +
+		timePrefix + "1.000Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=0s status=reset took=300ms opened=true\n" +
+		timePrefix + "1.100Z level=DEBUG msg=attempt class=0 attempt=0 destination=a age=0s status=ok took=200ms opened=true\n" +
+		timePrefix + "1.200Z level=WARN msg=\"the watch of discovery has ended\" error=EOF\n",
 }
 
-func write(t *testing.T, texts ...string) string {
+func writeLogs(t *testing.T, texts ...string) string {
 	dir := t.TempDir()
 	for i, text := range texts {
 		if err := os.WriteFile(filepath.Join(dir, string(rune('a'+i))+".log"), []byte(text), 0o600); err != nil {
@@ -33,8 +33,8 @@
 	return dir
 }
 
-func TestFleetIsAddedUp(t *testing.T) {
-	f, err := Read(write(t, logs...))
+func TestFleetTotals(t *testing.T) {
+	f, err := Read(writeLogs(t, sidecarLogs...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,13 +58,13 @@
 
 func TestBadLogs(t *testing.T) {
 	for text, want := range map[string]string{
-		"":              "debug",
-		logs[0][:47]:    "debug",
-		"msg=attempt\n": "line 1: took",
-		strings.Replace(logs[0], "took=1s", "took=soon", 1): "line 3: took",
-		strings.Replace(logs[0], "1.500Z", "x", 1):          "line 3: time",
+		"":                  "debug",
+		sidecarLogs[0][:47]: "debug",
+		"msg=attempt\n":     "line 1: took",
+		strings.Replace(sidecarLogs[0], "took=1s", "took=soon", 1): "line 3: took",
+		strings.Replace(sidecarLogs[0], "1.500Z", "x", 1):          "line 3: time",
 	} {
-		if _, err := Read(write(t, text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Read(writeLogs(t, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/lab/count/read.go
+++ b/internal/lab/count/read.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			return nil, err
 		}
-		first, err := f.add(n, file)
+		first, err := f.addLog(n, file)
 		file.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -89,34 +89,34 @@
 }
 
 // add takes one sidecar's log, and returns the time of its first line. Lines of other messages are passed over.
-func (f *Fleet) add(sidecar int, text io.Reader) (first time.Duration, err error) {
+func (f *Fleet) addLog(sidecar int, text io.Reader) (first time.Duration, err error) {
 	first = 1<<63 - 1
 	lines := logfmt.NewDecoder(text)
 	tier := -1
 	for n := 1; lines.ScanRecord(); n++ {
-		l := line{}
+		l := record{}
 		for lines.ScanKeyval() {
 			l[string(lines.Key())] = string(lines.Value())
 		}
 		if lines.Err() != nil {
 			break
 		}
-		r := reader{line: l}
-		at := r.clock()
+		r := recordReader{record: l}
+		at := r.timestamp()
 		switch l["msg"] {
 		case "serving":
-			tier = r.number("tier")
+			tier = r.intValue("tier")
 			f.Sidecars[tier]++
 		case "attempt":
-			took := r.span("took")
-			f.Attempts = append(f.Attempts, Attempt{Sidecar: sidecar, Tier: tier, Class: r.number("class"),
-				Number: r.number("attempt"), Endpoint: l["destination"], Status: l["status"], SentAt: at - took, EndedAt: at,
-				Age: max(r.span("age")-took, 0), OpenedConnection: l["opened"] == "true"})
+			took := r.durationValue("took")
+			f.Attempts = append(f.Attempts, Attempt{Sidecar: sidecar, Tier: tier, Class: r.intValue("class"),
+				Number: r.intValue("attempt"), Endpoint: l["destination"], Status: l["status"], SentAt: at - took, EndedAt: at,
+				Age: max(r.durationValue("age")-took, 0), OpenedConnection: l["opened"] == "true"})
 		case "answer":
 			f.Answers = append(f.Answers, Answer{Tier: tier, Verdict: l["verdict"], ClientRetry: l["repeat"] == "true",
-				ReceivedAt: at - r.span("took")})
-		case askedMsg, lostMsg:
-			f.DiscoveryEvents = append(f.DiscoveryEvents, DiscoveryEvent{Tier: tier, At: at, WatchEnded: l["msg"] == lostMsg})
+				ReceivedAt: at - r.durationValue("took")})
+		case discoveryCallMsg, watchEndedMsg:
+			f.DiscoveryEvents = append(f.DiscoveryEvents, DiscoveryEvent{Tier: tier, At: at, WatchEnded: l["msg"] == watchEndedMsg})
 		}
 		if r.err != nil {
 			return first, fmt.Errorf("line %d: %w", n, r.err)
@@ -130,42 +130,42 @@
 
 // The sidecar's words for its calls to discovery.
 const (
-	askedMsg = "discovery is asked"
-	lostMsg  = "the watch of discovery has ended"
+	discoveryCallMsg = "discovery is asked"
+	watchEndedMsg    = "the watch of discovery has ended"
 )
 
-type line map[string]string
+type record map[string]string
 
 // reader reads a line's values and keeps the first error.
-type reader struct {
-	line
+type recordReader struct {
+	record
 	err error
 }
 
-func (r *reader) fail(key string, err error) {
+func (r *recordReader) setErr(key string, err error) {
 	if r.err == nil && err != nil {
 		r.err = fmt.Errorf("%s: %w", key, err)
 	}
 }
 
-func (r *reader) number(key string) int {
-	n, err := strconv.Atoi(r.line[key])
-	r.fail(key, err)
+func (r *recordReader) intValue(key string) int {
+	n, err := strconv.Atoi(r.record[key])
+	r.setErr(key, err)
 	return n
 }
 
-func (r *reader) span(key string) time.Duration {
-	d, err := time.ParseDuration(r.line[key])
-	r.fail(key, err)
+func (r *recordReader) durationValue(key string) time.Duration {
+	d, err := time.ParseDuration(r.record[key])
+	r.setErr(key, err)
 	return d
 }
 
 // clock is a line's time, 0 for a line that has none: a stack of a panic, say.
-func (r *reader) clock() time.Duration {
-	if r.line["time"] == "" {
+func (r *recordReader) timestamp() time.Duration {
+	if r.record["time"] == "" {
 		return 0
 	}
-	t, err := time.Parse(time.RFC3339Nano, r.line["time"])
-	r.fail("time", err)
+	t, err := time.Parse(time.RFC3339Nano, r.record["time"])
+	r.setErr("time", err)
 	return time.Duration(t.UnixNano())
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger holds what reached the stand-ins of a run, by operation id and time, and judges the rules and the
-// service from that alone. What a program says of itself does not count here.
+// Package ledger records what the emulated clients, instances and discovery of a run observed, by request ID and time, and
+// checks the rules and measures the service from these entries alone. What a sidecar reports about itself is not used,
+// except for its own invariant checks (OwnCheckFailed).
 package ledger
 
 import (
@@ -12,103 +13,103 @@
 	"time"
 )
 
-// Kind is what an entry tells.
+// Kind is the kind of event that an entry records.
 type Kind string
 
 // The kinds of entries.
 const (
-	RequestSent           Kind = "asked"    // a caller's try, its last byte written: the sidecar has taken it
-	RequestUnsent         Kind = "unasked"  // a caller's try that was never written whole
-	Answered              Kind = "answered" // an answer that a caller got
-	TimedOut              Kind = "gave-up"  // no answer until the caller's deadline
-	ConnectionBroken      Kind = "broken"   // the connection ended without a whole answer
-	CallerGone            Kind = "left"     // the caller was gone before (its machine died)
-	CallerClosed          Kind = "quit"     // the caller closed its connection before its time was over
-	ExtraBytes            Kind = "extra"    // bytes came behind the answer of this operation
+	RequestSent           Kind = "asked"    // a caller wrote the last byte of a request: the sidecar has received it
+	RequestUnsent         Kind = "unasked"  // a caller's request that was never written completely
+	Answered              Kind = "answered" // a caller received an answer
+	TimedOut              Kind = "gave-up"  // no answer by the caller's deadline
+	ConnectionBroken      Kind = "broken"   // the connection ended without a complete answer
+	CallerGone            Kind = "left"     // the caller disappeared before the answer (its machine died)
+	CallerClosed          Kind = "quit"     // the caller closed its connection before its deadline
+	ExtraBytes            Kind = "extra"    // bytes followed the answer to this request
 	AttemptBegun          Kind = "begun"    // the first byte of an attempt reached an instance
-	AttemptArrived        Kind = "arrived"  // its last byte did
-	AttemptEnded          Kind = "ended"    // the instance ended it; Outcome tells how
-	AttemptClosed         Kind = "closed"   // its connection ended
+	AttemptArrived        Kind = "arrived"  // the last byte of an attempt reached an instance
+	AttemptEnded          Kind = "ended"    // the instance ended an attempt; Outcome says how
+	AttemptClosed         Kind = "closed"   // the connection of an attempt ended
 	ConnectionOpened      Kind = "opened"   // a new connection to an instance
 	Probed                Kind = "probed"   // a probe at an instance
-	DiscoveryCalled       Kind = "called"   // a sidecar asked discovery
-	Notified              Kind = "told"     // discovery has written a change to a sidecar
-	InstanceStarted       Kind = "life"     // an instance started; its capacity stands here
-	InstanceCrashed       Kind = "fell"     // an instance was pushed over
-	InstanceOverloaded    Kind = "choked"   // an instance was overdriven
+	DiscoveryCalled       Kind = "called"   // a sidecar called discovery
+	Notified              Kind = "told"     // discovery wrote a change to a sidecar
+	InstanceStarted       Kind = "life"     // an instance started; Capacity is set
+	InstanceCrashed       Kind = "fell"     // an instance crashed under overload
+	InstanceOverloaded    Kind = "choked"   // an instance became overloaded
 	SidecarStarted        Kind = "up"       // a sidecar was started
-	SidecarEnded          Kind = "down"     // a sidecar was ended by the timeline
-	SidecarCrashed        Kind = "crashed"  // a sidecar ended by itself
-	SidecarPaused         Kind = "stopped"  // the timeline had a sidecar stand still
-	SidecarResumed        Kind = "resumed"  // and go on
-	DiscoveryPathCut      Kind = "deaf"     // a sidecar's path to discovery was broken
-	DiscoveryPathRestored Kind = "hears"    // and let go
-	FaultInjected         Kind = "trouble"  // the timeline did something; Note tells
-	DiscoveryOffline      Kind = "offline"  // discovery was taken off
-	DiscoveryOnline       Kind = "online"   // and came back
-	OwnCheckFailed        Kind = "own"      // a sidecar's own check counted a violation; Note is its line
+	SidecarEnded          Kind = "down"     // the timeline ended a sidecar
+	SidecarCrashed        Kind = "crashed"  // a sidecar exited on its own
+	SidecarPaused         Kind = "stopped"  // the timeline paused a sidecar's process
+	SidecarResumed        Kind = "resumed"  // the timeline resumed it
+	DiscoveryPathCut      Kind = "deaf"     // a sidecar's network path to discovery was cut
+	DiscoveryPathRestored Kind = "hears"    // the path was restored
+	FaultInjected         Kind = "trouble"  // the timeline injected a fault; Note describes it
+	DiscoveryOffline      Kind = "offline"  // discovery was taken offline
+	DiscoveryOnline       Kind = "online"   // discovery came back
+	OwnCheckFailed        Kind = "own"      // a sidecar's own invariant check reported a violation; Note is its log line
 )
 
-// Entry is one line of the ledger. Fields that a kind has no use for are empty.
+// Entry is one line of the ledger. Fields that do not apply to its kind are empty.
 type Entry struct {
 	At            time.Duration `json:"at"` // since the start of the run, in nanoseconds
 	Kind          Kind          `json:"kind"`
 	ID            string        `json:"id,omitempty"`     // X-Correlation-Id
-	ClientRequest int           `json:"client,omitempty"` // the piece of business that a first-tier try belongs to, from 1
+	ClientRequest int           `json:"client,omitempty"` // number of the client request that a first-tier request belongs to, from 1
 	Tier          int           `json:"tier"`
 	Class         int           `json:"class"`
 	Sidecar       string        `json:"sidecar,omitempty"`
 	Instance      string        `json:"instance,omitempty"`
-	AttemptID     uint64        `json:"copy,omitempty"` // the attempt; no two share it
+	AttemptID     uint64        `json:"copy,omitempty"` // unique for each attempt
 	Status        int           `json:"status,omitempty"`
-	Outcome       string        `json:"outcome,omitempty"` // of Ended: served, failed, turned, reset; of Told: the status
+	Outcome       string        `json:"outcome,omitempty"` // of AttemptEnded: served, failed, turned, reset; of Notified: the status
 	Work          float64       `json:"work,omitempty"`    // core-seconds
-	MeanWork      float64       `json:"mean,omitempty"`    // of Arrived: the work of a mean request of its class
+	MeanWork      float64       `json:"mean,omitempty"`    // of AttemptArrived: the mean work of a request of its class, in core-seconds
 	Deadline      time.Duration `json:"deadline,omitempty"`
-	Since         time.Duration `json:"since,omitempty"` // of Life and Told: the start that is meant
+	Since         time.Duration `json:"since,omitempty"` // of InstanceStarted and Notified: which start of the instance; of RequestSent: the intended time
 	Capacity      float64       `json:"capacity,omitempty"`
-	ParentAttempt uint64        `json:"parent,omitempty"` // of Asked and Unasked by an instance: the attempt that it makes the call for
+	ParentAttempt uint64        `json:"parent,omitempty"` // of RequestSent and RequestUnsent by an instance: the attempt that it makes the call for
 	Retry         bool          `json:"repeat,omitempty"`
 	Note          string        `json:"note,omitempty"`
 }
 
-// Book collects entries. It may be written to from anywhere; the order is made at the end.
+// Recorder collects entries. It is safe for concurrent use; entries are sorted when they are read.
 type Recorder struct {
 	mu      sync.Mutex
 	entries []Entry
-	made    time.Time
-	offset  atomic.Int64 // from made to the start of the run, in nanoseconds
+	created time.Time
+	offset  atomic.Int64 // from created to the start of the run, in nanoseconds
 }
 
-// NewBook starts a book whose times count from now.
-func NewRecorder() *Recorder { return &Recorder{made: time.Now()} }
+// NewRecorder returns a recorder whose times count from now.
+func NewRecorder() *Recorder { return &Recorder{created: time.Now()} }
 
-// Start is the start of the run.
-func (b *Recorder) Start() time.Time { return b.made.Add(time.Duration(b.offset.Load())) }
+// Start returns the start of the run.
+func (r *Recorder) Start() time.Time { return r.created.Add(time.Duration(r.offset.Load())) }
 
-// Now is the time since the start of the run.
-func (b *Recorder) Now() time.Duration { return time.Since(b.Start()) }
+// Now returns the time since the start of the run.
+func (r *Recorder) Now() time.Duration { return time.Since(r.Start()) }
 
-// Add writes an entry, at the present time if it has none.
-func (b *Recorder) Add(e Entry) {
+// Add appends an entry, stamped with the current time if it has none.
+func (r *Recorder) Add(e Entry) {
 	if e.At == 0 {
-		e.At = b.Now()
+		e.At = r.Now()
 	}
-	b.mu.Lock()
-	b.entries = append(b.entries, e)
-	b.mu.Unlock()
+	r.mu.Lock()
+	r.entries = append(r.entries, e)
+	r.mu.Unlock()
 }
 
-// Entries are the entries so far, in order of time.
-func (b *Recorder) Entries() []Entry {
-	b.mu.Lock()
-	out := slices.Clone(b.entries)
-	b.mu.Unlock()
-	slices.SortStableFunc(out, func(a, c Entry) int { return int(a.At - c.At) })
+// Entries returns the entries so far, in order of time.
+func (r *Recorder) Entries() []Entry {
+	r.mu.Lock()
+	out := slices.Clone(r.entries)
+	r.mu.Unlock()
+	slices.SortStableFunc(out, func(a, b Entry) int { return int(a.At - b.At) })
 	return out
 }
 
-// Write puts entries out as JSON lines.
+// Write writes entries as JSON lines.
 func Write(w io.Writer, entries []Entry) error {
 	buf := bufio.NewWriter(w)
 	enc := json.NewEncoder(buf)
@@ -120,7 +121,7 @@
 	return buf.Flush()
 }
 
-// Read takes entries as Write puts them out.
+// Read reads entries in the format of Write.
 func Read(r io.Reader) ([]Entry, error) {
 	var out []Entry
 	for dec := json.NewDecoder(r); ; {
@@ -134,12 +135,13 @@
 	}
 }
 
-// Rebase makes now the start of the times. What was entered before stands at the very beginning, in its order.
-func (b *Recorder) ResetStart() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.offset.Store(int64(time.Since(b.made)))
-	for i := range b.entries {
-		b.entries[i].At = 1
+// ResetStart makes the current time the start of the run. Entries recorded earlier move to its very beginning and keep
+// their order.
+func (r *Recorder) ResetStart() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.offset.Store(int64(time.Since(r.created)))
+	for i := range r.entries {
+		r.entries[i].At = 1
 	}
 }
--- a/internal/lab/ledger/rules.go
+++ b/internal/lab/ledger/rules.go
@@ -9,40 +9,41 @@
 	"time"
 )
 
-// Rules are the figures by which a ledger is judged.
+// Rules are the parameters of the checks on a ledger.
 type Rules struct {
-	RetrySafe      []bool        // by class: may be repeated
-	Slack          time.Duration // every time limit is longer by this
-	DrainGrace     time.Duration // after word that an instance drains or is gone nothing new goes there
-	NotifiedWithin time.Duration // what discovery published counts as told after this; 0 for never
+	RetrySafe      []bool        // by class: requests that may have run may be retried
+	Slack          time.Duration // added to every time limit
+	DrainGrace     time.Duration // how long attempts may still begin at an instance after its sidecar was notified that it drains or is gone
+	NotifiedWithin time.Duration // a published change counts as delivered to all sidecars after this; 0 for never
 	SlowStart      []SlowStart   // by tier
 }
 
-// Cold is what a cold instance bears: work of all sidecars within Window, each request at the mean of its class.
+// SlowStart limits the work that an instance in slow start gets from all sidecars together within Window. Each request
+// counts with the mean work of its class.
 type SlowStart struct {
-	InitialShare     float64
+	InitialShare     float64 // of its capacity, at the start; grows linearly to 1 over Duration
 	Duration, Window time.Duration
-	WorkBudget       func(capacity float64) float64 // nil for no such rule
+	WorkBudget       func(capacity float64) float64 // in core-seconds; nil for no limit
 }
 
 // The names of the rules.
 const (
-	RuleOneAnswer            = "one-answer"  // exactly one final answer in time
-	RuleNoUnsafeRetry        = "no-repeat"   // nothing that may have run is sent again or refused unless its class allows it
-	RuleNoConcurrentAttempts = "no-copies"   // never two attempts out at once
-	RuleDrain                = "drain"       // nothing new to what drains or is gone
-	RuleSlowStart            = "cold"        // no cold instance pushed over
-	RuleNoCrash              = "no-crash"    // no sidecar ends by itself
-	RuleClientGone           = "gone-client" // nothing begins for a client that has left
-	RuleTimeLeft             = "time-left"   // no instance is told more time than the caller has left
-	RuleOwnCheck             = "own-check"   // no sidecar counts a violation of its own invariants
-	MaxDetailedViolations    = 5             // broken rules whose story is printed, of each rule
+	RuleOneAnswer            = "one-answer"  // each request gets exactly one final answer in time
+	RuleNoUnsafeRetry        = "no-repeat"   // a request that may have run is neither retried nor rejected unless its class is safe to retry
+	RuleNoConcurrentAttempts = "no-copies"   // a request never has two attempts in flight at once
+	RuleDrain                = "drain"       // no new attempt at an instance that drains or is gone
+	RuleSlowStart            = "cold"        // no instance in slow start gets more work than its budget
+	RuleNoCrash              = "no-crash"    // no sidecar exits on its own
+	RuleClientGone           = "gone-client" // no attempt begins for a client that has gone
+	RuleTimeLeft             = "time-left"   // no instance is given more time than the caller has left
+	RuleOwnCheck             = "own-check"   // no sidecar reports a violation of its own invariants
+	MaxDetailedViolations    = 5             // violations of each rule that are reported with their entries
 )
 
-// RuleNames are all rules, in the order of the tables.
+// RuleNames lists all rules in the order of the tables.
 var RuleNames = []string{RuleOneAnswer, RuleNoUnsafeRetry, RuleNoConcurrentAttempts, RuleDrain, RuleSlowStart, RuleNoCrash, RuleClientGone, RuleTimeLeft, RuleOwnCheck}
 
-// Breach is one broken rule.
+// Violation is one violation of a rule. Entries holds the entries of the request concerned, if kept.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
@@ -51,15 +52,15 @@
 	Entries []Entry       `json:"story,omitempty"`
 }
 
-func (b Violation) String() string {
-	s := fmt.Sprintf("%s at %s: %s %s", b.Rule, round(b.At), b.Message, b.ID)
-	for _, e := range b.Entries {
+func (v Violation) String() string {
+	s := fmt.Sprintf("%s at %s: %s %s", v.Rule, roundMS(v.At), v.Message, v.ID)
+	for _, e := range v.Entries {
 		s += "\n    " + e.String()
 	}
 	return s
 }
 
-// String tells an entry in a line.
+// String formats an entry as one line.
 func (e Entry) String() string {
 	s := fmt.Sprintf("%9.3fs %-8s", e.At.Seconds(), e.Kind)
 	for _, part := range []struct{ name, value string }{{"id", e.ID}, {"sidecar", e.Sidecar}, {"instance", e.Instance},
@@ -80,128 +81,132 @@
 	return s
 }
 
-func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundMS(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// Judge finds the broken rules. Entries are in order of time.
+// FindViolations checks entries, which are in order of time, against the rules.
 func FindViolations(entries []Entry, rules Rules) []Violation {
-	j := &judge{rules: rules, ops: map[string]*op{}, told: map[[2]string][]Entry{}, merged: map[[2]string][]Entry{},
-		up: map[string]time.Duration{}, broken: map[string]int{}, downs: map[string][]time.Duration{},
-		stops: map[string][]span{}, deaf: map[string][]span{}}
+	c := &checker{rules: rules, requests: map[string]*requestHistory{}, notified: map[[2]string][]Entry{}, effective: map[[2]string][]Entry{},
+		startedAt: map[string]time.Duration{}, counts: map[string]int{}, endedAt: map[string][]time.Duration{},
+		paused: map[string][]span{}, pathCut: map[string][]span{}}
 	for i := range entries {
-		j.take(&entries[i])
+		c.add(&entries[i])
 	}
-	for _, id := range j.order {
-		j.answers(j.ops[id])
-		j.repeats(j.ops[id])
-		j.begins(j.ops[id])
+	for _, id := range c.order {
+		c.checkAnswers(c.requests[id])
+		c.checkRetries(c.requests[id])
+		c.checkBegins(c.requests[id])
 	}
-	j.drains()
-	j.colds(entries)
-	sort.SliceStable(j.out, func(a, b int) bool { return j.out[a].At < j.out[b].At })
-	return j.out
+	c.checkDrains()
+	c.checkSlowStart(entries)
+	sort.SliceStable(c.violations, func(i, k int) bool { return c.violations[i].At < c.violations[k].At })
+	return c.violations
 }
 
-// op is the story of an operation.
-type op struct {
+// requestHistory holds the entries of one request.
+type requestHistory struct {
 	id      string
 	entries []Entry
 }
 
-// span is a stretch of time; one that has not ended lasts for good.
+// span is an interval of time; one that has not ended lasts forever.
 type span struct{ from, to time.Duration }
 
-// Behind is the note of an attempt that arrived after its sidecar had ended it: a broken path held it.
+// DelayedNote is the note of an attempt that arrived after its sidecar had ended it, delayed by a broken network path.
 const DelayedNote = "behind"
 
-// begin opens a span of a sidecar, and end closes the last one.
-func begin(m map[string][]span, e *Entry) {
+// openSpan opens a span of the entry's sidecar.
+func openSpan(m map[string][]span, e *Entry) {
 	m[e.Sidecar] = append(m[e.Sidecar], span{e.At, math.MaxInt64})
 }
-func end(m map[string][]span, e *Entry) {
+
+// closeSpan closes the last span of the entry's sidecar.
+func closeSpan(m map[string][]span, e *Entry) {
 	if all := m[e.Sidecar]; len(all) > 0 {
 		all[len(all)-1].to = e.At
 	}
 }
 
-type judge struct {
-	rules  Rules
-	ops    map[string]*op
-	order  []string
-	told   map[[2]string][]Entry // by sidecar and instance; no sidecar: published
-	merged map[[2]string][]Entry
-	up     map[string]time.Duration // the last start of a sidecar
-	begun  []Entry
-	downs  map[string][]time.Duration
-	stops  map[string][]span // a sidecar stood still
-	deaf   map[string][]span // its path to discovery was broken
-	off    []span            // discovery was taken off
-	broken map[string]int    // how often each rule was
-	out    []Violation
+// checker holds the state of FindViolations.
+type checker struct {
+	rules      Rules
+	requests   map[string]*requestHistory
+	order      []string
+	notified   map[[2]string][]Entry    // by sidecar and instance; an empty sidecar stands for published changes
+	effective  map[[2]string][]Entry    // cache of notifications
+	startedAt  map[string]time.Duration // last start, by sidecar
+	begun      []Entry
+	endedAt    map[string][]time.Duration
+	paused     map[string][]span // when a sidecar was paused
+	pathCut    map[string][]span // when a sidecar's path to discovery was cut
+	offline    []span            // when discovery was offline
+	counts     map[string]int    // violations by rule
+	violations []Violation
 }
 
-func (j *judge) take(e *Entry) {
+func (c *checker) add(e *Entry) {
 	switch e.Kind {
 	case Notified:
 		key := [2]string{e.Sidecar, e.Instance}
-		j.told[key] = append(j.told[key], *e)
+		c.notified[key] = append(c.notified[key], *e)
 	case SidecarStarted:
-		j.up[e.Sidecar] = e.At
+		c.startedAt[e.Sidecar] = e.At
 	case SidecarEnded:
-		j.downs[e.Sidecar] = append(j.downs[e.Sidecar], e.At)
+		c.endedAt[e.Sidecar] = append(c.endedAt[e.Sidecar], e.At)
 	case SidecarCrashed:
-		j.downs[e.Sidecar] = append(j.downs[e.Sidecar], e.At)
-		j.breach(RuleNoCrash, e.At, "", "sidecar "+e.Sidecar+" ended by itself: "+e.Note, nil)
+		c.endedAt[e.Sidecar] = append(c.endedAt[e.Sidecar], e.At)
+		c.report(RuleNoCrash, e.At, "", "sidecar "+e.Sidecar+" ended by itself: "+e.Note, nil)
 	case AttemptBegun:
-		j.begun = append(j.begun, *e)
+		c.begun = append(c.begun, *e)
 	case SidecarPaused:
-		begin(j.stops, e)
+		openSpan(c.paused, e)
 	case SidecarResumed:
-		end(j.stops, e)
+		closeSpan(c.paused, e)
 	case DiscoveryPathCut:
-		begin(j.deaf, e)
+		openSpan(c.pathCut, e)
 	case DiscoveryPathRestored:
-		end(j.deaf, e)
+		closeSpan(c.pathCut, e)
 	case DiscoveryOffline:
-		j.off = append(j.off, span{e.At, math.MaxInt64})
+		c.offline = append(c.offline, span{e.At, math.MaxInt64})
 	case DiscoveryOnline:
-		if len(j.off) > 0 {
-			j.off[len(j.off)-1].to = e.At
+		if len(c.offline) > 0 {
+			c.offline[len(c.offline)-1].to = e.At
 		}
 	case OwnCheckFailed:
-		j.breach(RuleOwnCheck, e.At, e.ID, "sidecar "+e.Sidecar+" counts a violation: "+e.Note, nil)
+		c.report(RuleOwnCheck, e.At, e.ID, "sidecar "+e.Sidecar+" counts a violation: "+e.Note, nil)
 	}
 	if e.ID == "" {
 		return
 	}
-	o := j.ops[e.ID]
-	if o == nil {
-		o = &op{id: e.ID}
-		j.ops[e.ID] = o
-		j.order = append(j.order, e.ID)
+	h := c.requests[e.ID]
+	if h == nil {
+		h = &requestHistory{id: e.ID}
+		c.requests[e.ID] = h
+		c.order = append(c.order, e.ID)
 	}
-	o.entries = append(o.entries, *e)
+	h.entries = append(h.entries, *e)
 }
 
-func (j *judge) breach(rule string, at time.Duration, id, what string, story []Entry) {
-	if j.broken[rule]++; j.broken[rule] > MaxDetailedViolations {
-		story = nil
+func (c *checker) report(rule string, at time.Duration, id, message string, entries []Entry) {
+	if c.counts[rule]++; c.counts[rule] > MaxDetailedViolations {
+		entries = nil
 	}
-	j.out = append(j.out, Violation{Rule: rule, At: at, ID: id, Message: what, Entries: story})
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, ID: id, Message: message, Entries: entries})
 }
 
-func (j *judge) safe(class int) bool {
-	return class < len(j.rules.RetrySafe) && j.rules.RetrySafe[class]
+func (c *checker) retrySafe(class int) bool {
+	return class < len(c.rules.RetrySafe) && c.rules.RetrySafe[class]
 }
 
-// answers holds that an operation that was taken has exactly one final answer in time, and one that an instance made.
-func (j *judge) answers(o *op) {
-	var asked *Entry
+// checkAnswers checks that a request that a sidecar received got exactly one final answer in time, and that a successful
+// answer was made by an instance.
+func (c *checker) checkAnswers(h *requestHistory) {
+	var sent *Entry
 	answers, served := 0, map[string]bool{}
-	for i := range o.entries {
-		e := &o.entries[i]
+	for i := range h.entries {
+		e := &h.entries[i]
 		switch e.Kind {
 		case RequestSent:
-			asked = e
+			sent = e
 		case AttemptEnded:
 			if e.Outcome == "served" {
 				served[e.Note] = true
@@ -209,72 +214,72 @@
 		case Answered:
 			answers++
 			if e.Status == 200 && !served[e.Note] {
-				j.breach(RuleOneAnswer, e.At, o.id, "served with what no instance made for it:", o.entries)
+				c.report(RuleOneAnswer, e.At, h.id, "served with what no instance made for it:", h.entries)
 			}
-			if asked != nil && e.At > asked.Deadline+j.rules.Slack && !j.stood(asked.Sidecar, asked.At, e.At) {
-				j.breach(RuleOneAnswer, e.At, o.id, "answered after the client gave up:", o.entries)
+			if sent != nil && e.At > sent.Deadline+c.rules.Slack && !c.wasPaused(sent.Sidecar, sent.At, e.At) {
+				c.report(RuleOneAnswer, e.At, h.id, "answered after the client gave up:", h.entries)
 			}
 		case ExtraBytes:
-			j.breach(RuleOneAnswer, e.At, o.id, "more than one answer:", o.entries)
+			c.report(RuleOneAnswer, e.At, h.id, "more than one answer:", h.entries)
 		}
 	}
 	if answers > 1 {
-		j.breach(RuleOneAnswer, o.entries[len(o.entries)-1].At, o.id, "more than one answer:", o.entries)
+		c.report(RuleOneAnswer, h.entries[len(h.entries)-1].At, h.id, "more than one answer:", h.entries)
 	}
-	if asked == nil || answers > 0 {
+	if sent == nil || answers > 0 {
 		return
 	}
-	for _, e := range o.entries {
+	for _, e := range h.entries {
 		lost := e.Kind == TimedOut || e.Kind == ConnectionBroken
-		if lost && !j.wasDown(asked.Sidecar, asked.At, e.At) && !j.stood(asked.Sidecar, asked.At, e.At) {
-			j.breach(RuleOneAnswer, e.At, o.id, "no final answer:", o.entries)
+		if lost && !c.wasEnded(sent.Sidecar, sent.At, e.At) && !c.wasPaused(sent.Sidecar, sent.At, e.At) {
+			c.report(RuleOneAnswer, e.At, h.id, "no final answer:", h.entries)
 		}
 	}
 }
 
-// What the platform's protocol allows beside the slack on sockets.
+// Tolerances of the platform's protocol, in addition to Rules.Slack.
 const (
-	goneGrace = 100 * time.Millisecond // an attempt may begin so long after its client has left
-	timeSlack = 150 * time.Millisecond // an instance may be told so much more time than the client has left
+	clientGoneGrace = 100 * time.Millisecond // an attempt may begin this long after its client has gone
+	timeLeftSlack   = 150 * time.Millisecond // an instance may be given this much more time than the client has left
 )
 
-// begins holds that no attempt begins for a client that has left, and that none tells more time than is left.
-func (j *judge) begins(o *op) {
-	var asked, gone *Entry
-	for i := range o.entries {
-		switch e := &o.entries[i]; e.Kind {
+// checkBegins checks that no attempt begins for a client that has gone, and that none carries more time than is left.
+func (c *checker) checkBegins(h *requestHistory) {
+	var sent, callerGone *Entry
+	for i := range h.entries {
+		switch e := &h.entries[i]; e.Kind {
 		case RequestSent:
-			asked = e
+			sent = e
 		case CallerClosed, TimedOut:
-			gone = e
+			callerGone = e
 		}
 	}
-	for _, e := range o.entries {
+	for _, e := range h.entries {
 		if e.Kind != AttemptBegun {
 			continue
 		}
-		if gone != nil && e.At > gone.At+goneGrace+j.rules.Slack && !j.stood(e.Sidecar, gone.At, e.At) {
-			j.breach(RuleClientGone, e.At, o.id, fmt.Sprintf("an attempt began %s after its client had left:", round(e.At-gone.At)), o.entries)
+		if callerGone != nil && e.At > callerGone.At+clientGoneGrace+c.rules.Slack && !c.wasPaused(e.Sidecar, callerGone.At, e.At) {
+			c.report(RuleClientGone, e.At, h.id, fmt.Sprintf("an attempt began %s after its client had left:", roundMS(e.At-callerGone.At)), h.entries)
 		}
-		if asked == nil {
+		if sent == nil {
 			continue
 		}
-		// A sidecar that stands still cannot know how long a request has waited to be read. Its caller may have sent it before
+		// A paused sidecar cannot know how long a request has waited to be read. The caller may already have sent it earlier
 		// on a connection that ended.
-		from := asked.At
-		if asked.Since > 0 {
-			from = min(from, asked.Since)
+		from := sent.At
+		if sent.Since > 0 {
+			from = min(from, sent.Since)
 		}
-		if e.Deadline > asked.Deadline+timeSlack+j.rules.Slack && !j.stood(e.Sidecar, from, e.At) {
-			j.breach(RuleTimeLeft, e.At, o.id, fmt.Sprintf("an instance was told %s more than its caller had left:",
-				round(e.Deadline-asked.Deadline)), o.entries)
+		if e.Deadline > sent.Deadline+timeLeftSlack+c.rules.Slack && !c.wasPaused(e.Sidecar, from, e.At) {
+			c.report(RuleTimeLeft, e.At, h.id, fmt.Sprintf("an instance was told %s more than its caller had left:",
+				roundMS(e.Deadline-sent.Deadline)), h.entries)
 		}
 	}
 }
 
-// wasDown tells whether the timeline ended a sidecar while it had an operation.
-func (j *judge) wasDown(sidecar string, from, to time.Duration) bool {
-	for _, at := range j.downs[sidecar] {
+// wasEnded reports whether a sidecar ended or crashed within a second of the interval in which it had a request.
+func (c *checker) wasEnded(sidecar string, from, to time.Duration) bool {
+	for _, at := range c.endedAt[sidecar] {
 		if at >= from-time.Second && at <= to+time.Second {
 			return true
 		}
@@ -282,15 +287,15 @@
 	return false
 }
 
-// stood tells whether a sidecar stood still while it had an operation.
-func (j *judge) stood(sidecar string, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.stops[sidecar], func(s span) bool { return s.from < to && s.to > from })
+// wasPaused reports whether a sidecar was paused while it had a request.
+func (c *checker) wasPaused(sidecar string, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.paused[sidecar], func(s span) bool { return s.from < to && s.to > from })
 }
 
-// reached is when what was written to a sidecar at a time has come to it: while it stands still or its path is broken
-// nothing does.
-func (j *judge) reached(sidecar string, at time.Duration) time.Duration {
-	for _, all := range [][]span{j.off, j.deaf[sidecar], j.stops[sidecar]} {
+// deliveredAt returns when a message that discovery wrote at a given time reaches a sidecar: nothing is delivered while
+// discovery is offline, the path is cut or the sidecar is paused.
+func (c *checker) deliveredAt(sidecar string, at time.Duration) time.Duration {
+	for _, all := range [][]span{c.offline, c.pathCut[sidecar], c.paused[sidecar]} {
 		for _, s := range all {
 			if s.from <= at && at < s.to {
 				at = s.to
@@ -300,159 +305,163 @@
 	return at
 }
 
-// sharp is how far the order of two entries of different connections may be off. An end that the instance made itself is
-// known as well as that; the end of a connection shows when its reader gets to run, within the slack.
-const sharp = 10 * time.Millisecond
+// connectionSkew is by how much the times of two entries of different connections may be out of order. It applies to an
+// attempt that the instance itself ended; the end of a connection is seen only when its reader gets to run, within
+// Rules.Slack.
+const connectionSkew = 10 * time.Millisecond
 
-// repeats holds that what may have run is neither sent again nor refused unless its class is safe, and that no two
-// attempts are out at once.
-func (j *judge) repeats(o *op) {
+// checkRetries checks that a request that may have run is neither retried nor rejected unless its class is safe to retry,
+// and that no two attempts are in flight at once.
+func (c *checker) checkRetries(h *requestHistory) {
 	type attempt struct {
 		arrived, ended time.Duration
-		over, turned   bool
-		seen           time.Duration // how late its end may have been seen
+		done, rejected bool
+		endSkew        time.Duration // how late its end may have been endSkew
 	}
 	var order []uint64
 	all := map[uint64]*attempt{}
-	for i := range o.entries {
-		e := &o.entries[i]
+	for i := range h.entries {
+		e := &h.entries[i]
 		a := all[e.AttemptID]
 		switch e.Kind {
 		case AttemptArrived:
 			if e.Note == DelayedNote {
-				continue // its sidecar had ended it before: the path held it
+				continue // its sidecar had already ended it: the network path delayed it
 			}
 			all[e.AttemptID] = &attempt{arrived: e.At}
 			order = append(order, e.AttemptID)
 		case AttemptEnded, AttemptClosed:
-			if a != nil && !a.over {
-				a.over, a.ended, a.seen = true, e.At, sharp
+			if a != nil && !a.done {
+				a.done, a.ended, a.endSkew = true, e.At, connectionSkew
 				if e.Kind == AttemptClosed {
-					a.seen = j.rules.Slack
+					a.endSkew = c.rules.Slack
 				}
 			}
 			if a != nil && (e.Outcome == "turned" || e.Outcome == "declined") {
-				a.turned = true
+				a.rejected = true
 			}
 		case Answered:
-			if (e.Status == 503 || e.Status == 429) && !j.safe(e.Class) {
+			if (e.Status == 503 || e.Status == 429) && !c.retrySafe(e.Class) {
 				for _, a := range all {
-					if !a.turned {
-						j.breach(RuleNoUnsafeRetry, e.At, o.id, "refused though it may have run:", o.entries)
+					if !a.rejected {
+						c.report(RuleNoUnsafeRetry, e.At, h.id, "refused though it may have run:", h.entries)
 						break
 					}
 				}
 			}
 		}
 	}
-	class := o.entries[0].Class
-	for n, copy := range order {
-		for _, before := range order[:n] {
-			a, b := all[before], all[copy]
-			if !a.turned && !j.safe(class) {
-				j.breach(RuleNoUnsafeRetry, b.arrived, o.id, "sent again though it may have run:", o.entries)
+	class := h.entries[0].Class
+	for n, id := range order {
+		for _, earlier := range order[:n] {
+			a, b := all[earlier], all[id]
+			if !a.rejected && !c.retrySafe(class) {
+				c.report(RuleNoUnsafeRetry, b.arrived, h.id, "sent again though it may have run:", h.entries)
 			}
-			if !a.over || a.ended > b.arrived+a.seen {
-				j.breach(RuleNoConcurrentAttempts, b.arrived, o.id, "two attempts out at once:", o.entries)
+			if !a.done || a.ended > b.arrived+a.endSkew {
+				c.report(RuleNoConcurrentAttempts, b.arrived, h.id, "two attempts out at once:", h.entries)
 			}
 		}
 	}
 }
 
-// drains holds that nothing new goes to an instance after its sidecar was told that it drains or is gone.
-func (j *judge) drains() {
-	for _, e := range j.begun {
+// checkDrains checks that no attempt begins at an instance after its sidecar was notified that it drains or is gone.
+func (c *checker) checkDrains() {
+	for _, e := range c.begun {
 		var last *Entry
-		told := j.news(e.Sidecar, e.Instance)
-		for i := range told {
-			if told[i].At > e.At {
+		list := c.notifications(e.Sidecar, e.Instance)
+		for i := range list {
+			if list[i].At > e.At {
 				break
 			}
-			if last == nil || told[i].Since > last.Since || last.Outcome == "Ready" || told[i].Outcome == "Ready" {
-				last = &told[i]
+			if last == nil || list[i].Since > last.Since || last.Outcome == "Ready" || list[i].Outcome == "Ready" {
+				last = &list[i]
 			}
 		}
 		if last == nil || last.Outcome == "Ready" {
 			continue
 		}
-		if late := e.At - last.At - j.rules.DrainGrace - j.rules.Slack; late > 0 {
-			j.breach(RuleDrain, e.At, e.ID, fmt.Sprintf("begun at %s %s after the sidecar was told %s:", e.Instance,
-				round(e.At-last.At), last.Outcome), []Entry{*last, e})
+		if late := e.At - last.At - c.rules.DrainGrace - c.rules.Slack; late > 0 {
+			c.report(RuleDrain, e.At, e.ID, fmt.Sprintf("begun at %s %s after the sidecar was told %s:", e.Instance,
+				roundMS(e.At-last.At), last.Outcome), []Entry{*last, e})
 		}
 	}
 }
 
-// news is what a sidecar was told of an instance, or counts as told of: what discovery has published for longer than
-// ToldWithin, counted from the sidecar's start for what is older.
-func (j *judge) news(sidecar, instance string) []Entry {
+// notifications returns what a sidecar was notified of about an instance, with the times of delivery. It includes changes
+// that discovery published but is not known to have sent: those count as delivered NotifiedWithin after their publication
+// or the sidecar's start, whichever is later.
+func (c *checker) notifications(sidecar, instance string) []Entry {
 	key := [2]string{sidecar, instance}
-	if news, done := j.merged[key]; done {
-		return news
+	if list, ok := c.effective[key]; ok {
+		return list
 	}
-	news := slices.Clone(j.told[key])
-	for i := range news {
-		news[i].At = j.reached(sidecar, news[i].At)
+	list := slices.Clone(c.notified[key])
+	for i := range list {
+		list[i].At = c.deliveredAt(sidecar, list[i].At)
 	}
-	if j.rules.NotifiedWithin > 0 {
-		for _, e := range j.told[[2]string{"", instance}] {
-			// A sidecar that was told anything of the instance since has what was published before, too.
-			if !slices.ContainsFunc(j.told[key], func(t Entry) bool { return t.At >= e.At }) {
-				e.At = j.reached(sidecar, max(e.At, j.up[sidecar])) + j.rules.NotifiedWithin
-				news = append(news, e)
+	if c.rules.NotifiedWithin > 0 {
+		for _, e := range c.notified[[2]string{"", instance}] {
+			// A sidecar that was notified about the instance later has the earlier published changes, too.
+			if !slices.ContainsFunc(c.notified[key], func(t Entry) bool { return t.At >= e.At }) {
+				e.At = c.deliveredAt(sidecar, max(e.At, c.startedAt[sidecar])) + c.rules.NotifiedWithin
+				list = append(list, e)
 			}
 		}
 	}
-	slices.SortStableFunc(news, func(a, b Entry) int { return cmp.Or(int(a.At-b.At), int(a.Since-b.Since)) })
-	j.merged[key] = news
-	return news
+	slices.SortStableFunc(list, func(a, b Entry) int { return cmp.Or(int(a.At-b.At), int(a.Since-b.Since)) })
+	c.effective[key] = list
+	return list
 }
 
-// colds holds that no cold instance gets more work within a window than it bears, if two thirds of that came from
-// sidecars that had been told of its start.
-func (j *judge) colds(entries []Entry) {
-	type life struct {
+// checkSlowStart checks that no instance in slow start gets more work within a window than its budget. Only cases where at
+// least two thirds of the work came from sidecars that had been notified of its start count.
+func (c *checker) checkSlowStart(entries []Entry) {
+	type instanceStart struct {
 		Entry
-		at     []Entry
-		broken bool
+		window   []Entry // attempts that arrived within the last window
+		violated bool
 	}
-	lives := map[string]*life{}
+	starts := map[string]*instanceStart{}
 	for i := range entries {
 		e := entries[i]
 		switch e.Kind {
 		case InstanceStarted:
-			lives[e.Instance] = &life{Entry: e}
+			starts[e.Instance] = &instanceStart{Entry: e}
 		case AttemptArrived:
-			l := lives[e.Instance]
-			if l == nil || l.broken || l.Note != "cold" || e.Tier >= len(j.rules.SlowStart) {
+			st := starts[e.Instance]
+			if st == nil || st.violated || st.Note != "cold" || e.Tier >= len(c.rules.SlowStart) {
 				continue
 			}
-			c := j.rules.SlowStart[e.Tier]
-			if c.WorkBudget == nil || e.At >= l.At+c.Duration {
+			limit := c.rules.SlowStart[e.Tier]
+			if limit.WorkBudget == nil || e.At >= st.At+limit.Duration {
 				continue
 			}
-			l.at = append(l.at, e)
-			for l.at[0].At <= e.At-c.Window {
-				l.at = l.at[1:]
+			st.window = append(st.window, e)
+			for st.window[0].At <= e.At-limit.Window {
+				st.window = st.window[1:]
 			}
 			sum, informed := 0.0, 0.0
-			for _, a := range l.at {
+			for _, a := range st.window {
 				sum += a.MeanWork
-				if j.knows(a.Sidecar, a.Instance, l.Since, a.At) {
+				if c.wasNotified(a.Sidecar, a.Instance, st.Since, a.At) {
 					informed += a.MeanWork
 				}
 			}
-			capacity := l.Capacity * (c.InitialShare + (1-c.InitialShare)*float64(e.At-l.At)/float64(c.Duration))
-			if budget := c.WorkBudget(capacity); sum > budget && informed >= sum*2/3 {
-				l.broken = true
-				j.breach(RuleSlowStart, e.At, "", fmt.Sprintf("%s, up %s, got %.2f core-seconds within %s, %.2f are its budget",
-					e.Instance, round(e.At-l.At), sum, c.Window, budget), l.at)
+			capacity := st.Capacity * (limit.InitialShare + (1-limit.InitialShare)*float64(e.At-st.At)/float64(limit.Duration))
+			if budget := limit.WorkBudget(capacity); sum > budget && informed >= sum*2/3 {
+				st.violated = true
+				c.report(RuleSlowStart, e.At, "", fmt.Sprintf("%s, up %s, got %.2f core-seconds within %s, %.2f are its budget",
+					e.Instance, roundMS(e.At-st.At), sum, limit.Window, budget), st.window)
 			}
 		}
 	}
 }
 
-func (j *judge) knows(sidecar, instance string, since, at time.Duration) bool {
-	for _, t := range j.told[[2]string{sidecar, instance}] {
+// wasNotified reports whether a sidecar had been notified by a given time that an instance is ready, of this start of the
+// instance or a later one.
+func (c *checker) wasNotified(sidecar, instance string, since, at time.Duration) bool {
+	for _, t := range c.notified[[2]string{sidecar, instance}] {
 		if t.At <= at && t.Outcome == "Ready" && t.Since >= since {
 			return true
 		}
--- a/internal/lab/ledger/service.go
+++ b/internal/lab/ledger/service.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Goal says how service is counted: the weights of its parts, and the points of each penalty (in shares of 1).
+// Objective defines how the service is scored: the weights of its parts, and the size of each penalty (in shares of 1).
 type Objective struct {
 	WholeRun, WorstWindow, WorstClass      float64
 	LateFailure, Waste, Connection, Probes float64
 	Window                                 time.Duration // of WorstWindow
 	Classes                                []ClassObjective
-	UtilityPerWork                         bool // worth counts for each core-second of work
+	UtilityPerWork                         bool // the utility of a request is multiplied by its work in core-seconds
 	Warmup                                 time.Duration
 }
 
-// GoalClass is what a class is worth and by when it is wanted.
+// ClassObjective is the utility of a request of a class and its latency target.
 type ClassObjective struct {
 	Name          string
 	Utility       float64
 	LatencyTarget time.Duration
 }
 
-// Service is what the clients got.
+// Service is the service that the clients got.
 type Service struct {
-	Service            float64            `json:"service"` // with penalties
+	Service            float64            `json:"service"` // score, with penalties
 	WholeRun           float64            `json:"whole"`
 	WorstWindow        float64            `json:"worst_window"`
 	WorstClass         float64            `json:"worst_class"`
@@ -38,7 +38,7 @@
 	Failed             int                `json:"failed"`
 	Unanswered         int                `json:"unanswered"`
 	Attempts           int                `json:"attempts"` // that reached an instance, all tiers
-	SidecarRequests    int                `json:"calls"`    // operations of sidecars, all tiers
+	SidecarRequests    int                `json:"calls"`    // requests that sidecars received, all tiers
 	AttemptsPerRequest float64            `json:"attempts_per_operation"`
 	Connections        int                `json:"connections"`
 	Probes             int                `json:"probes"`
@@ -46,19 +46,19 @@
 	InstanceOverloads  int                `json:"choked"`
 }
 
-// Client is one piece of business, as the ledger tells it.
+// ClientRequest is one request of a client with all its attempts, as the ledger shows it.
 type ClientRequest struct {
-	IntendedAt time.Duration // when it was meant to go out
+	IntendedAt time.Duration // when it was meant to be sent
 	Class      int
 	Work       float64
-	ServedAt   time.Duration // 0 if it was not
-	LastKind   Kind          // of its last try
+	ServedAt   time.Duration // 0 if it was not served
+	LastKind   Kind          // of its last attempt
 	Status     int
 	Attempts   int
 	EndedAt    time.Duration
 }
 
-// Clients gathers the clients' business, by number from 1; place 0 is empty.
+// ClientRequests collects the clients' requests, indexed by their number from 1; index 0 is empty.
 func ClientRequests(entries []Entry) []ClientRequest {
 	var out []ClientRequest
 	for i := range entries {
@@ -92,34 +92,34 @@
 	return out
 }
 
-// Serve counts the service.
-func MeasureService(entries []Entry, goal Objective) Service {
+// MeasureService computes the service and its score from the entries of a run.
+func MeasureService(entries []Entry, objective Objective) Service {
 	s := Service{Classes: map[string]float64{}, Penalties: map[string]float64{}}
-	asked, got := make([]float64, len(goal.Classes)), make([]float64, len(goal.Classes))
-	var windows, windowsGot []float64
+	offered, achieved := make([]float64, len(objective.Classes)), make([]float64, len(objective.Classes))
+	var offeredWindows, achievedWindows []float64
 	late := 0.0
 	for _, c := range ClientRequests(entries) {
-		if c.Attempts == 0 || c.IntendedAt < goal.Warmup || c.Class >= len(goal.Classes) {
+		if c.Attempts == 0 || c.IntendedAt < objective.Warmup || c.Class >= len(objective.Classes) {
 			continue
 		}
 		s.ClientRequests++
 		s.ClientAttempts += c.Attempts
-		class := goal.Classes[c.Class]
-		worth := class.Utility
-		if goal.UtilityPerWork {
-			worth *= c.Work
+		class := objective.Classes[c.Class]
+		utility := class.Utility
+		if objective.UtilityPerWork {
+			utility *= c.Work
 		}
-		w := int(c.IntendedAt / max(goal.Window, time.Second))
-		for len(windows) <= w {
-			windows, windowsGot = append(windows, 0), append(windowsGot, 0)
+		w := int(c.IntendedAt / max(objective.Window, time.Second))
+		for len(offeredWindows) <= w {
+			offeredWindows, achievedWindows = append(offeredWindows, 0), append(achievedWindows, 0)
 		}
-		asked[c.Class] += worth
-		windows[w] += worth
+		offered[c.Class] += utility
+		offeredWindows[w] += utility
 		switch {
 		case c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+class.LatencyTarget:
 			s.InTime++
-			got[c.Class] += worth
-			windowsGot[w] += worth
+			achieved[c.Class] += utility
+			achievedWindows[w] += utility
 			continue
 		case c.ServedAt != 0:
 			s.Late++
@@ -131,38 +131,38 @@
 			s.Unanswered++
 		}
 		if c.EndedAt > c.IntendedAt+class.LatencyTarget {
-			late += worth
+			late += utility
 		}
 	}
-	total, in := 0.0, 0.0
+	total, inTime := 0.0, 0.0
 	s.WorstClass, s.WorstWindow = 1, 1
-	for i, c := range goal.Classes {
-		total, in = total+asked[i], in+got[i]
-		s.Classes[c.Name] = share(got[i], asked[i])
+	for i, c := range objective.Classes {
+		total, inTime = total+offered[i], inTime+achieved[i]
+		s.Classes[c.Name] = ratio(achieved[i], offered[i])
 		s.WorstClass = math.Min(s.WorstClass, s.Classes[c.Name])
 	}
-	for i := range windows {
-		if windows[i] > total/float64(4*len(windows)) { // a sliver at the end is no window
-			s.WorstWindow = math.Min(s.WorstWindow, share(windowsGot[i], windows[i]))
+	for i := range offeredWindows {
+		if offeredWindows[i] > total/float64(4*len(offeredWindows)) { // skip a short window at the end
+			s.WorstWindow = math.Min(s.WorstWindow, ratio(achievedWindows[i], offeredWindows[i]))
 		}
 	}
-	s.WholeRun = share(in, total)
-	s.count(entries, goal)
+	s.WholeRun = ratio(inTime, total)
+	s.addInstanceMetrics(entries, objective)
 	if s.ClientRequests > 0 {
-		s.Penalties["late"] = goal.LateFailure * share(late, total) * btof(total > 0)
-		s.Penalties["connections"] = goal.Connection * math.Min(1, float64(s.Connections)/float64(s.ClientRequests))
-		s.Penalties["probes"] = goal.Probes * math.Min(1, float64(s.Probes)/float64(s.ClientRequests))
+		s.Penalties["late"] = objective.LateFailure * ratio(late, total) * boolToFloat(total > 0)
+		s.Penalties["connections"] = objective.Connection * math.Min(1, float64(s.Connections)/float64(s.ClientRequests))
+		s.Penalties["probes"] = objective.Probes * math.Min(1, float64(s.Probes)/float64(s.ClientRequests))
 	}
-	s.Service = goal.WholeRun*s.WholeRun + goal.WorstWindow*s.WorstWindow + goal.WorstClass*s.WorstClass
+	s.Service = objective.WholeRun*s.WholeRun + objective.WorstWindow*s.WorstWindow + objective.WorstClass*s.WorstClass
 	for _, p := range s.Penalties {
 		s.Service -= p
 	}
 	return s
 }
 
-// count takes what happened at the instances.
-func (s *Service) count(entries []Entry, goal Objective) {
-	work, useful, calls := 0.0, 0.0, map[string]float64{}
+// addInstanceMetrics adds what happened at the instances: attempts, connections, probes, crashes and wasted work.
+func (s *Service) addInstanceMetrics(entries []Entry, objective Objective) {
+	work, useful, servedWork := 0.0, 0.0, map[string]float64{}
 	for i := range entries {
 		e := &entries[i]
 		switch e.Kind {
@@ -182,27 +182,28 @@
 			if e.Outcome != "turned" {
 				work += e.Work
 				if e.Outcome == "served" {
-					calls[e.ID] = e.Work
+					servedWork[e.ID] = e.Work
 				}
 			}
 		case Answered:
 			if e.Status == 200 {
-				useful += calls[e.ID]
+				useful += servedWork[e.ID]
 			}
 		}
 	}
-	s.AttemptsPerRequest = share(float64(s.Attempts), float64(s.SidecarRequests))
-	s.Penalties["waste"] = goal.Waste * math.Max(0, share(work-useful, work)) * btof(work > 0)
+	s.AttemptsPerRequest = ratio(float64(s.Attempts), float64(s.SidecarRequests))
+	s.Penalties["waste"] = objective.Waste * math.Max(0, ratio(work-useful, work)) * boolToFloat(work > 0)
 }
 
-func share(part, whole float64) float64 {
+// ratio returns part/whole, or 1 if whole is not positive.
+func ratio(part, whole float64) float64 {
 	if whole <= 0 {
 		return 1
 	}
 	return part / whole
 }
 
-func btof(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -55,10 +55,12 @@
 var bandColours = []color.RGBA{{240, 190, 110, 255}, {140, 190, 230, 255}, {190, 150, 210, 255}, {140, 200, 140, 255}, {230, 140, 140, 255},
 	{180, 180, 180, 255}, {205, 175, 140, 255}, {110, 200, 200, 255}, {220, 220, 110, 255}, {235, 160, 200, 255}}
 
-func css(c color.RGBA) template.CSS { return template.CSS(fmt.Sprintf("rgb(%d,%d,%d)", c.R, c.G, c.B)) }
+func cssColour(c color.RGBA) template.CSS {
+	return template.CSS(fmt.Sprintf("rgb(%d,%d,%d)", c.R, c.G, c.B))
+}
 
 // style is the look of the n-th line.
-func style(n int) (color.RGBA, []vg.Length, string) {
+func lineStyle(n int) (color.RGBA, []vg.Length, string) {
 	d := n / len(palette) % len(dashes)
 	return palette[n%len(palette)], dashes[d], []string{"solid", "dashed", "dotted"}[d]
 }
@@ -97,14 +99,14 @@
 			box.Color, box.LineStyle.Width = area.c, 0
 			p.Add(box)
 		}
-		c.BandLegend = append(c.BandLegend, LegendEntry{Name: fmt.Sprintf("%s, %.0f to %.0f s", b.Name, b.From, b.To), Colour: css(colour)})
+		c.BandLegend = append(c.BandLegend, LegendEntry{Name: fmt.Sprintf("%s, %.0f to %.0f s", b.Name, b.From, b.To), Colour: cssColour(colour)})
 	}
 	p.Add(plotter.NewGrid())
-	return finish(p, c, lines)
+	return render(p, c, lines)
 }
 
 // spreadChart draws latency by percentile: the further right, the rarer.
-func spreadChart(title, note string, l line) (Chart, error) {
+func percentileChart(title, note string, l line) (Chart, error) {
 	p := newPlot("percentile", "latency (ms)")
 	p.X.Scale = plot.LogScale{}
 	p.X.Min = 1
@@ -125,7 +127,7 @@
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	return finish(p, Chart{Title: title, Note: note}, []line{l})
+	return render(p, Chart{Title: title, Note: note}, []line{l})
 }
 
 // barChart draws one bar for each name.
@@ -139,7 +141,7 @@
 	p.Add(bars)
 	p.NominalX(names...)
 	p.Y.Min = 0
-	return finish(p, Chart{Title: title, Note: note}, nil)
+	return render(p, Chart{Title: title, Note: note}, nil)
 }
 
 func newPlot(x, y string) *plot.Plot {
@@ -150,7 +152,7 @@
 	return p
 }
 
-func finish(p *plot.Plot, c Chart, lines []line) (Chart, error) {
+func render(p *plot.Plot, c Chart, lines []line) (Chart, error) {
 	for n, l := range lines {
 		if len(l.XYs) == 0 {
 			continue
@@ -159,11 +161,11 @@
 		if err != nil {
 			return c, err
 		}
-		colour, dash, border := style(n)
+		colour, dash, border := lineStyle(n)
 		drawn.Color, drawn.Width, drawn.Dashes = colour, vg.Points(1.4), dash
 		p.Add(drawn)
 		if l.Name != "" {
-			c.Legend = append(c.Legend, LegendEntry{Name: l.Name, Colour: css(colour), BorderStyle: border})
+			c.Legend = append(c.Legend, LegendEntry{Name: l.Name, Colour: cssColour(colour), BorderStyle: border})
 		}
 	}
 	canvas := vgsvg.New(vg.Points(780), vg.Points(270))
--- a/internal/lab/report/groups.go
+++ b/internal/lab/report/groups.go
@@ -28,12 +28,12 @@
 		if err != nil {
 			return nil, err
 		}
-		chart.Color, _, _ = style(n)
+		chart.Color, _, _ = lineStyle(n)
 		chart.LineStyle.Width = 0
 		chart.Offset = shift
 		p.Add(chart)
 		p.Legend.Add(b.Name, chart)
-		p.Add(&whiskers{b, shift})
+		p.Add(&errorBars{b, shift})
 	}
 	p.Legend.Top = true
 	p.Y.Max = 1.25 // room for the legend
@@ -46,16 +46,16 @@
 }
 
 // whiskers draw the standard errors of bars that stand beside their places.
-type whiskers struct {
+type errorBars struct {
 	BarSeries
-	shift vg.Length
+	offset vg.Length
 }
 
 // Plot implements plot.Plotter.
-func (w *whiskers) Plot(c draw.Canvas, p *plot.Plot) {
+func (w *errorBars) Plot(c draw.Canvas, p *plot.Plot) {
 	x, y := p.Transforms(&c)
 	for i, e := range w.StdErrs {
-		at := x(float64(i)) + w.shift
+		at := x(float64(i)) + w.offset
 		c.StrokeLine2(draw.LineStyle{Color: color.Black, Width: vg.Points(1)}, at, y(w.Values[i]-e), at, y(w.Values[i]+e))
 	}
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -28,7 +28,7 @@
 //go:embed page.html
 var pageText string
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"ms":      func(v float64) string { return fmt.Sprintf("%.1f", v) },
 	"share":   func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"seconds": func(d time.Duration) string { return fmt.Sprintf("%.3f s", d.Seconds()) },
@@ -61,13 +61,13 @@
 func Write(w io.Writer, dirs ...string) error {
 	var runs []*Run
 	for _, dir := range dirs {
-		r, err := read(dir)
+		r, err := loadRun(dir)
 		if err != nil {
 			return err
 		}
 		runs = append(runs, r)
 	}
-	return page.Execute(w, runs)
+	return pageTemplate.Execute(w, runs)
 }
 
 // Keep draws the page of a folder into it.
@@ -80,7 +80,7 @@
 	return path, errors.Join(Write(f, dir), f.Close())
 }
 
-func read(dir string) (*Run, error) {
+func loadRun(dir string) (*Run, error) {
 	sum, err := results.ReadSummary(dir)
 	if err != nil {
 		return nil, err
@@ -121,10 +121,10 @@
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	return r, r.draw(dir, seconds, bands, plan, entries)
+	return r, r.addCharts(dir, seconds, bands, plan, entries)
 }
 
-func (r *Run) draw(dir string, seconds []load.Second, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
+func (r *Run) addCharts(dir string, seconds []load.Second, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
 	end := float64(len(seconds))
 	add := func(c Chart, err error) error {
 		if err == nil {
@@ -159,7 +159,7 @@
 			}
 		}
 		if len(spread.XYs) > 1 {
-			err = errors.Join(err, add(spreadChart("Latency by percentile", "of all requests, from the intended time", spread)))
+			err = errors.Join(err, add(percentileChart("Latency by percentile", "of all requests, from the intended time", spread)))
 		}
 	}
 	if plan != nil {
@@ -169,13 +169,13 @@
 			err = errors.Join(err, add(timeChart("Load by instance: "+plan.Tiers[t].Name, "requests that each instance holds, twice a second",
 				"requests held", loadByInstance(samples, t, end), bands, end)))
 		}
-		names, values := attempts(entries)
+		names, values := attemptsPerRequest(entries)
 		err = errors.Join(err, add(barChart("Attempts per operation", "at the instances, for all operations of all sidecars",
 			"attempts that reached an instance", "operations", names, values)))
 		a := account.Summarize(entries, plan.Served())
 		err = errors.Join(err, add(timeChart("What one second's operations cost", "attempts that reached instances, busy replies of sidecars, and clients' repeats",
-			"a second", fleetLines(a, plan), bands, end)),
-			add(timeChart("Beside the work", "from all sidecars together", "a second", besideLines(a), bands, end)))
+			"a second", attemptLines(a, plan), bands, end)),
+			add(timeChart("Beside the work", "from all sidecars together", "a second", overheadLines(a), bands, end)))
 	}
 	return err
 }
@@ -208,11 +208,11 @@
 		}
 		counts[kind][n]++
 	}
-	return series(kinds, counts)
+	return perSecondLines(kinds, counts)
 }
 
 // fleetLines count attempts and refusals by tier.
-func fleetLines(a *account.Account, plan *scenario.Scenario) []line {
+func attemptLines(a *account.Account, plan *scenario.Scenario) []line {
 	var names []string
 	var counts [][]float64
 	add := func(name string, of func(account.Second) float64) {
@@ -235,11 +235,11 @@
 		add("refused before "+plan.Tiers[t].Name, func(s account.Second) float64 { return of(s.Rejected, t) })
 	}
 	add("clients' repeats", func(s account.Second) float64 { return float64(s.ClientRetries) })
-	return series(names, counts)
+	return perSecondLines(names, counts)
 }
 
 // besideLines count what is no operation's work.
-func besideLines(a *account.Account) []line {
+func overheadLines(a *account.Account) []line {
 	names := []string{"new connections", "probes", "calls to discovery"}
 	counts := make([][]float64, len(names))
 	for _, s := range a.Seconds {
@@ -247,7 +247,7 @@
 			counts[n] = append(counts[n], float64(v))
 		}
 	}
-	return series(names, counts)
+	return perSecondLines(names, counts)
 }
 
 func loadLines(seconds []load.Second) []line {
@@ -258,10 +258,10 @@
 			counts[k] = append(counts[k], float64(v))
 		}
 	}
-	return series(kinds, counts)
+	return perSecondLines(kinds, counts)
 }
 
-func series(names []string, counts [][]float64) []line {
+func perSecondLines(names []string, counts [][]float64) []line {
 	var out []line
 	for k, name := range names {
 		l := line{Name: name}
@@ -302,7 +302,7 @@
 }
 
 // attempts counts how many attempts reached an instance, for each operation that a sidecar took.
-func attempts(entries []ledger.Entry) ([]string, []float64) {
+func attemptsPerRequest(entries []ledger.Entry) ([]string, []float64) {
 	by := map[string]int{}
 	for i := range entries {
 		switch e := &entries[i]; e.Kind {
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -86,11 +86,11 @@
 // Head fills in what every summary has.
 func NewSummary(kind, name string, seed uint64, started time.Time) Summary {
 	s := Summary{Kind: kind, Name: name, Seed: seed, Version: release.Version, Revision: release.Revision(), Started: started.UTC(),
-		DurationS: time.Since(started).Seconds(), Machine: thisMachine()}
+		DurationS: time.Since(started).Seconds(), Machine: hostMachine()}
 	return s
 }
 
-func thisMachine() Machine {
+func hostMachine() Machine {
 	m := Machine{OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Go: runtime.Version()}
 	field := func(file, key string) string {
 		text, _ := os.ReadFile(file)
@@ -133,7 +133,7 @@
 	for _, b := range breaches {
 		sum.RuleViolations[b.Rule]++
 	}
-	sum.Processes = processes(r)
+	sum.Processes = processUsage(r)
 	text, err := yaml.Marshal(s)
 	if err != nil {
 		return nil, nil, err
@@ -142,7 +142,7 @@
 		os.WriteFile(filepath.Join(dir, ScenarioFile), text, 0o644),
 		writeJSON(dir, SummaryFile, sum), writeJSON(dir, VerdictFile, breaches),
 		writeLines(dir, SecondsFile, rec.Seconds()), writeLines(dir, SamplesFile, r.Samples),
-		keepHistogram(dir, rec, head.Started), keepLedger(dir, r.Entries),
+		writeHistogram(dir, rec, head.Started), writeLedger(dir, r.Entries),
 	)
 	return &sum, breaches, err
 }
@@ -150,7 +150,7 @@
 // KeepLoad writes the folder of a load run.
 func WriteLoad(dir string, sum Summary, rec *load.Recorder) error {
 	return errors.Join(writeJSON(dir, SummaryFile, sum), writeLines(dir, SecondsFile, rec.Seconds()),
-		keepHistogram(dir, rec, sum.Started))
+		writeHistogram(dir, rec, sum.Started))
 }
 
 // Latencies records the clients' business of a ledger: from the time a client meant to ask until it was served, or until
@@ -174,7 +174,7 @@
 	return rec
 }
 
-func processes(r *emulator.Result) *Processes {
+func processUsage(r *emulator.Result) *Processes {
 	p := &Processes{Count: len(r.Processes)}
 	cpu, first := 0.0, 0.0
 	for _, x := range r.Processes {
@@ -225,7 +225,7 @@
 	return buf.Flush()
 }
 
-func keepLedger(dir string, entries []ledger.Entry) error {
+func writeLedger(dir string, entries []ledger.Entry) error {
 	f, err := os.Create(filepath.Join(dir, LedgerFile))
 	if err != nil {
 		return err
@@ -235,7 +235,7 @@
 }
 
 // keepHistogram writes the latencies as a HdrHistogram log of one interval, in microseconds.
-func keepHistogram(dir string, rec *load.Recorder, started time.Time) error {
+func writeHistogram(dir string, rec *load.Recorder, started time.Time) error {
 	f, err := os.Create(filepath.Join(dir, HistogramFile))
 	if err != nil {
 		return err
--- a/internal/lab/results/results_test.go
+++ b/internal/lab/results/results_test.go
@@ -11,7 +11,7 @@
 	"kitewood/internal/lab/load"
 )
 
-func run(seed uint64, service float64) *Summary {
+func newRun(seed uint64, service float64) *Summary {
 	return &Summary{Kind: "run", Name: "s", Seed: seed, Service: &ledger.Service{Service: service}, Processes: &Processes{}}
 }
 
@@ -24,9 +24,9 @@
 		pairs       int
 		better      int
 	}{
-		{"clear", []*Summary{run(1, 0.5), run(2, 0.7), run(3, 0.9)}, []*Summary{run(3, 0.8), run(2, 0.61), run(1, 0.39)}, -0.1, 0.01 / math.Sqrt(3), 3, -1},
-		{"within the spread", []*Summary{run(1, 0.5), run(2, 0.7)}, []*Summary{run(1, 0.6), run(2, 0.9)}, 0.15, 0.05, 2, 0},
-		{"one pair", []*Summary{run(1, 0.5), run(9, 0)}, []*Summary{run(1, 0.6), run(8, 1)}, 0.1, 0, 1, 0},
+		{"clear", []*Summary{newRun(1, 0.5), newRun(2, 0.7), newRun(3, 0.9)}, []*Summary{newRun(3, 0.8), newRun(2, 0.61), newRun(1, 0.39)}, -0.1, 0.01 / math.Sqrt(3), 3, -1},
+		{"within the spread", []*Summary{newRun(1, 0.5), newRun(2, 0.7)}, []*Summary{newRun(1, 0.6), newRun(2, 0.9)}, 0.15, 0.05, 2, 0},
+		{"one pair", []*Summary{newRun(1, 0.5), newRun(9, 0)}, []*Summary{newRun(1, 0.6), newRun(8, 1)}, 0.1, 0, 1, 0},
 	} {
 		got, err := Compare(c.a, c.b)
 		if err != nil {
@@ -37,13 +37,13 @@
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
-	if _, err := Compare([]*Summary{run(1, 1)}, []*Summary{run(2, 1)}); err == nil {
+	if _, err := Compare([]*Summary{newRun(1, 1)}, []*Summary{newRun(2, 1)}); err == nil {
 		t.Error("runs of different seeds are compared")
 	}
 }
 
 // A client's latency runs from when it meant to ask over all its tries.
-func TestLatencies(t *testing.T) {
+func TestRecordLatencies(t *testing.T) {
 	s := time.Second
 	rec := RecordLatencies([]ledger.Entry{
 		{At: s + 1, Kind: ledger.RequestSent, ClientRequest: 1, Since: s}, {At: 2 * s, Kind: ledger.Answered, ClientRequest: 1, Status: 503},
@@ -61,7 +61,7 @@
 }
 
 // What a load run leaves is read back, the histogram with its figures.
-func TestFolder(t *testing.T) {
+func TestWriteLoadAndReadBack(t *testing.T) {
 	dir, err := CreateDir(filepath.Join(t.TempDir(), "a"), "x", 1, time.Now())
 	if err != nil {
 		t.Fatal(err)
