--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -1,6 +1,6 @@
-// Package account adds up what the processes of a fleet did together, from the ledger of a run alone: what each client's
-// operation caused in all tiers, what was worked for nobody, who refused what, and what instances and discovery had to
-// bear from all sidecars.
+// Package account aggregates the activity of a whole fleet from the ledger of a run alone: the attempts that each client
+// request caused in all tiers, the work whose result reached no client, rejections by sidecar, and the load on instances and
+// discovery from all sidecars together.
 package account
 
 import (
@@ -14,16 +14,16 @@
 	"kitewood/internal/lab/ledger"
 )
 
-// Account is the whole of it. Shares lie in 0..1; a share of nothing is 0.
+// Account holds the totals of a run. Shares lie in 0..1; a share of nothing is 0.
 type Account struct {
-	ClientRequests     int     `json:"operations"` // clients' pieces of business
-	ClientAttempts     int     `json:"tries"`      // of clients
+	ClientRequests     int     `json:"operations"` // of clients, each with its retries
+	ClientAttempts     int     `json:"tries"`      // including retries
 	Attempts           int     `json:"attempts"`   // that reached instances, all tiers
 	AttemptsPerRequest float64 `json:"attempts_per_operation"`
-	MaxAttempts        int     `json:"most_attempts"`  // that one operation caused
-	ExtraAttempts      float64 `json:"extra_attempts"` // share of attempts beyond the first of each call
+	MaxAttempts        int     `json:"most_attempts"`  // that one client request caused
+	ExtraAttempts      float64 `json:"extra_attempts"` // share of attempts beyond the first of each request at a sidecar
 	Work               float64 `json:"work"`           // core-seconds that instances began
-	LostWork           float64 `json:"lost_work"`      // share of it whose answer reached no client
+	LostWork           float64 `json:"lost_work"`      // share of Work whose answer reached no client
 
 	Tiers     []Tier     `json:"tiers"`
 	Sidecars  []Sidecar  `json:"sidecars"`
@@ -32,25 +32,25 @@
 	Seconds   []Second   `json:"seconds"`
 }
 
-// Rate is a count and the most of it in one second.
+// Rate is a count and its maximum in one second.
 type Rate struct {
 	Count        int `json:"count"`
 	MaxPerSecond int `json:"most_a_second"`
 }
 
-// Tier is what happened in front of a tier and at its instances.
+// Tier holds the totals of a tier's sidecars and instances.
 type Tier struct {
-	Requests         int     `json:"calls"`    // operations that its sidecars took
+	Requests         int     `json:"calls"`    // that its sidecars received
 	Attempts         int     `json:"attempts"` // that reached its instances
-	Rejected         int     `json:"refused"`  // answered busy by its sidecars
+	Rejected         int     `json:"refused"`  // by its sidecars
 	Failed           int     `json:"failed"`
-	RejectedAttempts int     `json:"turned"` // attempts that instances turned away
+	RejectedAttempts int     `json:"turned"` // by its instances, unprocessed
 	Work             float64 `json:"work"`
 	LostWork         float64 `json:"lost_work"`
-	RejectionSpread  float64 `json:"refusals_spread"` // between its sidecars' shares of refusals, of those with like traffic
+	RejectionSpread  float64 `json:"refusals_spread"` // difference between the largest and smallest share of rejections of its sidecars with similar traffic
 }
 
-// Sidecar is one sidecar beside the others of its tier.
+// Sidecar holds the totals of one sidecar.
 type Sidecar struct {
 	Name     string `json:"name"`
 	Tier     int    `json:"tier"`
@@ -58,23 +58,23 @@
 	Rejected int    `json:"refused"`
 }
 
-// Instance is what all sidecars together did to an instance.
+// Instance is the load on one instance from all sidecars together.
 type Instance struct {
 	Name                 string `json:"name"`
 	Tier                 int    `json:"tier"`
 	Probes               Rate   `json:"probes"`
 	Connections          Rate   `json:"connections"`
-	AttemptsAfterFailure Rate   `json:"trials"` // attempts after one that was not served, up to the next that is
+	AttemptsAfterFailure Rate   `json:"trials"` // attempts after one that was not served, until the next that is served
 	Attempts             Rate   `json:"attempts"`
 }
 
-// Second is one second of a run.
+// Second holds the totals of one second of a run.
 type Second struct {
-	ClientRequests    int     `json:"asked"`   // pieces of business that came
-	Utility           float64 `json:"worth"`   // asked for
-	InTime            float64 `json:"in_time"` // of that worth, served by the aim
+	ClientRequests    int     `json:"asked"`   // intended in this second
+	Utility           float64 `json:"worth"`   // of these requests
+	InTime            float64 `json:"in_time"` // utility of those served within their latency target
 	Classes           []Class `json:"classes"`
-	ClientRetries     int     `json:"repeats"` // tries of clients after the first
+	ClientRetries     int     `json:"repeats"` // attempts of clients after the first
 	Attempts          []int   `json:"attempts"`
 	Rejected          []int   `json:"refused"` // by sidecars, by tier
 	Probes            int     `json:"probes"`
@@ -82,55 +82,57 @@
 	Discovery         int     `json:"discovery"`
 }
 
-// Class is one class's part of a second.
+// Class holds one class's part of a Second.
 type Class struct {
 	Utility float64 `json:"worth"`
 	InTime  float64 `json:"in_time"`
 }
 
-// Of adds up the entries of a run, which are in order of time.
-func Summarize(entries []ledger.Entry, goal ledger.Objective) *Account {
+// Summarize aggregates the entries of a run, which are in order of time.
+func Summarize(entries []ledger.Entry, objective ledger.Objective) *Account {
 	b := &builder{account: &Account{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{}, childRequests: map[uint64][]string{},
 		clientAttempts: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
 	for i := range entries {
 		b.add(&entries[i])
 	}
-	b.addUtility(entries, goal)
+	b.addUtility(entries, objective)
 	return b.finish()
 }
 
-// call is one operation at a sidecar: a client's try, or an instance's call.
+// request is one request at a sidecar, from a client or from an instance.
 type request struct {
 	tier     int
 	attempts []uint64
 	servedBy uint64 // the attempt whose answer the caller got; 0 for none
 }
 
-// attempt is one that reached an instance.
+// attempt is an attempt that reached an instance.
 type attempt struct {
 	tier     int
 	work     float64
-	excluded bool // no work: it was turned away, or the machine was off the network
-	useful   bool
+	excluded bool // counts as no work: the instance rejected it, or its machine was off the network
+	useful   bool // its answer contributed to an answer that a client got
 }
 
+// instance is an Instance under construction.
 type instance struct {
 	Instance
-	lastUnserved bool
-	perSecond    map[[2]int]int // by what and second
+	lastUnserved bool           // the last attempt was not served
+	perSecond    map[[2]int]int // by counter and second
 }
 
+// builder holds the state of Summarize.
 type builder struct {
 	account        *Account
 	requests       map[string]*request
 	attempts       map[uint64]*attempt
-	childRequests  map[uint64][]string // calls that were made for an attempt
-	clientAttempts map[int][]string    // of clients
+	childRequests  map[uint64][]string // by the attempt that they were made for
+	clientAttempts map[int][]string    // by client request
 	instances      map[string]*instance
 	sidecars       map[string]*Sidecar
 }
 
-// What is counted by the second at an instance.
+// Counters of an instance that are kept by the second.
 const (
 	probeCount = iota
 	connectionCount
@@ -153,7 +155,7 @@
 	return &b.account.Seconds[n]
 }
 
-// at counts one in a tier's place.
+// increment adds one to the element of a tier, and extends the list if needed.
 func increment(list *[]int, tier int) {
 	for len(*list) <= tier {
 		*list = append(*list, 0)
@@ -170,8 +172,9 @@
 	return i
 }
 
-func (i *instance) count(r *Rate, what int, at time.Duration) {
-	key := [2]int{what, int(at / time.Second)}
+// count adds one to a rate and updates its maximum per second. The counter is one of the constants above.
+func (i *instance) count(r *Rate, counter int, at time.Duration) {
+	key := [2]int{counter, int(at / time.Second)}
 	i.perSecond[key]++
 	r.Count++
 	r.MaxPerSecond = max(r.MaxPerSecond, i.perSecond[key])
@@ -241,20 +244,20 @@
 	}
 	silent := e.Note == "silent"
 	b.attempts[e.AttemptID] = &attempt{tier: e.Tier, work: e.Work, excluded: silent}
-	c := b.requests[e.ID]
-	if c == nil { // its caller was gone before its word of the request was entered
-		c = &request{tier: e.Tier}
-		b.requests[e.ID] = c
+	r := b.requests[e.ID]
+	if r == nil { // its caller was gone before the request was recorded as sent
+		r = &request{tier: e.Tier}
+		b.requests[e.ID] = r
 	}
-	c.attempts = append(c.attempts, e.AttemptID)
+	r.attempts = append(r.attempts, e.AttemptID)
 	i.lastUnserved = i.lastUnserved || silent
 }
 
 func (b *builder) addEnd(e *ledger.Entry) {
 	i := b.instance(e)
 	i.lastUnserved = e.Outcome != "served"
-	if x := b.attempts[e.AttemptID]; x != nil && e.Outcome == "turned" {
-		x.excluded = true
+	if a := b.attempts[e.AttemptID]; a != nil && e.Outcome == "turned" {
+		a.excluded = true
 		b.tier(e.Tier).RejectedAttempts++
 	}
 }
@@ -262,10 +265,10 @@
 func (b *builder) addAnswer(e *ledger.Entry) {
 	switch {
 	case e.Status == 200:
-		if c := b.requests[e.ID]; c != nil {
-			for _, n := range c.attempts {
-				if attemptFromNote(e.Note) == n {
-					c.servedBy = n
+		if r := b.requests[e.ID]; r != nil {
+			for _, id := range r.attempts {
+				if attemptFromNote(e.Note) == id {
+					r.servedBy = id
 				}
 			}
 		}
@@ -278,50 +281,51 @@
 	}
 }
 
-// tokenOf is the attempt that an answer's note names; 0 for none.
+// attemptFromNote returns the ID of the attempt that an answer's note names; 0 for none.
 func attemptFromNote(note string) uint64 {
 	n, _ := strconv.ParseUint(note[strings.LastIndexByte(note, '/')+1:], 10, 64)
 	return n
 }
 
-// worths counts what clients asked for and got, by the second in which they asked.
-func (b *builder) addUtility(entries []ledger.Entry, goal ledger.Objective) {
+// addUtility adds the utility of all client requests and of those served in time, by the second of their intended time.
+func (b *builder) addUtility(entries []ledger.Entry, objective ledger.Objective) {
 	for _, c := range ledger.ClientRequests(entries) {
-		if c.Attempts == 0 || c.Class >= len(goal.Classes) {
+		if c.Attempts == 0 || c.Class >= len(objective.Classes) {
 			continue
 		}
 		b.account.ClientRequests++
-		s, worth := b.second(c.IntendedAt), goal.Classes[c.Class].Utility
-		if goal.UtilityPerWork {
-			worth *= c.Work
+		s, utility := b.second(c.IntendedAt), objective.Classes[c.Class].Utility
+		if objective.UtilityPerWork {
+			utility *= c.Work
 		}
 		if s.Classes == nil {
-			s.Classes = make([]Class, len(goal.Classes))
+			s.Classes = make([]Class, len(objective.Classes))
 		}
 		s.ClientRequests++
-		s.Utility += worth
-		s.Classes[c.Class].Utility += worth
-		if c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+goal.Classes[c.Class].LatencyTarget {
-			s.InTime += worth
-			s.Classes[c.Class].InTime += worth
+		s.Utility += utility
+		s.Classes[c.Class].Utility += utility
+		if c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+objective.Classes[c.Class].LatencyTarget {
+			s.InTime += utility
+			s.Classes[c.Class].InTime += utility
 		}
 	}
 }
 
-// caused is how many attempts a call has led to, in all tiers; useful marks those that its answer rests on.
+// countAttempts returns how many attempts a request caused in all tiers. If useful is set, it marks those that contributed to
+// the answer.
 func (b *builder) countAttempts(id string, useful bool) int {
-	c := b.requests[id]
-	if c == nil {
+	r := b.requests[id]
+	if r == nil {
 		return 0
 	}
-	n := len(c.attempts)
-	for _, copy := range c.attempts {
-		mine := useful && copy == c.servedBy
-		if mine {
-			b.attempts[copy].useful = true
+	n := len(r.attempts)
+	for _, attemptID := range r.attempts {
+		contributes := useful && attemptID == r.servedBy
+		if contributes {
+			b.attempts[attemptID].useful = true
 		}
-		for _, below := range b.childRequests[copy] {
-			n += b.countAttempts(below, mine)
+		for _, child := range b.childRequests[attemptID] {
+			n += b.countAttempts(child, contributes)
 		}
 	}
 	return n
@@ -346,20 +350,20 @@
 			lost[x.tier] += x.work
 		}
 	}
-	sum, firsts := 0.0, 0
+	totalLost, reached := 0.0, 0
 	for t := range a.Tiers {
 		a.Attempts += a.Tiers[t].Attempts
 		a.Work += a.Tiers[t].Work
-		sum += lost[t]
+		totalLost += lost[t]
 		a.Tiers[t].LostWork = ratio(lost[t], a.Tiers[t].Work)
 	}
-	a.LostWork = ratio(sum, a.Work)
-	for _, c := range b.requests {
-		if len(c.attempts) > 0 {
-			firsts++
+	a.LostWork = ratio(totalLost, a.Work)
+	for _, r := range b.requests {
+		if len(r.attempts) > 0 {
+			reached++
 		}
 	}
-	a.AttemptsPerRequest, a.ExtraAttempts = ratio(float64(a.Attempts), float64(a.ClientRequests)), ratio(float64(a.Attempts-firsts), float64(a.Attempts))
+	a.AttemptsPerRequest, a.ExtraAttempts = ratio(float64(a.Attempts), float64(a.ClientRequests)), ratio(float64(a.Attempts-reached), float64(a.Attempts))
 	for _, s := range b.sidecars {
 		a.Sidecars = append(a.Sidecars, *s)
 	}
@@ -374,23 +378,23 @@
 	return a
 }
 
-// spread is between the highest and the lowest share of refusals among a tier's sidecars that took at least three quarters
-// of what the middle one did, and no more than a third more.
+// rejectionSpread returns the difference between the highest and the lowest share of rejections among a tier's sidecars that
+// received between 3/4 and 4/3 of the median sidecar's requests.
 func rejectionSpread(all []Sidecar, tier int) float64 {
-	var of []Sidecar
+	var inTier []Sidecar
 	for _, s := range all {
 		if s.Tier == tier && s.Requests > 0 {
-			of = append(of, s)
+			inTier = append(inTier, s)
 		}
 	}
-	if len(of) == 0 {
+	if len(inTier) == 0 {
 		return 0
 	}
-	slices.SortFunc(of, func(x, y Sidecar) int { return x.Requests - y.Requests })
-	middle := float64(of[len(of)/2].Requests)
+	slices.SortFunc(inTier, func(x, y Sidecar) int { return x.Requests - y.Requests })
+	median := float64(inTier[len(inTier)/2].Requests)
 	low, high := 1.0, 0.0
-	for _, s := range of {
-		if n := float64(s.Requests); n >= 0.75*middle && n <= 4*middle/3 {
+	for _, s := range inTier {
+		if n := float64(s.Requests); n >= 0.75*median && n <= 4*median/3 {
 			share := float64(s.Rejected) / n
 			low, high = math.Min(low, share), math.Max(high, share)
 		}
@@ -398,40 +402,41 @@
 	return math.Max(high-low, 0)
 }
 
-func ratio(x, of float64) float64 {
-	if of <= 0 {
+// ratio returns part/whole, or 0 if whole is not positive.
+func ratio(part, whole float64) float64 {
+	if whole <= 0 {
 		return 0
 	}
-	return x / of
+	return part / whole
 }
 
-// All is every class.
+// AllClasses stands for every class.
 const AllClasses = -1
 
-// Served is the share of the worth asked for from one time to another that was served in time, of one class or of All; ok
-// is false where nothing was asked for.
+// ServedShare returns the share of the utility of the requests intended between two times that was served in time, for one
+// class or AllClasses; ok is false if there were no requests.
 func (a *Account) ServedShare(class int, from, to time.Duration) (share float64, ok bool) {
-	worth, got := a.sumUtility(class, from, to)
-	return ratio(got, worth), worth > 0
+	offered, achieved := a.sumUtility(class, from, to)
+	return ratio(achieved, offered), offered > 0
 }
 
-// Worth is what was served in time from one time to another, a second.
+// UtilityRate returns the utility per second that was served in time, for requests intended between two times.
 func (a *Account) UtilityRate(from, to time.Duration) float64 {
-	_, got := a.sumUtility(AllClasses, from, to)
-	return ratio(got, (to - from).Seconds())
+	_, achieved := a.sumUtility(AllClasses, from, to)
+	return ratio(achieved, (to - from).Seconds())
 }
 
-func (a *Account) sumUtility(class int, from, to time.Duration) (worth, got float64) {
+func (a *Account) sumUtility(class int, from, to time.Duration) (offered, achieved float64) {
 	for n, s := range a.Seconds {
 		if at := time.Duration(n) * time.Second; at < from || at >= to {
 			continue
 		}
 		switch {
 		case class == AllClasses:
-			worth, got = worth+s.Utility, got+s.InTime
+			offered, achieved = offered+s.Utility, achieved+s.InTime
 		case class < len(s.Classes):
-			worth, got = worth+s.Classes[class].Utility, got+s.Classes[class].InTime
+			offered, achieved = offered+s.Classes[class].Utility, achieved+s.Classes[class].InTime
 		}
 	}
-	return worth, got
+	return offered, achieved
 }
