--- a/internal/lab/count/count_test.go
+++ b/internal/lab/count/count_test.go
@@ -10,7 +10,8 @@
 
 const timePrefix = "time=2026-12-01T12:00:0"
 
-// Two sidecars of one tier; the second has a line that is none of slog's, as of a panic's stack.
+// sidecarLogs are the logs of two sidecars of one tier. The second contains a line that slog did not write, as in the stack
+// trace of a panic.
 var sidecarLogs = []string{
 	timePrefix + "0.000Z level=INFO msg=serving tier=0\n" +
 		timePrefix + "0.100Z level=DEBUG msg=\"discovery is asked\" since=0\n" +
@@ -23,6 +24,7 @@
 		timePrefix + "1.200Z level=WARN msg=\"the watch of discovery has ended\" error=EOF\n",
 }
 
+// writeLogs writes each text as the log of one sidecar into a new folder, which it returns.
 func writeLogs(t *testing.T, texts ...string) string {
 	dir := t.TempDir()
 	for i, text := range texts {
@@ -33,6 +35,7 @@
 	return dir
 }
 
+// The totals of two sidecars by window, by endpoint and by reason of a new connection.
 func TestFleetTotals(t *testing.T) {
 	f, err := Read(writeLogs(t, sidecarLogs...))
 	if err != nil {
@@ -45,17 +48,18 @@
 	}
 	want := Endpoint{Name: "a", FirstSentAt: 500 * time.Millisecond, Sent: 4, OK: 2, MaxInFlight: 3, ByAge: [4]int{0, 2}, LongestFailureRun: 2,
 		FailureRunDuration: 200 * time.Millisecond}
-	if d := f.Endpoints(); len(d) != 1 || *d[0] != want {
-		t.Errorf("destinations %+v, want %+v", *d[0], want)
+	if eps := f.Endpoints(); len(eps) != 1 || *eps[0] != want {
+		t.Errorf("endpoints %+v, want %+v", *eps[0], want)
 	}
-	if o := f.ConnectionOpens(); len(o) != 1 || o[0] != (ConnectionOpens{Attempts: 4, First: 2, Concurrent: 1, Reopened: 1}) {
-		t.Errorf("opened %+v", o)
+	if opens := f.ConnectionOpens(); len(opens) != 1 || opens[0] != (ConnectionOpens{Attempts: 4, First: 2, Concurrent: 1, Reopened: 1}) {
+		t.Errorf("connections opened %+v, want 2 first, 1 concurrent, 1 reopened of 4 attempts", opens)
 	}
 	if got := f.SlowShare(0, 1.2); got != 0.5 {
-		t.Errorf("%v of the served attempts are slow, want a half", got)
+		t.Errorf("slow share %v of the served attempts, want 0.5", got)
 	}
 }
 
+// Logs that cannot be parsed, or that are not of debug level, are errors.
 func TestBadLogs(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                  "debug",
@@ -65,10 +69,10 @@
 		strings.Replace(sidecarLogs[0], "1.500Z", "x", 1):          "line 3: time",
 	} {
 		if _, err := Read(writeLogs(t, text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("log %q: error %v, want one with %q", text, err, want)
 		}
 	}
 	if _, err := Read(t.TempDir()); err == nil {
-		t.Error("an empty folder was counted")
+		t.Error("an empty folder was read without an error")
 	}
 }
--- a/internal/lab/count/read.go
+++ b/internal/lab/count/read.go
@@ -1,5 +1,5 @@
-// Package count adds up what the sidecars of a fleet did together, from the lines that they log at debug level. What one
-// sidecar does may be fine alone and hurt when all do it: only the sum shows that.
+// Package count aggregates what the sidecars of a fleet did together, from the lines that they log at debug level. Behaviour
+// that is harmless in one sidecar may do harm when all sidecars show it, which only the totals reveal.
 package count
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Attempt is one attempt of one sidecar. Its times count from the fleet's first line.
+// Attempt is one attempt of one sidecar. Its times count from the first log line of the fleet.
 type Attempt struct {
 	Sidecar, Tier, Class, Number int
 	Endpoint, Status             string
 	SentAt, EndedAt              time.Duration
-	Age                          time.Duration // of the destination when it was sent; 0 for long ago
-	OpenedConnection             bool          // a connection was opened for it
+	Age                          time.Duration // of the endpoint when the attempt was sent; 0 if it started long ago
+	OpenedConnection             bool          // a new connection was opened for the attempt
 }
 
-// Answer is one final answer of one sidecar.
+// Answer is one final answer of one sidecar. ReceivedAt is when the sidecar received the request.
 type Answer struct {
 	Tier        int
 	Verdict     string
@@ -32,14 +32,14 @@
 	ReceivedAt  time.Duration
 }
 
-// Call is a question to discovery, or the end of a watch.
+// DiscoveryEvent is a call to discovery, or the end of a watch if WatchEnded is set.
 type DiscoveryEvent struct {
 	Tier       int
 	At         time.Duration
 	WatchEnded bool
 }
 
-// Fleet is what the sidecars of a fleet logged.
+// Fleet holds what the sidecars of a fleet logged.
 type Fleet struct {
 	Sidecars        map[int]int // by tier
 	Attempts        []Attempt   // by the time they were sent
@@ -47,15 +47,15 @@
 	DiscoveryEvents []DiscoveryEvent
 }
 
-// Read reads the logs of a folder, one file for each sidecar; all are of one clock. It fails where there is none, where
-// one cannot be read (with file and line), and where none is of debug level.
+// Read reads the logs of a folder, one file for each sidecar; their times must be of the same clock. It fails if there is no
+// log, if one cannot be parsed (the error names file and line), and if none holds lines of debug level.
 func Read(dir string) (*Fleet, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s holds no sidecar's log (*.log)", dir)
+		return nil, fmt.Errorf("no sidecar logs (*.log) in %s", dir)
 	}
 	f := &Fleet{Sidecars: map[int]int{}}
 	start := time.Duration(1<<63 - 1)
@@ -72,7 +72,7 @@
 		start = min(start, first)
 	}
 	if len(f.Attempts)+len(f.Answers) == 0 {
-		return nil, errors.New("the logs name no attempts: start the sidecars with --log-level debug")
+		return nil, errors.New("the logs contain no attempts: start the sidecars with --log-level debug")
 	}
 	for i := range f.Attempts {
 		f.Attempts[i].SentAt -= start
@@ -88,35 +88,35 @@
 	return f, nil
 }
 
-// add takes one sidecar's log, and returns the time of its first line. Lines of other messages are passed over.
+// addLog adds one sidecar's log and returns the time of its first line. Lines with other messages are skipped.
 func (f *Fleet) addLog(sidecar int, text io.Reader) (first time.Duration, err error) {
 	first = 1<<63 - 1
 	lines := logfmt.NewDecoder(text)
 	tier := -1
 	for n := 1; lines.ScanRecord(); n++ {
-		l := record{}
+		rec := record{}
 		for lines.ScanKeyval() {
-			l[string(lines.Key())] = string(lines.Value())
+			rec[string(lines.Key())] = string(lines.Value())
 		}
 		if lines.Err() != nil {
 			break
 		}
-		r := recordReader{record: l}
+		r := recordReader{record: rec}
 		at := r.timestamp()
-		switch l["msg"] {
+		switch rec["msg"] {
 		case "serving":
 			tier = r.intValue("tier")
 			f.Sidecars[tier]++
 		case "attempt":
 			took := r.durationValue("took")
 			f.Attempts = append(f.Attempts, Attempt{Sidecar: sidecar, Tier: tier, Class: r.intValue("class"),
-				Number: r.intValue("attempt"), Endpoint: l["destination"], Status: l["status"], SentAt: at - took, EndedAt: at,
-				Age: max(r.durationValue("age")-took, 0), OpenedConnection: l["opened"] == "true"})
+				Number: r.intValue("attempt"), Endpoint: rec["destination"], Status: rec["status"], SentAt: at - took, EndedAt: at,
+				Age: max(r.durationValue("age")-took, 0), OpenedConnection: rec["opened"] == "true"})
 		case "answer":
-			f.Answers = append(f.Answers, Answer{Tier: tier, Verdict: l["verdict"], ClientRetry: l["repeat"] == "true",
+			f.Answers = append(f.Answers, Answer{Tier: tier, Verdict: rec["verdict"], ClientRetry: rec["repeat"] == "true",
 				ReceivedAt: at - r.durationValue("took")})
 		case discoveryCallMsg, watchEndedMsg:
-			f.DiscoveryEvents = append(f.DiscoveryEvents, DiscoveryEvent{Tier: tier, At: at, WatchEnded: l["msg"] == watchEndedMsg})
+			f.DiscoveryEvents = append(f.DiscoveryEvents, DiscoveryEvent{Tier: tier, At: at, WatchEnded: rec["msg"] == watchEndedMsg})
 		}
 		if r.err != nil {
 			return first, fmt.Errorf("line %d: %w", n, r.err)
@@ -128,15 +128,16 @@
 	return first, lines.Err()
 }
 
-// The sidecar's words for its calls to discovery.
+// Messages that a sidecar logs about its calls to discovery.
 const (
 	discoveryCallMsg = "discovery is asked"
 	watchEndedMsg    = "the watch of discovery has ended"
 )
 
+// record holds the values of one log line by key.
 type record map[string]string
 
-// reader reads a line's values and keeps the first error.
+// recordReader parses the values of a record and keeps the first error.
 type recordReader struct {
 	record
 	err error
@@ -160,7 +161,7 @@
 	return d
 }
 
-// clock is a line's time, 0 for a line that has none: a stack of a panic, say.
+// timestamp returns the time of a line, or 0 for a line without one, such as a line of a panic's stack trace.
 func (r *recordReader) timestamp() time.Duration {
 	if r.record["time"] == "" {
 		return 0
--- a/internal/lab/count/tally.go
+++ b/internal/lab/count/tally.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Window is what all sidecars of one tier did in one stretch of time. Operations and attempts count where they began.
+// Window holds the totals of all sidecars of one tier in one interval of time. Requests and attempts count in the interval in
+// which they began.
 type Window struct {
 	Tier                         int
 	From                         time.Duration
 	Requests                     int
-	ClientRetries                int            // operations that clients marked as repeats
-	Verdicts                     map[string]int // final answers
-	Attempts, Retries            int            // attempts, and those that were not an operation's first
-	Statuses                     map[string]int // how attempts ended
-	ConnectionsOpened            int            // connections opened
-	DiscoveryCalls, WatchesEnded int            // calls to discovery, and watches that ended
+	ClientRetries                int            // requests that clients marked as retries
+	Verdicts                     map[string]int // final answers, by verdict
+	Attempts, Retries            int            // attempts, and those that were not the first of a request
+	Statuses                     map[string]int // ends of attempts, by status
+	ConnectionsOpened            int
+	DiscoveryCalls, WatchesEnded int // calls to discovery, and watches of it that ended
 }
 
-// Windows adds up a fleet's doings in stretches of a length, by tier and time.
+// Windows returns the totals of a fleet in intervals of the given length, by tier and time.
 func (f *Fleet) Windows(length time.Duration) []*Window {
-	type place struct{ tier, n int }
-	all := map[place]*Window{}
+	type key struct{ tier, n int }
+	all := map[key]*Window{}
 	at := func(tier int, t time.Duration) *Window {
-		p := place{tier, int(max(t, 0) / length)}
-		if all[p] == nil {
-			all[p] = &Window{Tier: tier, From: time.Duration(p.n) * length, Verdicts: map[string]int{}, Statuses: map[string]int{}}
+		k := key{tier, int(max(t, 0) / length)}
+		if all[k] == nil {
+			all[k] = &Window{Tier: tier, From: time.Duration(k.n) * length, Verdicts: map[string]int{}, Statuses: map[string]int{}}
 		}
-		return all[p]
+		return all[k]
 	}
 	for _, a := range f.Answers {
 		w := at(a.Tier, a.ReceivedAt)
@@ -49,11 +50,11 @@
 			w.ConnectionsOpened++
 		}
 	}
-	for _, c := range f.DiscoveryEvents {
-		if c.WatchEnded {
-			at(c.Tier, c.At).WatchesEnded++
+	for _, e := range f.DiscoveryEvents {
+		if e.WatchEnded {
+			at(e.Tier, e.At).WatchesEnded++
 		} else {
-			at(c.Tier, c.At).DiscoveryCalls++
+			at(e.Tier, e.At).DiscoveryCalls++
 		}
 	}
 	out := make([]*Window, 0, len(all))
@@ -66,80 +67,81 @@
 	return out
 }
 
-// Ages are the bounds of the bands of age that sends to a destination are counted by; the last band has none.
+// AgeBounds are the upper bounds of the age bands by which attempts at an endpoint are counted. Older attempts are not
+// counted by age.
 var AgeBounds = [...]time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second}
 
-// Destination is what one destination got from all sidecars together.
+// Endpoint holds the totals of one endpoint over all sidecars.
 type Endpoint struct {
 	Tier               int
 	Name               string
 	Sent, OK           int
-	MaxInFlight        int                 // attempts out at once
-	ByAge              [len(AgeBounds)]int // sends by its age, none where it is old or its start is not known
-	LongestFailureRun  int                 // the most attempts in a row, by when they were sent, that were not served
-	FailureRunDuration time.Duration       // from the first of these sends to the last
+	MaxInFlight        int                 // maximum of attempts in flight at once
+	ByAge              [len(AgeBounds)]int // attempts by the age of the endpoint, without those at an old endpoint or one whose start is not known
+	LongestFailureRun  int                 // maximum of consecutive attempts, by the time they were sent, that were not served
+	FailureRunDuration time.Duration       // from the first of these attempts to the last, by the time they were sent
 	FirstSentAt        time.Duration
 }
 
-// Destinations adds up what each destination got, by tier and by when it first got something.
+// Endpoints returns the totals of each endpoint, by tier and by the time of its first attempt.
 func (f *Fleet) Endpoints() []*Endpoint {
 	all := map[string]*Endpoint{}
-	ends := map[string][]time.Duration{} // of attempts out, by destination
-	type run struct {
+	ends := map[string][]time.Duration{} // ends of the attempts in flight, by endpoint
+	type run struct {                    // of attempts that were not served
 		n    int
 		from time.Duration
 	}
 	runs := map[string]run{}
 	var out []*Endpoint
 	for _, a := range f.Attempts { // in the order they were sent
-		d := all[a.Endpoint]
-		if d == nil {
-			d = &Endpoint{Tier: a.Tier, Name: a.Endpoint, FirstSentAt: a.SentAt}
-			all[a.Endpoint] = d
-			out = append(out, d)
+		ep := all[a.Endpoint]
+		if ep == nil {
+			ep = &Endpoint{Tier: a.Tier, Name: a.Endpoint, FirstSentAt: a.SentAt}
+			all[a.Endpoint] = ep
+			out = append(out, ep)
 		}
-		d.Sent++
+		ep.Sent++
 		if a.Age > 0 {
-			if band := slices.IndexFunc(AgeBounds[:], func(most time.Duration) bool { return a.Age < most }); band >= 0 {
-				d.ByAge[band]++
+			if band := slices.IndexFunc(AgeBounds[:], func(bound time.Duration) bool { return a.Age < bound }); band >= 0 {
+				ep.ByAge[band]++
 			}
 		}
-		still := append(slices.DeleteFunc(ends[d.Name], func(t time.Duration) bool { return t <= a.SentAt }), a.EndedAt)
-		ends[d.Name], d.MaxInFlight = still, max(d.MaxInFlight, len(still))
+		inFlight := append(slices.DeleteFunc(ends[ep.Name], func(t time.Duration) bool { return t <= a.SentAt }), a.EndedAt)
+		ends[ep.Name], ep.MaxInFlight = inFlight, max(ep.MaxInFlight, len(inFlight))
 		if a.Status == "ok" {
-			d.OK++
-			delete(runs, d.Name)
+			ep.OK++
+			delete(runs, ep.Name)
 			continue
 		}
-		r := runs[d.Name]
+		r := runs[ep.Name]
 		if r.n == 0 {
 			r.from = a.SentAt
 		}
 		r.n++
-		runs[d.Name] = r
-		if r.n > d.LongestFailureRun {
-			d.LongestFailureRun, d.FailureRunDuration = r.n, a.SentAt-r.from
+		runs[ep.Name] = r
+		if r.n > ep.LongestFailureRun {
+			ep.LongestFailureRun, ep.FailureRunDuration = r.n, a.SentAt-r.from
 		}
 	}
 	slices.SortStableFunc(out, func(x, y *Endpoint) int { return cmp.Compare(x.Tier, y.Tier) })
 	return out
 }
 
-// Opens tells why a tier's connections were opened.
+// ConnectionOpens counts the connections that a tier's sidecars opened, by reason.
 type ConnectionOpens struct {
 	Tier, Attempts int
-	First          int // a sidecar's first to the destination
-	Concurrent     int // another attempt of the sidecar was out there
-	Reopened       int // it had one before, and none was in use: it was closed, or had been too short a time at rest
+	First          int // the first of a sidecar to the endpoint
+	Concurrent     int // another attempt of the sidecar was in flight there
+	Reopened       int // the sidecar had opened one before, and none was in use: it was closed, or had not been idle for long enough
 }
 
-// Opens adds up the connections that were opened, by tier.
+// ConnectionOpens returns the counts of opened connections by tier.
 func (f *Fleet) ConnectionOpens() []ConnectionOpens {
 	type pair struct {
-		sidecar     int
-		destination string
+		sidecar  int
+		endpoint string
 	}
-	met, until := map[pair]bool{}, map[pair]time.Duration{}
+	opened, busyUntil := map[pair]bool{}, map[pair]time.Duration{}
 	all := map[int]*ConnectionOpens{}
 	for _, a := range f.Attempts {
 		o := all[a.Tier]
@@ -151,14 +153,14 @@
 		p := pair{a.Sidecar, a.Endpoint}
 		switch {
 		case !a.OpenedConnection:
-		case !met[p]:
+		case !opened[p]:
 			o.First++
-		case until[p] > a.SentAt:
+		case busyUntil[p] > a.SentAt:
 			o.Concurrent++
 		default:
 			o.Reopened++
 		}
-		met[p], until[p] = met[p] || a.OpenedConnection, max(until[p], a.EndedAt)
+		opened[p], busyUntil[p] = opened[p] || a.OpenedConnection, max(busyUntil[p], a.EndedAt)
 	}
 	var out []ConnectionOpens
 	for _, o := range all {
@@ -168,9 +170,9 @@
 	return out
 }
 
-// SlowShare is the share of a tier's served attempts that took over so many times the mean of their class: what a sidecar
-// that doubts a server from there on doubts for nothing.
-func (f *Fleet) SlowShare(tier int, times float64) float64 {
+// SlowShare returns the share of a tier's served attempts that took longer than a multiple of the mean of their class: the
+// false alarms of a sidecar that suspects an endpoint from this multiple on.
+func (f *Fleet) SlowShare(tier int, multiple float64) float64 {
 	sum, n := map[int]time.Duration{}, map[int]int{}
 	served := func(yield func(Attempt)) {
 		for _, a := range f.Attempts {
@@ -180,12 +182,12 @@
 		}
 	}
 	served(func(a Attempt) { sum[a.Class] += a.EndedAt - a.SentAt; n[a.Class]++ })
-	slow, all := 0, 0
+	slow, total := 0, 0
 	served(func(a Attempt) {
-		all++
-		if float64(a.EndedAt-a.SentAt) > times*float64(sum[a.Class])/float64(n[a.Class]) {
+		total++
+		if float64(a.EndedAt-a.SentAt) > multiple*float64(sum[a.Class])/float64(n[a.Class]) {
 			slow++
 		}
 	})
-	return float64(slow) / float64(max(all, 1))
+	return float64(slow) / float64(max(total, 1))
 }
