--- a/internal/lab/results/compare.go
+++ b/internal/lab/results/compare.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Figure is one figure of a summary that runs are compared by.
+// Metric is one value of a summary by which runs are compared.
 type Metric struct {
 	Name      string
 	Value     func(*Summary) float64
-	Direction int // 1: more is better; -1: less
+	Direction int // 1: higher is better; -1: lower is better
 }
 
-// RunFigures are the figures of runs of the emulator; LoadFigures those of load runs.
+// RunMetrics are the metrics of runs of the emulator, LoadMetrics those of load runs.
 var (
 	RunMetrics = []Metric{
 		{"service", func(s *Summary) float64 { return s.Service.Service }, 1},
@@ -42,17 +42,17 @@
 	}
 )
 
-// Difference is one row of a comparison: the means of both sides, and the mean of the differences with their standard
+// Difference is one row of a comparison: the means of both sides, and the mean of the differences B - A with its standard
 // error over the pairs.
 type Difference struct {
 	Metric                 string
 	MeanA, MeanB           float64
 	MeanDifference, StdErr float64
 	Pairs                  int
-	Better                 int // of B: 1 better, -1 worse, 0 not told apart at 5%, as with one pair
+	Better                 int // of B: 1 better, -1 worse, 0 no significant difference at the 5% level, as always with one pair
 }
 
-// Find gathers the summaries under a folder: its own, or those of the folders in it.
+// FindSummaries reads the summaries in a folder and all folders below it.
 func FindSummaries(dir string) ([]*Summary, error) {
 	var out []*Summary
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -69,12 +69,12 @@
 		return nil
 	})
 	if err == nil && len(out) == 0 {
-		err = fmt.Errorf("%s holds no run", dir)
+		err = fmt.Errorf("no run in %s", dir)
 	}
 	return out, err
 }
 
-// Compare pairs the runs of two sides by kind, name and seed, in their order, and compares each figure.
+// Compare pairs the runs of two sides by kind, name and seed, in their order, and compares each metric.
 func Compare(a, b []*Summary) ([]Difference, error) {
 	key := func(s *Summary) string {
 		name := s.Name
@@ -83,45 +83,45 @@
 		}
 		return fmt.Sprintf("%s %s %d", s.Kind, name, s.Seed)
 	}
-	rest := map[string][]*Summary{}
+	unpaired := map[string][]*Summary{}
 	for _, s := range b {
-		rest[key(s)] = append(rest[key(s)], s)
+		unpaired[key(s)] = append(unpaired[key(s)], s)
 	}
 	var pairs [][2]*Summary
 	for _, s := range a {
-		if o := rest[key(s)]; len(o) > 0 {
+		if o := unpaired[key(s)]; len(o) > 0 {
 			pairs = append(pairs, [2]*Summary{s, o[0]})
-			rest[key(s)] = o[1:]
+			unpaired[key(s)] = o[1:]
 		}
 	}
 	if len(pairs) == 0 {
-		return nil, fmt.Errorf("no run of one side has the kind, scenario and seed of one of the other")
+		return nil, fmt.Errorf("no run of one side matches a run of the other in kind, scenario and seed")
 	}
 	sort.SliceStable(pairs, func(i, j int) bool { return pairs[i][0].Seed < pairs[j][0].Seed })
-	figures := RunMetrics
+	metrics := RunMetrics
 	if pairs[0][0].Kind == "load" {
-		figures = LoadMetrics
+		metrics = LoadMetrics
 	}
 	var out []Difference
-	for _, f := range figures {
-		d := Difference{Metric: f.Name, Pairs: len(pairs)}
+	for _, m := range metrics {
+		d := Difference{Metric: m.Name, Pairs: len(pairs)}
 		n, squares := float64(len(pairs)), 0.0
 		for _, p := range pairs {
-			x, y := f.Value(p[0]), f.Value(p[1])
+			x, y := m.Value(p[0]), m.Value(p[1])
 			d.MeanA, d.MeanB, d.MeanDifference = d.MeanA+x/n, d.MeanB+y/n, d.MeanDifference+(y-x)/n
 		}
 		for _, p := range pairs {
-			off := f.Value(p[1]) - f.Value(p[0]) - d.MeanDifference
-			squares += off * off
+			deviation := m.Value(p[1]) - m.Value(p[0]) - d.MeanDifference
+			squares += deviation * deviation
 		}
 		if len(pairs) > 1 {
 			d.StdErr = math.Sqrt(squares / (n - 1) / n)
-			// With few pairs the error itself is known badly: Student's t for a two-sided 5%.
+			// With few pairs the standard error is itself uncertain: Student's t for a two-sided 5%.
 			bound := distuv.StudentsT{Sigma: 1, Nu: n - 1}.Quantile(0.975)
 			if math.Abs(d.MeanDifference) > bound*d.StdErr && d.MeanDifference != 0 {
-				d.Better = f.Direction
+				d.Better = m.Direction
 				if d.MeanDifference < 0 {
-					d.Better = -f.Direction
+					d.Better = -m.Direction
 				}
 			}
 		}
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -1,5 +1,5 @@
-// Package results keeps what a run of the lab left: a folder with the scenario as run, the figures, the series, the
-// histogram, the ledger and its verdict.
+// Package results writes and reads the folder of a lab run: the scenario as run, the summary, the time series, the latency
+// histogram, the ledger and the violations found in it.
 package results
 
 import (
@@ -24,7 +24,7 @@
 	"kitewood/internal/release"
 )
 
-// The files of a folder.
+// The files of a result folder.
 const (
 	SummaryFile   = "summary.json"
 	ScenarioFile  = "scenario.yaml"
@@ -36,7 +36,7 @@
 	ReportFile    = "report.html"
 )
 
-// Machine is where a run was made.
+// Machine describes the machine of a run.
 type Machine struct {
 	OS     string `json:"os"`
 	Arch   string `json:"arch"`
@@ -46,11 +46,11 @@
 	Go     string `json:"go"`
 }
 
-// Processes is what the sidecars used.
+// Processes is the CPU and memory use of the sidecars.
 type Processes struct {
 	Count               int     `json:"count"`
-	IdleMB              float64 `json:"rest_mb"` // mean, once ready
-	PeakMB              float64 `json:"peak_mb"` // of the one that took most
+	IdleMB              float64 `json:"rest_mb"` // mean of all sidecars, once ready and idle
+	PeakMB              float64 `json:"peak_mb"` // maximum of all sidecars
 	CPUMicrosPerRequest float64 `json:"cpu_us_per_operation"`
 	FirstTierPeakMB     float64 `json:"first_tier_peak_mb"`
 	FirstTierCPUMicros  float64 `json:"first_tier_cpu_us_per_operation"`
@@ -69,12 +69,12 @@
 	DurationS      float64         `json:"took_s"`
 	CutShort       bool            `json:"cut_short"`
 	Service        *ledger.Service `json:"service,omitempty"`
-	RuleViolations map[string]int  `json:"rules,omitempty"` // how often each was broken
+	RuleViolations map[string]int  `json:"rules,omitempty"` // violations by rule
 	Processes      *Processes      `json:"processes,omitempty"`
 	load.Summary
 }
 
-// Broken is how many rules were broken in all.
+// Violations returns the number of violations of all rules.
 func (s *Summary) Violations() int {
 	n := 0
 	for _, k := range s.RuleViolations {
@@ -83,7 +83,7 @@
 	return n
 }
 
-// Head fills in what every summary has.
+// NewSummary returns a summary with the fields that every kind of run has.
 func NewSummary(kind, name string, seed uint64, started time.Time) Summary {
 	s := Summary{Kind: kind, Name: name, Seed: seed, Version: release.Version, Revision: release.Revision(), Started: started.UTC(),
 		DurationS: time.Since(started).Seconds(), Machine: hostMachine()}
@@ -107,20 +107,20 @@
 	return m
 }
 
-// Folder makes the folder of a run; it must not hold one already.
+// CreateDir creates the folder of a run, with a generated name if out is empty. It fails if the folder already holds a run.
 func CreateDir(out, name string, seed uint64, now time.Time) (string, error) {
 	if out == "" {
 		out = filepath.Join("lab-results", fmt.Sprintf("%s-seed%d-%s", name, seed, now.Format("20060102T150405.000")))
 	}
 	if _, err := os.Stat(filepath.Join(out, SummaryFile)); err == nil {
-		return "", fmt.Errorf("%s holds a run already", out)
+		return "", fmt.Errorf("%s already holds a run", out)
 	}
 	return out, os.MkdirAll(out, 0o755)
 }
 
-// KeepRun judges a run of the emulator by some rules, writes its folder and gives back the summary and the broken rules.
+// WriteRun checks a run of the emulator against the rules, writes its folder, and returns the summary and the violations.
 func WriteRun(dir string, s *scenario.Scenario, rules ledger.Rules, head Summary, r *emulator.Result) (*Summary, []ledger.Violation, error) {
-	breaches := ledger.FindViolations(r.Entries, rules)
+	violations := ledger.FindViolations(r.Entries, rules)
 	service := ledger.MeasureService(r.Entries, s.Served())
 	rec := RecordLatencies(r.Entries)
 	sum := head
@@ -130,8 +130,8 @@
 	for _, name := range ledger.RuleNames {
 		sum.RuleViolations[name] = 0
 	}
-	for _, b := range breaches {
-		sum.RuleViolations[b.Rule]++
+	for _, v := range violations {
+		sum.RuleViolations[v.Rule]++
 	}
 	sum.Processes = processUsage(r)
 	text, err := yaml.Marshal(s)
@@ -140,21 +140,21 @@
 	}
 	err = errors.Join(
 		os.WriteFile(filepath.Join(dir, ScenarioFile), text, 0o644),
-		writeJSON(dir, SummaryFile, sum), writeJSON(dir, VerdictFile, breaches),
+		writeJSON(dir, SummaryFile, sum), writeJSON(dir, VerdictFile, violations),
 		writeLines(dir, SecondsFile, rec.Seconds()), writeLines(dir, SamplesFile, r.Samples),
 		writeHistogram(dir, rec, head.Started), writeLedger(dir, r.Entries),
 	)
-	return &sum, breaches, err
+	return &sum, violations, err
 }
 
-// KeepLoad writes the folder of a load run.
+// WriteLoad writes the folder of a load run.
 func WriteLoad(dir string, sum Summary, rec *load.Recorder) error {
 	return errors.Join(writeJSON(dir, SummaryFile, sum), writeLines(dir, SecondsFile, rec.Seconds()),
 		writeHistogram(dir, rec, sum.Started))
 }
 
-// Latencies records the clients' business of a ledger: from the time a client meant to ask until it was served, or until
-// its last try ended.
+// RecordLatencies records the latencies of the client requests of a ledger: from the intended time until the request was
+// served, or until its last attempt ended.
 func RecordLatencies(entries []ledger.Entry) *load.Recorder {
 	rec := load.NewRecorder()
 	for _, c := range ledger.ClientRequests(entries) {
@@ -176,27 +176,27 @@
 
 func processUsage(r *emulator.Result) *Processes {
 	p := &Processes{Count: len(r.Processes)}
-	cpu, first := 0.0, 0.0
+	cpu, firstTierCPU := 0.0, 0.0
 	for _, x := range r.Processes {
 		p.IdleMB += x.IdleMB / float64(len(r.Processes))
 		p.PeakMB = max(p.PeakMB, x.PeakMB)
 		cpu += x.CPUSecond
 		if x.Tier == 0 {
 			p.FirstTierPeakMB = max(p.FirstTierPeakMB, x.PeakMB)
-			first += x.CPUSecond
+			firstTierCPU += x.CPUSecond
 		}
 	}
-	calls, firstCalls := 0, 0
+	requests, firstTierRequests := 0, 0
 	for i := range r.Entries {
 		if r.Entries[i].Kind == ledger.RequestSent {
-			calls++
+			requests++
 			if r.Entries[i].Tier == 0 {
-				firstCalls++
+				firstTierRequests++
 			}
 		}
 	}
-	if calls > 0 && firstCalls > 0 {
-		p.CPUMicrosPerRequest, p.FirstTierCPUMicros = cpu*1e6/float64(calls), first*1e6/float64(firstCalls)
+	if requests > 0 && firstTierRequests > 0 {
+		p.CPUMicrosPerRequest, p.FirstTierCPUMicros = cpu*1e6/float64(requests), firstTierCPU*1e6/float64(firstTierRequests)
 	}
 	return p
 }
@@ -234,7 +234,7 @@
 	return ledger.Write(f, entries)
 }
 
-// keepHistogram writes the latencies as a HdrHistogram log of one interval, in microseconds.
+// writeHistogram writes the latencies as an HdrHistogram log of one interval, in microseconds.
 func writeHistogram(dir string, rec *load.Recorder, started time.Time) error {
 	f, err := os.Create(filepath.Join(dir, HistogramFile))
 	if err != nil {
@@ -253,7 +253,7 @@
 	return w.OutputIntervalHistogram(h)
 }
 
-// Load reads the summary of a folder.
+// ReadSummary reads the summary of a folder.
 func ReadSummary(dir string) (*Summary, error) {
 	text, err := os.ReadFile(filepath.Join(dir, SummaryFile))
 	if err != nil {
@@ -266,7 +266,7 @@
 	return &s, nil
 }
 
-// Lines reads a file of JSON lines of a folder.
+// ReadLines reads a file of JSON lines of a folder.
 func ReadLines[T any](dir, name string) ([]T, error) {
 	f, err := os.Open(filepath.Join(dir, name))
 	if err != nil {
@@ -284,7 +284,7 @@
 	return out, nil
 }
 
-// Breaches reads the verdict of a folder.
+// ReadViolations reads the violations of a folder.
 func ReadViolations(dir string) ([]ledger.Violation, error) {
 	text, err := os.ReadFile(filepath.Join(dir, VerdictFile))
 	if err != nil {
@@ -294,7 +294,7 @@
 	return out, json.Unmarshal(text, &out)
 }
 
-// Histogram reads the latencies of a folder.
+// ReadHistogram reads the latency histogram of a folder.
 func ReadHistogram(dir string) (*hdrhistogram.Histogram, error) {
 	f, err := os.Open(filepath.Join(dir, HistogramFile))
 	if err != nil {
@@ -303,7 +303,7 @@
 	defer f.Close()
 	h, err := hdrhistogram.NewHistogramLogReader(f).NextIntervalHistogram()
 	if err == nil && h == nil {
-		err = fmt.Errorf("%s holds no histogram", filepath.Join(dir, HistogramFile))
+		err = fmt.Errorf("no histogram in %s", filepath.Join(dir, HistogramFile))
 	}
 	return h, err
 }
--- a/internal/lab/results/table.go
+++ b/internal/lab/results/table.go
@@ -6,13 +6,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Table gathers the summaries of runs by what was played and by what played it.
+// Table groups the summaries of runs by scenario and policy.
 type Table struct {
-	Scenarios, Policies []string // in the order in which they came
+	Scenarios, Policies []string // in the order in which they were added
 	runs                map[[2]string][]*Summary
 }
 
-// Add takes a run.
+// Add adds a run.
 func (t *Table) Add(scenario, policy string, s *Summary) {
 	if t.runs == nil {
 		t.runs = map[[2]string][]*Summary{}
@@ -27,11 +27,11 @@
 	t.runs[key] = append(t.runs[key], s)
 }
 
-// Mean is the mean of a figure over the runs of a cell and its standard error, 0 for one run.
-func (t *Table) Mean(scenario, policy string, of func(*Summary) float64) (mean, err float64) {
+// Mean returns the mean of a metric over the runs of a cell and its standard error, 0 for one run.
+func (t *Table) Mean(scenario, policy string, metric func(*Summary) float64) (mean, err float64) {
 	var all []float64
 	for _, s := range t.runs[[2]string{scenario, policy}] {
-		all = append(all, of(s))
+		all = append(all, metric(s))
 	}
 	if len(all) < 2 {
 		return stat.Mean(all, nil), 0
@@ -40,7 +40,7 @@
 	return mean, stat.StdErr(sd, float64(len(all)))
 }
 
-// Rules are how often each rule was broken over the runs of a cell.
+// Violations returns the number of violations of each rule over the runs of a cell.
 func (t *Table) Violations(scenario, policy string) map[string]int {
 	out := map[string]int{}
 	for _, s := range t.runs[[2]string{scenario, policy}] {
