--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -47,7 +47,7 @@
 	RejectedAttempts int     `json:"turned"` // by its instances, unprocessed
 	Work             float64 `json:"work"`
 	LostWork         float64 `json:"lost_work"`
-	RejectionSpread  float64 `json:"refusals_spread"` // difference between the largest and smallest share of rejections of its sidecars with similar traffic
+	RejectionSpread  float64 `json:"refusals_spread"` // see rejectionSpread
 }
 
 // Sidecar holds the totals of one sidecar.
--- a/internal/lab/count/tally.go
+++ b/internal/lab/count/tally.go
@@ -77,7 +77,7 @@
 	Name               string
 	Sent, OK           int
 	MaxInFlight        int                 // maximum of attempts in flight at once
-	ByAge              [len(AgeBounds)]int // attempts by the age of the endpoint, without those at an old endpoint or one whose start is not known
+	ByAge              [len(AgeBounds)]int // attempts by the age of the endpoint, if it is known and within AgeBounds
 	LongestFailureRun  int                 // maximum of consecutive attempts, by the time they were sent, that were not served
 	FailureRunDuration time.Duration       // from the first of these attempts to the last, by the time they were sent
 	FirstSentAt        time.Duration
--- a/internal/lab/ledger/rules.go
+++ b/internal/lab/ledger/rules.go
@@ -13,7 +13,7 @@
 type Rules struct {
 	RetrySafe      []bool        // by class: requests that may have run may be retried
 	Slack          time.Duration // added to every time limit
-	DrainGrace     time.Duration // how long attempts may still begin at an instance after its sidecar was notified that it drains or is gone
+	DrainGrace     time.Duration // for attempts that begin after the sidecar was notified that the instance drains or is gone
 	NotifiedWithin time.Duration // a published change counts as delivered to all sidecars after this; 0 for never
 	SlowStart      []SlowStart   // by tier
 }
@@ -41,9 +41,11 @@
 )
 
 // RuleNames lists all rules in the order of the tables.
-var RuleNames = []string{RuleOneAnswer, RuleNoUnsafeRetry, RuleNoConcurrentAttempts, RuleDrain, RuleSlowStart, RuleNoCrash, RuleClientGone, RuleTimeLeft, RuleOwnCheck}
+var RuleNames = []string{RuleOneAnswer, RuleNoUnsafeRetry, RuleNoConcurrentAttempts, RuleDrain, RuleSlowStart, RuleNoCrash,
+	RuleClientGone, RuleTimeLeft, RuleOwnCheck}
 
-// Violation is one violation of a rule. Entries holds the entries of the request concerned, if kept.
+// Violation is one violation of a rule. Entries holds the entries that show it, for the first MaxDetailedViolations of a
+// rule.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
