--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -234,7 +234,7 @@
 	defer g.Stop()
 	for _, delta := range []bool{false, true} {
 		table := proxy.NewTable()
-		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
+		client := &proxy.Client{NodeID: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
 		go client.Run(ctx)
 		testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 		picked := func() map[string]bool {
@@ -255,7 +255,7 @@
 		testkit.WaitUntil(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
 		testkit.WaitUntil(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
-		if table.Emptied() != 0 {
+		if table.EmptiedCount() != 0 {
 			t.Error("the list was empty for a moment")
 		}
 	}
@@ -302,8 +302,8 @@
 	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
 	go g.Serve(ln)
 	defer g.Stop()
-	table, loads := proxy.NewTable(), proxy.NewTracker()
-	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: quiet, Dial: ln.DialContext}
+	table, loads := proxy.NewTable(), proxy.NewLoadTracker()
+	client := &proxy.Client{NodeID: "n", Servers: []string{"memory"}, Table: table, LoadTracker: loads, Log: quiet, Dial: ln.DialContext}
 	go client.Run(t.Context())
 	testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -152,7 +152,7 @@
 	}
 	trusted := x509.NewCertPool()
 	trusted.AddCert(ca.cert)
-	cluster, err := etcd.New(etcd.Options{Server: []grpc.ServerOption{grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair},
+	cluster, err := etcd.New(etcd.Options{ServerOptions: []grpc.ServerOption{grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair},
 		ClientCAs: trusted, ClientAuth: tls.RequireAndVerifyClientCert}))}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -184,14 +184,14 @@
 		k.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
 	until(t, x, "a b c")
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	k.Delete(t.Context(), "/d/b")
 	k.Put(t.Context(), "/d/d", value("10.0.0.4:1", ""))
 	k.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Revision()); err != nil {
 		t.Fatal(err)
 	}
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	until(t, x, "a- c d")
 	if x.lists() != 2 {
 		t.Errorf("%d whole lists: the gap was not met", x.lists())
@@ -203,15 +203,15 @@
 	c, _, x := follow(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	until(t, x, "a")
-	for n, fault := range []func(*etcd.Member){(*etcd.Member).Freeze, (*etcd.Member).Lag, (*etcd.Member).Stop} {
+	for n, fault := range []func(*etcd.Member){(*etcd.Member).Pause, (*etcd.Member).PauseApply, (*etcd.Member).Stop} {
 		for _, m := range c.Members { // whichever it is at
 			fault(m)
 			c.Put("/d/a", value("10.0.0.1:1", []string{"draining", "ready"}[n%2]))
 			until(t, x, []string{"a-", "a"}[n%2])
 			c.Put("/d/a", value("10.0.0.1:1", []string{"ready", "draining"}[n%2]))
 			until(t, x, []string{"a", "a-"}[n%2])
-			m.Thaw()
-			m.CatchUp()
+			m.Resume()
+			m.ResumeApply()
 			if n == 2 {
 				if err := m.Start(); err != nil {
 					t.Fatal(err)
@@ -230,19 +230,19 @@
 	before := x.lost
 	x.listed = func() {
 		for _, m := range c.Members {
-			m.Freeze()
+			m.Pause()
 		}
 	}
 	x.mu.Unlock()
 	for _, m := range c.Members { // the watch meets a gap, and the list is read again
-		m.Lag()
+		m.PauseApply()
 	}
 	c.Put("/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Put("/d/a", value("10.0.0.1:1", ""))); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range c.Members {
-		m.CatchUp()
+		m.ResumeApply()
 	}
 	testkit.WaitUntil(t, "the silent watch is given up", func() bool {
 		x.mu.Lock()
@@ -254,7 +254,7 @@
 	x.mu.Unlock()
 	c.Put("/d/b", value("10.0.0.2:1", ""))
 	for _, m := range c.Members {
-		m.Thaw()
+		m.Resume()
 	}
 	until(t, x, "a b")
 }
@@ -289,10 +289,10 @@
 	})
 	until(t, x, "a- b c")
 	// A write that is seen in a list only is known to be new by its revision.
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	c.Compact(c.Revision())
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	until(t, x, "a b c")
 }
 
@@ -306,13 +306,13 @@
 		m := c.Members[rng.IntN(2)]
 		switch rng.IntN(6) {
 		case 0:
-			m.Freeze()
-			time.AfterFunc(20*time.Millisecond, m.Thaw)
+			m.Pause()
+			time.AfterFunc(20*time.Millisecond, m.Resume)
 		case 1:
-			m.Lag()
-			time.AfterFunc(20*time.Millisecond, m.CatchUp)
+			m.PauseApply()
+			time.AfterFunc(20*time.Millisecond, m.ResumeApply)
 		case 2:
-			if err := m.Break(); err != nil {
+			if err := m.Restart(); err != nil {
 				t.Fatal(err)
 			}
 		case 3:
@@ -328,8 +328,8 @@
 		truth[name] = name + state
 	}
 	for _, m := range c.Members {
-		m.Thaw()
-		m.CatchUp()
+		m.Resume()
+		m.ResumeApply()
 	}
 	until(t, x, strings.Join(slices.Sorted(maps.Values(truth)), " "))
 }
--- a/internal/lab/dataplane/weighted.go
+++ b/internal/lab/dataplane/weighted.go
@@ -16,7 +16,7 @@
 type weighted struct {
 	pool  string
 	table *proxy.Table
-	loads *proxy.Tracker
+	loads *proxy.LoadTracker
 	port  string // at which this proxy reaches instances
 }
 
@@ -30,16 +30,16 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &weighted{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewTracker(), port: port}
-	w.table.Busy = w.loads.Busy
-	client := &proxy.Client{Node: c.Name, Servers: []string{o.Control}, Delta: true, Table: w.table, Loads: w.loads, Log: o.Log}
+	w := &weighted{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewLoadTracker(), port: port}
+	w.table.InFlight = w.loads.InFlight
+	client := &proxy.Client{NodeID: c.Name, Servers: []string{o.Control}, Delta: true, Table: w.table, LoadTracker: w.loads, Log: o.Log}
 	go client.Run(ctx)
 	return w, nil
 }
 
 func (w *weighted) ready() bool { return w.table.Ready(w.pool) }
 
-func (w *weighted) drops() bool { return w.table.Drops(w.pool) }
+func (w *weighted) drops() bool { return w.table.ShouldDrop(w.pool) }
 
 func (w *weighted) pick(tried []string) (string, func(bool, map[string]float64)) {
 	none := func(string) string { return "" }
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -167,13 +167,13 @@
 			counts[fault]++
 			switch fault {
 			case "break":
-				if err := m.Break(); err != nil {
+				if err := m.Restart(); err != nil {
 					return nil, err
 				}
 			case "freeze":
-				m.Freeze()
+				m.Pause()
 			case "lag":
-				m.Lag()
+				m.PauseApply()
 			case "compact":
 				r.cluster.Compact(r.cluster.Revision()) // that it was compacted so far already is no fault
 			case "stop":
@@ -186,8 +186,8 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
 		for _, m := range r.cluster.Members {
-			m.Thaw()
-			m.CatchUp()
+			m.Resume()
+			m.ResumeApply()
 		}
 		took, err := settled()
 		if err != nil {
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -135,7 +135,7 @@
 	for n := range proxies {
 		table, who := proxy.NewTable(), fmt.Sprintf("proxy-%d", n)
 		was := map[string]bool{}
-		table.Changed = func(_ string, addresses []string) {
+		table.OnEndpointsChanged = func(_ string, addresses []string) {
 			now := map[string]bool{}
 			for _, a := range addresses {
 				if now[a] = true; !was[a] {
@@ -149,7 +149,7 @@
 			}
 			was = now
 		}
-		client := &proxy.Client{Node: who, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
+		client := &proxy.Client{NodeID: who, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
 		r.wait.Go(func() { client.Run(ctx) })
 		r.tables = append(r.tables, table)
 	}
@@ -269,7 +269,7 @@
 			out.Notes = append(out.Notes, "the last failure: "+note)
 		}
 		for n, t := range r.tables {
-			out.Hold(fmt.Sprintf("proxy-%d: lists emptied", n), float64(t.Emptied()), "0", t.Emptied() == 0)
+			out.Hold(fmt.Sprintf("proxy-%d: lists emptied", n), float64(t.EmptiedCount()), "0", t.EmptiedCount() == 0)
 		}
 	}
 }
--- a/internal/lab/emulator/instance.go
+++ b/internal/lab/emulator/instance.go
@@ -43,13 +43,13 @@
 type door struct {
 	sidecar *sidecar
 	ln      *net.TCPListener
-	block   *relay.Blockade
+	block   *relay.AcceptBlocker
 }
 
 // close ends the listener, and what keeps connections from coming up.
 func (d *door) close() {
 	if d.block != nil {
-		d.block.Lift()
+		d.block.Release()
 		d.block = nil
 	}
 	if d.ln != nil {
@@ -368,8 +368,8 @@
 	i.silent = true
 	for _, d := range i.listeners {
 		if d.ln != nil {
-			i.show(d, relay.Silent)
-			d.block = relay.NewBlockade(d.ln, &i.w.tasks.WaitGroup)
+			i.show(d, relay.Unreachable)
+			d.block = relay.NewAcceptBlocker(d.ln, &i.w.tasks.WaitGroup)
 		}
 	}
 	if i.beside != nil {
--- a/internal/lab/emulator/parts_test.go
+++ b/internal/lab/emulator/parts_test.go
@@ -64,7 +64,7 @@
 	}
 	defer server.Close()
 	all := &tasks{}
-	b := relay.NewBlockade(ln, &all.WaitGroup)
+	b := relay.NewAcceptBlocker(ln, &all.WaitGroup)
 	all.Wait() // it is up
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -81,7 +81,7 @@
 	if _, err := open.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the open connection is not silent: %v", err)
 	}
-	b.Lift()
+	b.Release()
 	ln.Close()
 	if c, err := net.DialTimeout("tcp", ln.Addr().String(), 3*time.Second); err == nil {
 		c.Close()
--- a/internal/lab/emulator/paths.go
+++ b/internal/lab/emulator/paths.go
@@ -61,17 +61,17 @@
 		return err
 	}
 	if ended != nil {
-		r.Ended(ended)
+		r.OnClientClose(ended)
 	}
 	p.relays[key] = r
-	return r.Set(p.state(key))
+	return r.SetState(p.state(key))
 }
 
 // state is how a path is under all that is in force.
 func (p *paths) state(key path) (s relay.State) {
 	for _, b := range p.broken[key.sidecar] {
 		if p.meets(b, key) {
-			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), CutOut: s.CutOut || b.Out, CutBack: s.CutBack || b.Back}
+			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), BlockForward: s.BlockForward || b.Out, BlockReverse: s.BlockReverse || b.Back}
 		}
 	}
 	return s
@@ -108,7 +108,7 @@
 		if key.sidecar != s.name || !p.meets(b, key) {
 			continue
 		}
-		if err := r.Set(p.state(key)); err != nil {
+		if err := r.SetState(p.state(key)); err != nil {
 			return fmt.Errorf("path of %s: %w", s.name, err)
 		}
 		if broken && b.Reset {
@@ -124,7 +124,7 @@
 	if r == nil {
 		return 0, false
 	}
-	at, known := r.Asked(c.RemoteAddr().String())
+	at, known := r.PendingSince(c.RemoteAddr().String())
 	return at.Sub(p.w.book.Start()), known
 }
 
@@ -165,7 +165,7 @@
 }
 
 // show has the path from a sidecar look as the instance's listener does. It is called on the instance's owner.
-func (i *instance) show(d *door, t relay.Target) {
+func (i *instance) show(d *door, t relay.TargetState) {
 	if i.w.paths == nil {
 		return
 	}
@@ -173,7 +173,7 @@
 	if r == nil {
 		return
 	}
-	if err := r.Target(t); err != nil {
+	if err := r.SetTargetState(t); err != nil {
 		i.w.fail(fmt.Errorf("path from %s to %s: %w", d.sidecar.name, i.machine.Name, err))
 	}
 }
