--- a/internal/lab/etcd/cluster.go
+++ b/internal/lab/etcd/cluster.go
@@ -13,57 +13,58 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// Options say how a Cluster is offered.
+// Options configures a Cluster.
 type Options struct {
-	Members          int // 1 if 0
+	Members          int // number of members; 0 means 1
 	User             string
-	Password         string              // if set, whoever has no token of it is refused
-	ServerOptions    []grpc.ServerOption // TLS, say
-	ProgressInterval time.Duration       // between progress notifications of quiet watches that ask for them; 10 minutes if 0, as etcd has it
+	Password         string              // if set, calls without a token from Authenticate are rejected
+	ServerOptions    []grpc.ServerOption // passed to each member's gRPC server, for example TLS credentials
+	ProgressInterval time.Duration       // between progress notifications of idle watches that request them; 0 means 10 minutes, etcd's default
 }
 
-// Cluster is a store with members that offer it, each at an address of loopback. Any goroutine may call it.
+// Cluster is an emulated etcd cluster: one store, served by members that each listen on a loopback address. It is safe for
+// concurrent use.
 type Cluster struct {
-	o       Options
+	opts    Options
 	Members []*Member
 
-	mu      sync.Mutex
-	id      uint64
-	store   *store
-	changed chan struct{} // closed at the next change of the store or of what a member has applied
-	expiry  map[int64]*lease
-	nextID  int64
+	mu           sync.Mutex
+	id           uint64
+	store        *store
+	changed      chan struct{} // closed at the next change of the store or of a member's applied revision
+	activeLeases map[int64]*lease
+	nextLeaseID  int64
 }
 
-// Member is one of them.
+// Member is one server of a Cluster.
 type Member struct {
 	Address string
-	c       *Cluster
+	cluster *Cluster
 	id      uint64
 
-	grpc   *grpc.Server
-	ln     net.Listener
-	frozen chan struct{} // closed when it goes on; nil while it does
-	lag    int64         // it has applied no later revision; 0 if it has all
+	server       *grpc.Server
+	ln           net.Listener
+	resumed      chan struct{} // closed by Resume; nil unless the member is paused
+	appliedLimit int64         // newest revision that the member applies; 0 means no limit
 }
 
-// New starts a Cluster.
+// New starts a Cluster with all its members.
 func New(o Options) (*Cluster, error) {
-	c := &Cluster{o: o, id: 1, store: newStore(), changed: make(chan struct{}), expiry: map[int64]*lease{}, nextID: 1}
+	c := &Cluster{opts: o, id: 1, store: newStore(), changed: make(chan struct{}), activeLeases: map[int64]*lease{}, nextLeaseID: 1}
 	for n := range max(o.Members, 1) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			c.Stop()
 			return nil, err
 		}
-		m := &Member{c: c, id: uint64(n + 1), Address: ln.Addr().String()}
+		m := &Member{cluster: c, id: uint64(n + 1), Address: ln.Addr().String()}
 		c.Members = append(c.Members, m)
 		m.serve(ln)
 	}
 	return c, nil
 }
 
-// Addresses are those of all members.
+// Addresses returns the addresses of all members.
 func (c *Cluster) Addresses() (out []string) {
 	for _, m := range c.Members {
 		out = append(out, m.Address)
@@ -71,53 +72,53 @@
 	return out
 }
 
-// Stop ends all members.
+// Stop stops all members and the lease timers.
 func (c *Cluster) Stop() {
 	for _, m := range c.Members {
 		m.Stop()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.expiry {
+	for _, l := range c.activeLeases {
 		l.timer.Stop()
 	}
 }
 
-// notify wakes whoever waits for a change. The lock is held.
+// notify wakes all goroutines that wait for a change. The caller holds c.mu.
 func (c *Cluster) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// serve offers the services at a listener.
+// serve starts a gRPC server with etcd's services on a listener.
 func (m *Member) serve(ln net.Listener) {
-	g := grpc.NewServer(append([]grpc.ServerOption{grpc.MaxSendMsgSize(1 << 30), grpc.UnaryInterceptor(m.unary), grpc.StreamInterceptor(m.stream)},
-		m.c.o.ServerOptions...)...)
-	etcdserverpb.RegisterKVServer(g, &kvServer{m: m})
-	etcdserverpb.RegisterWatchServer(g, &watchServer{m: m})
-	etcdserverpb.RegisterLeaseServer(g, &leaseServer{m: m})
-	etcdserverpb.RegisterMaintenanceServer(g, &maintenanceServer{m: m})
-	etcdserverpb.RegisterAuthServer(g, &authServer{m: m})
-	m.c.mu.Lock()
-	m.grpc, m.ln = g, ln
-	m.c.mu.Unlock()
+	g := grpc.NewServer(append([]grpc.ServerOption{grpc.MaxSendMsgSize(1 << 30), grpc.UnaryInterceptor(m.interceptUnary), grpc.StreamInterceptor(m.interceptStream)},
+		m.cluster.opts.ServerOptions...)...)
+	etcdserverpb.RegisterKVServer(g, &kvServer{member: m})
+	etcdserverpb.RegisterWatchServer(g, &watchServer{member: m})
+	etcdserverpb.RegisterLeaseServer(g, &leaseServer{member: m})
+	etcdserverpb.RegisterMaintenanceServer(g, &maintenanceServer{member: m})
+	etcdserverpb.RegisterAuthServer(g, &authServer{member: m})
+	m.cluster.mu.Lock()
+	m.server, m.ln = g, ln
+	m.cluster.mu.Unlock()
 	go g.Serve(ln)
 }
 
-// Stop ends a member and its connections.
+// Stop stops a member and closes its connections.
 func (m *Member) Stop() {
-	m.Resume() // or its calls would never end
-	m.c.mu.Lock()
-	g := m.grpc
-	m.grpc = nil
-	m.c.mu.Unlock()
+	m.Resume() // calls on a paused member would never end
+	m.cluster.mu.Lock()
+	g := m.server
+	m.server = nil
+	m.cluster.mu.Unlock()
 	if g != nil {
-		m.ln.Close() // g knows it only once it serves
+		m.ln.Close() // g.Stop closes it only if g.Serve has already been called
 		g.Stop()
 	}
 }
 
-// Start starts a member that was stopped, at its address.
+// Start starts a stopped member again at its previous address.
 func (m *Member) Start() error {
 	ln, err := net.Listen("tcp", m.Address)
 	if err != nil {
@@ -127,146 +128,149 @@
 	return nil
 }
 
-// Break ends a member's connections; it goes on at its address.
+// Restart stops a member, which closes its connections, and starts it again at the same address.
 func (m *Member) Restart() error {
 	m.Stop()
 	return m.Start()
 }
 
-// Freeze has a member answer nothing, with its connections open, until Thaw.
+// Pause makes a member answer nothing until Resume is called. Its connections stay open.
 func (m *Member) Pause() {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
-	if m.frozen == nil {
-		m.frozen = make(chan struct{})
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	if m.resumed == nil {
+		m.resumed = make(chan struct{})
 	}
 }
 
-// Thaw ends Freeze.
+// Resume ends Pause.
 func (m *Member) Resume() {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
-	if m.frozen != nil {
-		close(m.frozen)
-		m.frozen = nil
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	if m.resumed != nil {
+		close(m.resumed)
+		m.resumed = nil
 	}
 }
 
-// Lag has a member apply nothing new from now on: its watches and serializable reads stay behind and its linearizable reads
-// wait, as etcd's do. CatchUp ends it.
+// PauseApply makes a member apply no further revision until ResumeApply is called. As in etcd, its watches and serializable
+// reads then stay at an old revision and its linearizable reads wait.
 func (m *Member) PauseApply() {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
-	if m.lag == 0 {
-		m.lag = m.c.store.revision
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	if m.appliedLimit == 0 {
+		m.appliedLimit = m.cluster.store.revision
 	}
 }
 
-// CatchUp ends Lag.
+// ResumeApply ends PauseApply.
 func (m *Member) ResumeApply() {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
-	m.lag = 0
-	m.c.notify()
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	m.appliedLimit = 0
+	m.cluster.notify()
 }
 
-// applied is the revision that a member has. The lock is held.
+// applied returns the newest revision that the member has applied. The caller holds the cluster's lock.
 func (m *Member) applied() int64 {
-	if m.lag > 0 {
-		return min(m.lag, m.c.store.revision)
+	if m.appliedLimit > 0 {
+		return min(m.appliedLimit, m.cluster.store.revision)
 	}
-	return m.c.store.revision
+	return m.cluster.store.revision
 }
 
-// awake waits while a member is frozen.
-func (m *Member) awake(ctx context.Context) error {
-	m.c.mu.Lock()
-	frozen := m.frozen
-	m.c.mu.Unlock()
-	if frozen == nil {
+// waitWhilePaused blocks until the member is no longer paused or the context ends.
+func (m *Member) waitWhilePaused(ctx context.Context) error {
+	m.cluster.mu.Lock()
+	resumed := m.resumed
+	m.cluster.mu.Unlock()
+	if resumed == nil {
 		return nil
 	}
 	select {
-	case <-frozen:
+	case <-resumed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// token is what Authenticate gives out.
-const token = "stand-in.token"
+// authToken is the token that Authenticate returns.
+const authToken = "stand-in.token"
 
-// known refuses calls without a token where one is needed.
-func (m *Member) known(ctx context.Context, method string) error {
-	if m.c.o.Password == "" || method == etcdserverpb.Auth_Authenticate_FullMethodName {
+// checkToken rejects calls without a valid token if the cluster has a password. Authenticate itself needs none.
+func (m *Member) checkToken(ctx context.Context, method string) error {
+	if m.cluster.opts.Password == "" || method == etcdserverpb.Auth_Authenticate_FullMethodName {
 		return nil
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
-	if got := md.Get(rpctypes.TokenFieldNameGRPC); len(got) == 0 || got[0] != token {
+	if got := md.Get(rpctypes.TokenFieldNameGRPC); len(got) == 0 || got[0] != authToken {
 		return rpctypes.ErrGRPCInvalidAuthToken
 	}
 	return nil
 }
 
-func (m *Member) unary(ctx context.Context, q any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-	if err := m.awake(ctx); err != nil {
+// interceptUnary checks the token and delays the request and the response while the member is paused.
+func (m *Member) interceptUnary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
+	if err := m.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	if err := m.known(ctx, info.FullMethod); err != nil {
+	if err := m.checkToken(ctx, info.FullMethod); err != nil {
 		return nil, err
 	}
-	out, err := next(ctx, q)
-	if frozen := m.awake(ctx); frozen != nil { // it froze meanwhile
-		return nil, frozen
+	out, err := next(ctx, req)
+	if pauseErr := m.waitWhilePaused(ctx); pauseErr != nil { // paused during the call
+		return nil, pauseErr
 	}
 	return out, err
 }
 
-func (m *Member) stream(srv any, s grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
-	if err := m.known(s.Context(), info.FullMethod); err != nil {
+// interceptStream checks the token. Stream handlers themselves wait while the member is paused.
+func (m *Member) interceptStream(srv any, s grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
+	if err := m.checkToken(s.Context(), info.FullMethod); err != nil {
 		return err
 	}
 	return next(srv, s)
 }
 
-// Snapshot is the cluster's data at a moment, as a backup has it.
+// Snapshot is a backup: a copy of the cluster's data at one revision.
 type Snapshot struct{ store *store }
 
-// Revision is that of its last write.
+// Revision returns the revision of the last write in the snapshot.
 func (s Snapshot) Revision() int64 { return s.store.revision }
 
-// Backup takes a Snapshot.
+// Backup returns a Snapshot of the current data.
 func (c *Cluster) Backup() Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Snapshot{c.store.clone()}
 }
 
-// Restore makes a cluster of a backup, as etcd's tool does: its data and revision, another cluster id. Members are started anew
-// at their addresses.
+// Restore replaces the cluster's data and revision with those of a backup and changes the cluster id, as etcd's restore
+// tool does. The members are restarted at their addresses.
 func (c *Cluster) Restore(s Snapshot) error { return c.restore(s, 1) }
 
-// RestoreInPlace is Restore under the old cluster id, which follows from the members' addresses and the token: where an operator
-// gives the same ones, it is the same.
+// RestoreInPlace is Restore with the cluster id unchanged. etcd derives the id from the members' addresses and the cluster
+// token, so it stays the same if an operator restores with the same ones.
 func (c *Cluster) RestoreInPlace(s Snapshot) error { return c.restore(s, 0) }
 
-func (c *Cluster) restore(s Snapshot, id uint64) error {
+// restore replaces the data and restarts the members. idIncrement is added to the cluster id.
+func (c *Cluster) restore(s Snapshot, idIncrement uint64) error {
 	for _, m := range c.Members {
 		m.Stop()
 	}
 	c.mu.Lock()
-	c.id += id
+	c.id += idIncrement
 	c.store = s.store.clone()
-	for _, l := range c.expiry {
+	for _, l := range c.activeLeases {
 		l.timer.Stop()
 	}
-	clear(c.expiry)
-	for id := range c.store.leases { // a new leader gives each its whole time
-		c.arm(id)
+	clear(c.activeLeases)
+	for id := range c.store.leaseKeys { // a new leader renews each lease for its full TTL
+		c.startLeaseTimer(id)
 	}
 	for _, m := range c.Members {
-		m.lag = 0
+		m.appliedLimit = 0
 	}
 	c.notify()
 	c.mu.Unlock()
@@ -278,14 +282,14 @@
 	return nil
 }
 
-// Revision is that of the last write.
+// Revision returns the revision of the last write.
 func (c *Cluster) Revision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.store.revision
 }
 
-// Compact forgets the history before a revision.
+// Compact discards the history before a revision.
 func (c *Cluster) Compact(revision int64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,29 +297,29 @@
 	return c.store.compact(revision)
 }
 
-// header is that of an answer. The lock is held.
+// header returns the header of a response. The caller holds the cluster's lock.
 func (m *Member) header() *etcdserverpb.ResponseHeader {
-	return &etcdserverpb.ResponseHeader{ClusterId: m.c.id, MemberId: m.id, Revision: m.applied(), RaftTerm: 1}
+	return &etcdserverpb.ResponseHeader{ClusterId: m.cluster.id, MemberId: m.id, Revision: m.applied(), RaftTerm: 1}
 }
 
-// Put writes a key, whatever state the members are in, and gives the revision.
+// Put writes a key directly to the store, whatever state the members are in, and returns the new revision.
 func (c *Cluster) Put(key, value string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.store.begin()
-	w.put(&etcdserverpb.PutRequest{Key: []byte(key), Value: []byte(value)})
-	w.end()
+	b := c.store.newBatch()
+	b.put(&etcdserverpb.PutRequest{Key: []byte(key), Value: []byte(value)})
+	b.commit()
 	c.notify()
 	return c.store.revision
 }
 
-// Delete deletes a key likewise.
+// Delete deletes a key directly from the store, whatever state the members are in, and returns the new revision.
 func (c *Cluster) Delete(key string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.store.begin()
-	w.deleteRange(&etcdserverpb.DeleteRangeRequest{Key: []byte(key)})
-	w.end()
+	b := c.store.newBatch()
+	b.deleteRange(&etcdserverpb.DeleteRangeRequest{Key: []byte(key)})
+	b.commit()
 	c.notify()
 	return c.store.revision
 }
--- a/internal/lab/etcd/etcd_test.go
+++ b/internal/lab/etcd/etcd_test.go
@@ -22,20 +22,21 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-// start starts a cluster and a client of etcd's own library.
-func start(t *testing.T, o Options) (*Cluster, *clientv3.Client) {
+// startCluster starts a cluster and connects etcd's client library to it.
+func startCluster(t *testing.T, o Options) (*Cluster, *clientv3.Client) {
 	t.Helper()
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	return c, client(t, c, "")
+	return c, newClient(t, c, "")
 }
 
-func client(t *testing.T, c *Cluster, password string) *clientv3.Client {
+// newClient connects a client to all members of a cluster.
+func newClient(t *testing.T, c *Cluster, password string) *clientv3.Client {
 	t.Helper()
-	k, err := clientv3.New(clientv3.Config{Endpoints: c.Addresses(), DialTimeout: 10 * time.Second, Username: c.o.User, Password: password, Logger: zap.NewNop()})
+	k, err := clientv3.New(clientv3.Config{Endpoints: c.Addresses(), DialTimeout: 10 * time.Second, Username: c.opts.User, Password: password, Logger: zap.NewNop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,99 +44,100 @@
 	return k
 }
 
-func ctx(t *testing.T) context.Context {
+// testContext returns a context that ends after a minute or with the test.
+func testContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(t.Context(), time.Minute)
 	t.Cleanup(cancel)
 	return c
 }
 
-// The client library's calls have the answers that etcd's documentation promises.
-func TestAPI(t *testing.T) {
-	c, k := start(t, Options{})
-	x := ctx(t)
+// Calls of etcd's client library get the responses that etcd's documentation specifies.
+func TestClientLibraryCalls(t *testing.T) {
+	c, k := startCluster(t, Options{})
+	ctx := testContext(t)
 	for i := range 5 {
-		if _, err := k.Put(x, fmt.Sprintf("a/%d", i), fmt.Sprint(i)); err != nil {
+		if _, err := k.Put(ctx, fmt.Sprintf("a/%d", i), fmt.Sprint(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	all, err := k.Get(x, "a/", clientv3.WithPrefix(), clientv3.WithSort(clientv3.SortByKey, clientv3.SortDescend), clientv3.WithLimit(2))
+	all, err := k.Get(ctx, "a/", clientv3.WithPrefix(), clientv3.WithSort(clientv3.SortByKey, clientv3.SortDescend), clientv3.WithLimit(2))
 	if err != nil || len(all.Kvs) != 2 || string(all.Kvs[0].Key) != "a/4" || !all.More || all.Count != 5 || all.Header.Revision != 6 {
-		t.Errorf("a range: %v, %v", all, err)
+		t.Errorf("range read with prefix, sort and limit: %v, %v", all, err)
 	}
-	k.Put(x, "a/0", "again")
-	if old, err := k.Get(x, "a/0", clientv3.WithRev(2)); err != nil || string(old.Kvs[0].Value) != "0" || old.Kvs[0].Version != 1 {
-		t.Errorf("an old revision: %v, %v", old, err)
+	k.Put(ctx, "a/0", "again")
+	if old, err := k.Get(ctx, "a/0", clientv3.WithRev(2)); err != nil || string(old.Kvs[0].Value) != "0" || old.Kvs[0].Version != 1 {
+		t.Errorf("read at an old revision: %v, %v", old, err)
 	}
-	if now, _ := k.Get(x, "a/0"); now.Kvs[0].Version != 2 || now.Kvs[0].CreateRevision != 2 || now.Kvs[0].ModRevision != 7 {
-		t.Errorf("a second version: %v", now)
+	if now, _ := k.Get(ctx, "a/0"); now.Kvs[0].Version != 2 || now.Kvs[0].CreateRevision != 2 || now.Kvs[0].ModRevision != 7 {
+		t.Errorf("second version of a key: %v", now)
 	}
-	if _, err := k.Get(x, "a/0", clientv3.WithRev(99)); !errors.Is(err, rpctypes.ErrFutureRev) {
-		t.Errorf("a revision to come: %v", err)
+	if _, err := k.Get(ctx, "a/0", clientv3.WithRev(99)); !errors.Is(err, rpctypes.ErrFutureRev) {
+		t.Errorf("read at a future revision: %v, want ErrFutureRev", err)
 	}
-	won, err := k.Txn(x).If(clientv3.Compare(clientv3.Version("a/0"), "=", 2), clientv3.Compare(clientv3.CreateRevision("none"), "=", 0)).
+	txn, err := k.Txn(ctx).If(clientv3.Compare(clientv3.Version("a/0"), "=", 2), clientv3.Compare(clientv3.CreateRevision("none"), "=", 0)).
 		Then(clientv3.OpPut("b", "1"), clientv3.OpDelete("a/1", clientv3.WithPrevKV()), clientv3.OpGet("b")).Else(clientv3.OpPut("b", "2")).Commit()
-	if err != nil || !won.Succeeded || won.Header.Revision != 8 || string(won.Responses[2].GetResponseRange().Kvs[0].Value) != "1" {
-		t.Errorf("a transaction: %v, %v", won, err)
+	if err != nil || !txn.Succeeded || txn.Header.Revision != 8 || string(txn.Responses[2].GetResponseRange().Kvs[0].Value) != "1" {
+		t.Errorf("transaction: %v, %v", txn, err)
 	}
-	if _, err := k.Txn(x).Then(clientv3.OpPut("c", "1"), clientv3.OpPut("c", "2")).Commit(); err == nil || c.Revision() != 8 {
-		t.Errorf("a key written twice: %v", err)
+	if _, err := k.Txn(ctx).Then(clientv3.OpPut("c", "1"), clientv3.OpPut("c", "2")).Commit(); err == nil || c.Revision() != 8 {
+		t.Errorf("transaction that writes a key twice: %v", err)
 	}
-	if d, err := k.Delete(x, "a/", clientv3.WithPrefix(), clientv3.WithPrevKV()); err != nil || d.Deleted != 4 || len(d.PrevKvs) != 4 {
-		t.Errorf("deletion: %v, %v", d, err)
+	if d, err := k.Delete(ctx, "a/", clientv3.WithPrefix(), clientv3.WithPrevKV()); err != nil || d.Deleted != 4 || len(d.PrevKvs) != 4 {
+		t.Errorf("delete by prefix: %v, %v", d, err)
 	}
-	if _, err := k.Compact(x, 8); err != nil {
+	if _, err := k.Compact(ctx, 8); err != nil {
 		t.Error(err)
 	}
-	if _, err := k.Get(x, "a/0", clientv3.WithRev(7)); !errors.Is(err, rpctypes.ErrCompacted) {
-		t.Errorf("a compacted revision: %v", err)
+	if _, err := k.Get(ctx, "a/0", clientv3.WithRev(7)); !errors.Is(err, rpctypes.ErrCompacted) {
+		t.Errorf("read at a compacted revision: %v, want ErrCompacted", err)
 	}
-	if at, err := k.Get(x, "a/2", clientv3.WithRev(8)); err != nil || len(at.Kvs) != 1 {
-		t.Errorf("the compacted revision itself: %v, %v", at, err)
+	if got, err := k.Get(ctx, "a/2", clientv3.WithRev(8)); err != nil || len(got.Kvs) != 1 {
+		t.Errorf("read at the compaction revision itself: %v, %v", got, err)
 	}
-	w := <-k.Watch(x, "a/", clientv3.WithPrefix(), clientv3.WithRev(3))
+	w := <-k.Watch(ctx, "a/", clientv3.WithPrefix(), clientv3.WithRev(3))
 	if !errors.Is(w.Err(), rpctypes.ErrCompacted) || w.CompactRevision != 8 {
-		t.Errorf("a watch of what is compacted: %v", w)
+		t.Errorf("watch from a compacted revision: %v", w)
 	}
-	w = <-k.Watch(x, "a/", clientv3.WithPrefix(), clientv3.WithRev(9), clientv3.WithPrevKV(), clientv3.WithFilterPut())
+	w = <-k.Watch(ctx, "a/", clientv3.WithPrefix(), clientv3.WithRev(9), clientv3.WithPrevKV(), clientv3.WithFilterPut())
 	if len(w.Events) != 4 || w.Events[0].PrevKv == nil || w.Events[0].Type != clientv3.EventTypeDelete {
-		t.Errorf("a watch: %v", w)
+		t.Errorf("watch: %v", w)
 	}
-	if s, err := k.Status(x, c.Members[0].Address); err != nil || s.Header.Revision != 9 {
+	if s, err := k.Status(ctx, c.Members[0].Address); err != nil || s.Header.Revision != 9 {
 		t.Errorf("status: %v, %v", s, err)
 	}
 }
 
-// What gRPC's resolver reads is written and read by the library's own manager of endpoints.
+// The client library's endpoint manager, whose entries gRPC's resolver reads, can add and list endpoints.
 func TestEndpointsManager(t *testing.T) {
-	_, k := start(t, Options{})
+	_, k := startCluster(t, Options{})
 	m, err := endpoints.NewManager(k, "svc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := m.AddEndpoint(ctx(t), "svc/a", endpoints.Endpoint{Addr: "127.0.0.1:1"}); err != nil {
+	if err := m.AddEndpoint(testContext(t), "svc/a", endpoints.Endpoint{Addr: "127.0.0.1:1"}); err != nil {
 		t.Fatal(err)
 	}
-	if all, err := m.List(ctx(t)); err != nil || all["svc/a"].Addr != "127.0.0.1:1" {
-		t.Errorf("%v, %v", all, err)
+	if all, err := m.List(testContext(t)); err != nil || all["svc/a"].Addr != "127.0.0.1:1" {
+		t.Errorf("endpoint list: %v, %v", all, err)
 	}
 }
 
-// A lease's keys live as long as it is kept alive, and go together.
+// The keys of a lease exist while it is kept alive and are deleted together when it ends.
 func TestLeases(t *testing.T) {
-	_, k := start(t, Options{})
-	x := ctx(t)
-	l, err := k.Grant(x, 1)
+	_, k := startCluster(t, Options{})
+	ctx := testContext(t)
+	l, err := k.Grant(ctx, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := k.Watch(x, "l/", clientv3.WithPrefix())
-	alive, cancel := context.WithCancel(x)
-	kept, err := k.KeepAlive(alive, l.ID)
+	events := k.Watch(ctx, "l/", clientv3.WithPrefix())
+	keepAliveCtx, cancel := context.WithCancel(ctx)
+	replies, err := k.KeepAlive(keepAliveCtx, l.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range []string{"l/a", "l/b"} {
-		if _, err := k.Put(x, key, "", clientv3.WithLease(l.ID)); err != nil {
+		if _, err := k.Put(ctx, key, "", clientv3.WithLease(l.ID)); err != nil {
 			t.Fatal(err)
 		}
 		if r := <-events; len(r.Events) != 1 {
@@ -143,113 +145,113 @@
 		}
 	}
 	for range 3 {
-		if r := <-kept; r == nil || r.TTL != 1 {
-			t.Fatalf("keeping alive: %v", r)
+		if r := <-replies; r == nil || r.TTL != 1 {
+			t.Fatalf("keep-alive reply: %v", r)
 		}
 	}
-	if ttl, err := k.TimeToLive(x, l.ID, clientv3.WithAttachedKeys()); err != nil || len(ttl.Keys) != 2 {
-		t.Errorf("%v, %v", ttl, err)
+	if ttl, err := k.TimeToLive(ctx, l.ID, clientv3.WithAttachedKeys()); err != nil || len(ttl.Keys) != 2 {
+		t.Errorf("time to live with attached keys: %v, %v", ttl, err)
 	}
 	cancel()
 	if r := <-events; len(r.Events) != 2 || r.Events[0].Type != clientv3.EventTypeDelete || r.Events[0].Kv.ModRevision != r.Events[1].Kv.ModRevision {
-		t.Errorf("the end of a lease: %v", r)
+		t.Errorf("events at the expiry of a lease: %v", r)
 	}
-	if _, err := k.Put(x, "l/c", "", clientv3.WithLease(l.ID)); !errors.Is(err, rpctypes.ErrLeaseNotFound) {
-		t.Errorf("a lease that has ended: %v", err)
+	if _, err := k.Put(ctx, "l/c", "", clientv3.WithLease(l.ID)); !errors.Is(err, rpctypes.ErrLeaseNotFound) {
+		t.Errorf("put with an expired lease: %v, want ErrLeaseNotFound", err)
 	}
-	l, _ = k.Grant(x, 60)
-	k.Put(x, "l/d", "", clientv3.WithLease(l.ID))
+	l, _ = k.Grant(ctx, 60)
+	k.Put(ctx, "l/d", "", clientv3.WithLease(l.ID))
 	<-events
-	if _, err := k.Revoke(x, l.ID); err != nil {
+	if _, err := k.Revoke(ctx, l.ID); err != nil {
 		t.Error(err)
 	}
 	if r := <-events; len(r.Events) != 1 {
-		t.Errorf("the end of a revoked one: %v", r)
+		t.Errorf("events at the revocation of a lease: %v", r)
 	}
 }
 
-// A member that lags shows what was, and lets linearizable reads wait; one that is frozen answers nothing; a restored cluster is
-// another with an older revision; without the right password nobody is served.
+// A member that has stopped applying serves old data to serializable reads and delays linearizable ones; a paused member answers
+// nothing; a restored cluster has another id and an older revision; a wrong password is rejected.
 func TestFaults(t *testing.T) {
-	c, k := start(t, Options{Members: 2})
-	x := ctx(t)
-	k.Put(x, "a", "1")
+	c, k := startCluster(t, Options{Members: 2})
+	ctx := testContext(t)
+	k.Put(ctx, "a", "1")
 	backup := c.Backup()
-	behind, err := clientv3.New(clientv3.Config{Endpoints: []string{c.Members[1].Address}, Logger: zap.NewNop()})
+	lagging, err := clientv3.New(clientv3.Config{Endpoints: []string{c.Members[1].Address}, Logger: zap.NewNop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer behind.Close()
+	defer lagging.Close()
 	c.Members[1].PauseApply()
-	if _, err := behind.Put(x, "a", "2"); err != nil {
+	if _, err := lagging.Put(ctx, "a", "2"); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := behind.Get(x, "a", clientv3.WithSerializable()); err != nil || string(r.Kvs[0].Value) != "1" {
-		t.Errorf("a serializable read: %v, %v", r, err)
+	if r, err := lagging.Get(ctx, "a", clientv3.WithSerializable()); err != nil || string(r.Kvs[0].Value) != "1" {
+		t.Errorf("serializable read at a member that has stopped applying: %v, %v", r, err)
 	}
-	short, cancel := context.WithTimeout(x, 50*time.Millisecond)
-	if _, err := behind.Get(short, "a"); err == nil {
-		t.Error("a linearizable read does not wait")
+	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+	if _, err := lagging.Get(short, "a"); err == nil {
+		t.Error("a linearizable read did not wait for the member to catch up")
 	}
 	cancel()
 	c.Members[1].ResumeApply()
-	if r, err := behind.Get(x, "a"); err != nil || string(r.Kvs[0].Value) != "2" {
-		t.Errorf("caught up: %v, %v", r, err)
+	if r, err := lagging.Get(ctx, "a"); err != nil || string(r.Kvs[0].Value) != "2" {
+		t.Errorf("read after the member caught up: %v, %v", r, err)
 	}
 	c.Members[1].Pause()
-	short, cancel = context.WithTimeout(x, 50*time.Millisecond)
-	if _, err := behind.Get(short, "a", clientv3.WithSerializable()); err == nil {
-		t.Error("a frozen member answers")
+	short, cancel = context.WithTimeout(ctx, 50*time.Millisecond)
+	if _, err := lagging.Get(short, "a", clientv3.WithSerializable()); err == nil {
+		t.Error("a paused member answered")
 	}
 	cancel()
 	c.Members[1].Resume()
-	before, err := behind.Get(x, "a")
+	before, err := lagging.Get(ctx, "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Restore(backup); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitUntil(t, "the restored cluster serves", func() bool {
-		r, err := behind.Get(x, "a")
+	testkit.WaitUntil(t, "the restored cluster serves the backup's data", func() bool {
+		r, err := lagging.Get(ctx, "a")
 		return err == nil && string(r.Kvs[0].Value) == "1" && r.Header.ClusterId != before.Header.ClusterId && r.Header.Revision < before.Header.Revision
 	})
-	closed, err := New(Options{User: "u", Password: "p"})
+	secured, err := New(Options{User: "u", Password: "p"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closed.Stop()
-	if _, err := client(t, closed, "p").Put(x, "a", "1"); err != nil {
-		t.Errorf("with the password: %v", err)
+	defer secured.Stop()
+	if _, err := newClient(t, secured, "p").Put(ctx, "a", "1"); err != nil {
+		t.Errorf("put with the correct password: %v", err)
 	}
-	wrong, err := clientv3.New(clientv3.Config{Endpoints: closed.Addresses(), Username: "u", Password: "other", DialTimeout: 10 * time.Second, Logger: zap.NewNop()})
+	wrong, err := clientv3.New(clientv3.Config{Endpoints: secured.Addresses(), Username: "u", Password: "other", DialTimeout: 10 * time.Second, Logger: zap.NewNop()})
 	if err == nil {
 		defer wrong.Close()
-		if _, err = wrong.Get(x, "a"); err == nil {
-			t.Error("a wrong password is taken")
+		if _, err = wrong.Get(ctx, "a"); err == nil {
+			t.Error("a wrong password was accepted")
 		}
 	}
 }
 
-// Reads and writes of several clients at two members, of which one lags now and then, are linearizable.
+// Reads and writes of several clients at two members are linearizable while one member repeatedly stops applying.
 func TestLinearizable(t *testing.T) {
-	c, _ := start(t, Options{Members: 2})
-	type in struct {
-		op, value string
-		old       string
+	c, _ := startCluster(t, Options{Members: 2})
+	type operation struct {
+		kind, value string
+		expected    string // value compared by a cas
 	}
 	model := porcupine.Model{
 		Init: func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
-			x, out := input.(in), output.(string)
-			switch x.op {
+			x, out := input.(operation), output.(string)
+			switch x.kind {
 			case "put":
 				return true, x.value
 			case "cas":
-				if (state == x.old) != (out == "true") {
+				if (state == x.expected) != (out == "true") {
 					return false, state
 				}
-				if state == x.old {
+				if state == x.expected {
 					return true, x.value
 				}
 				return true, state
@@ -260,21 +262,21 @@
 	}
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	began := time.Now()
-	var wait sync.WaitGroup
+	start := time.Now()
+	var tasks sync.WaitGroup
 	for n := range 4 {
 		k, err := clientv3.New(clientv3.Config{Endpoints: []string{c.Members[n%2].Address}, Logger: zap.NewNop()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer k.Close()
-		wait.Go(func() {
+		tasks.Go(func() {
 			rng := rand.New(rand.NewPCG(1, uint64(n)))
 			seen := ""
 			for i := range 60 {
-				x := in{op: []string{"get", "put", "cas"}[rng.IntN(3)], value: fmt.Sprintf("%d.%d", n, i), old: seen}
-				out, call := "", time.Since(began)
-				switch x.op {
+				x := operation{kind: []string{"get", "put", "cas"}[rng.IntN(3)], value: fmt.Sprintf("%d.%d", n, i), expected: seen}
+				out, call := "", time.Since(start)
+				switch x.kind {
 				case "get":
 					r, err := k.Get(t.Context(), "k")
 					if err != nil {
@@ -291,11 +293,11 @@
 						return
 					}
 				case "cas":
-					holds := clientv3.Compare(clientv3.Value("k"), "=", x.old)
-					if x.old == "" {
-						holds = clientv3.Compare(clientv3.Version("k"), "=", 0)
+					condition := clientv3.Compare(clientv3.Value("k"), "=", x.expected)
+					if x.expected == "" {
+						condition = clientv3.Compare(clientv3.Version("k"), "=", 0)
 					}
-					r, err := k.Txn(t.Context()).If(holds).Then(clientv3.OpPut("k", x.value)).Commit()
+					r, err := k.Txn(t.Context()).If(condition).Then(clientv3.OpPut("k", x.value)).Commit()
 					if err != nil {
 						t.Error(err)
 						return
@@ -303,7 +305,7 @@
 					out = strconv.FormatBool(r.Succeeded)
 				}
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: n, Input: x, Output: out, Call: int64(call), Return: int64(time.Since(began))})
+				history = append(history, porcupine.Operation{ClientId: n, Input: x, Output: out, Call: int64(call), Return: int64(time.Since(start))})
 				mu.Unlock()
 				if n == 0 && i%10 == 5 {
 					c.Members[1].PauseApply()
@@ -312,33 +314,32 @@
 			}
 		})
 	}
-	wait.Wait()
+	tasks.Wait()
 	if !porcupine.CheckOperations(model, history) {
-		t.Error("not linearizable")
+		t.Error("the history is not linearizable")
 	}
 }
 
-// Every watch sees each write of its range once, in order, none missing, while members break, freeze, lag and compact what
-// all watches have seen.
-func TestWatchesSeeAllOnce(t *testing.T) {
-	c, k := start(t, Options{Members: 2})
+// Every watch delivers each write of its range once and in order, while members restart, pause and stop applying.
+func TestWatchesDeliverEachWriteOnce(t *testing.T) {
+	c, k := startCluster(t, Options{Members: 2})
 	const writes = 300
-	type seen struct{ list []string }
-	var all [3]seen
-	var wait sync.WaitGroup
+	type delivered struct{ events []string }
+	var all [3]delivered
+	var tasks sync.WaitGroup
 	ranges := [3][]clientv3.OpOption{{clientv3.WithPrefix()}, {clientv3.WithPrefix(), clientv3.WithFragment()}, nil}
 	keys := [3]string{"", "a", "a1"}
 	for n := range all {
-		watcher := client(t, c, "")
+		watcher := newClient(t, c, "")
 		events := watcher.Watch(t.Context(), keys[n], append(ranges[n], clientv3.WithRev(2))...)
-		wait.Go(func() {
+		tasks.Go(func() {
 			for r := range events {
 				if r.Err() != nil {
 					t.Errorf("watch %d: %v", n, r.Err())
 					return
 				}
 				for _, e := range r.Events {
-					all[n].list = append(all[n].list, fmt.Sprintf("%d %s %s", e.Kv.ModRevision, e.Type, e.Kv.Key))
+					all[n].events = append(all[n].events, fmt.Sprintf("%d %s %s", e.Kv.ModRevision, e.Type, e.Kv.Key))
 					if string(e.Kv.Key) == "a1" && string(e.Kv.Value) == "end" {
 						return
 					}
@@ -348,7 +349,7 @@
 	}
 	var want [3][]string
 	rng := rand.New(rand.NewPCG(5, 5))
-	note := func(revision int64, kind, key string) {
+	expect := func(revision int64, kind, key string) {
 		for n := range want {
 			if key == keys[n] || len(ranges[n]) > 0 && len(key) >= len(keys[n]) && key[:len(keys[n])] == keys[n] {
 				want[n] = append(want[n], fmt.Sprintf("%d %s %s", revision, kind, key))
@@ -359,19 +360,19 @@
 	for i := range writes {
 		key := []string{"a1", "a2", "b1"}[rng.IntN(3)]
 		if present[key] && rng.IntN(3) == 0 {
-			r, err := k.Delete(ctx(t), key)
+			r, err := k.Delete(testContext(t), key)
 			if err != nil {
 				t.Fatal(err)
 			}
 			present[key] = false
-			note(r.Header.Revision, "DELETE", key)
+			expect(r.Header.Revision, "DELETE", key)
 		} else {
-			r, err := k.Put(ctx(t), key, fmt.Sprint(i))
+			r, err := k.Put(testContext(t), key, fmt.Sprint(i))
 			if err != nil {
 				t.Fatal(err)
 			}
 			present[key] = true
-			note(r.Header.Revision, "PUT", key)
+			expect(r.Header.Revision, "PUT", key)
 		}
 		m := c.Members[rng.IntN(2)]
 		switch rng.IntN(40) {
@@ -381,40 +382,40 @@
 		case 1:
 			m.PauseApply()
 			time.AfterFunc(10*time.Millisecond, m.ResumeApply)
-		case 2: // writes must not be repeated by the client: a break goes where none is out
+		case 2: // restart only while no write is in flight, as the client must not retry one
 			if err := m.Restart(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.WaitUntil(t, "it serves again", func() bool { _, err := k.Get(ctx(t), "x"); return err == nil })
+			testkit.WaitUntil(t, "the cluster serves again after a restart", func() bool { _, err := k.Get(testContext(t), "x"); return err == nil })
 		}
 	}
-	r, err := k.Put(ctx(t), "a1", "end")
+	r, err := k.Put(testContext(t), "a1", "end")
 	if err != nil {
 		t.Fatal(err)
 	}
-	note(r.Header.Revision, "PUT", "a1")
+	expect(r.Header.Revision, "PUT", "a1")
 	for _, m := range c.Members {
 		m.ResumeApply()
 		m.Resume()
 	}
-	wait.Wait()
+	tasks.Wait()
 	for n := range all {
-		if !slices.Equal(all[n].list, want[n]) {
-			t.Errorf("watch %d saw %d events, want %d", n, len(all[n].list), len(want[n]))
+		if !slices.Equal(all[n].events, want[n]) {
+			t.Errorf("watch %d saw %d events, want %d", n, len(all[n].events), len(want[n]))
 		}
 	}
 }
 
-// Progress is told on request, and to quiet watches that ask for it, with the newest revision.
+// Progress notifications carry the newest revision. They are sent on request, and to idle watches created with the option.
 func TestProgress(t *testing.T) {
-	c, k := start(t, Options{ProgressInterval: 20 * time.Millisecond})
-	events := k.Watch(ctx(t), "a", clientv3.WithProgressNotify())
+	c, k := startCluster(t, Options{ProgressInterval: 20 * time.Millisecond})
+	events := k.Watch(testContext(t), "a", clientv3.WithProgressNotify())
 	if r := <-events; !r.IsProgressNotify() || r.Header.Revision != 1 {
-		t.Errorf("%v", r)
+		t.Errorf("progress notification of an idle watch: %v", r)
 	}
-	k.Put(ctx(t), "b", "")
-	if err := k.RequestProgress(ctx(t)); err != nil {
+	k.Put(testContext(t), "b", "")
+	if err := k.RequestProgress(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.WaitUntil(t, "the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
+	testkit.WaitUntil(t, "a progress notification with the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
 }
--- a/internal/lab/etcd/services.go
+++ b/internal/lab/etcd/services.go
@@ -11,17 +11,18 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
+// kvServer implements etcd's KV service.
 type kvServer struct {
 	etcdserverpb.UnimplementedKVServer
-	m *Member
+	member *Member
 }
 
-// Range reads. A linearizable read waits until the member has all that was written before.
-func (s *kvServer) Range(ctx context.Context, q *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
-	c := s.m.c
+// Range reads keys. A linearizable read waits until the member has applied all previous writes.
+func (s *kvServer) Range(ctx context.Context, req *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !q.Serializable && s.m.applied() < c.store.revision {
+	for !req.Serializable && s.member.applied() < c.store.revision {
 		changed := c.changed
 		c.mu.Unlock()
 		select {
@@ -32,17 +33,18 @@
 			return nil, ctx.Err()
 		}
 	}
-	out, err := c.store.read(q, s.m.applied())
+	out, err := c.store.read(req, s.member.applied())
 	if err != nil {
 		return nil, err
 	}
-	out.Header = s.m.header()
+	out.Header = s.member.header()
 	return out, nil
 }
 
-// atLeader makes a change at the leader, whichever member it came to, and gives the answer with its header.
-func atLeader[R any](s *kvServer, change func(*store) (R, error), head func(R, *etcdserverpb.ResponseHeader)) (R, error) {
-	c := s.m.c
+// applyAtLeader applies a change to the store, as the leader would whichever member received the request. It sets the
+// header of the response through setHeader.
+func applyAtLeader[R any](s *kvServer, change func(*store) (R, error), setHeader func(R, *etcdserverpb.ResponseHeader)) (R, error) {
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out, err := change(c.store)
@@ -50,115 +52,117 @@
 		return out, err
 	}
 	c.notify()
-	h := s.m.header()
+	h := s.member.header()
 	h.Revision = c.store.revision
-	head(out, h)
+	setHeader(out, h)
 	return out, nil
 }
 
 // Put writes a key.
-func (s *kvServer) Put(_ context.Context, q *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
-	return atLeader(s, func(st *store) (*etcdserverpb.PutResponse, error) {
-		w := st.begin()
-		defer w.end()
-		return w.put(q)
+func (s *kvServer) Put(_ context.Context, req *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
+	return applyAtLeader(s, func(st *store) (*etcdserverpb.PutResponse, error) {
+		b := st.newBatch()
+		defer b.commit()
+		return b.put(req)
 	}, func(r *etcdserverpb.PutResponse, h *etcdserverpb.ResponseHeader) { r.Header = h })
 }
 
 // DeleteRange deletes keys.
-func (s *kvServer) DeleteRange(_ context.Context, q *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
-	return atLeader(s, func(st *store) (*etcdserverpb.DeleteRangeResponse, error) {
-		w := st.begin()
-		defer w.end()
-		return w.deleteRange(q)
+func (s *kvServer) DeleteRange(_ context.Context, req *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
+	return applyAtLeader(s, func(st *store) (*etcdserverpb.DeleteRangeResponse, error) {
+		b := st.newBatch()
+		defer b.commit()
+		return b.deleteRange(req)
 	}, func(r *etcdserverpb.DeleteRangeResponse, h *etcdserverpb.ResponseHeader) { r.Header = h })
 }
 
-// Txn does one of two lists of operations.
-func (s *kvServer) Txn(_ context.Context, q *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
-	return atLeader(s, func(st *store) (*etcdserverpb.TxnResponse, error) { return st.txn(q) },
+// Txn runs the success or the failure branch of a transaction.
+func (s *kvServer) Txn(_ context.Context, req *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
+	return applyAtLeader(s, func(st *store) (*etcdserverpb.TxnResponse, error) { return st.txn(req) },
 		func(r *etcdserverpb.TxnResponse, h *etcdserverpb.ResponseHeader) { r.Header = h })
 }
 
-// Compact forgets history.
-func (s *kvServer) Compact(_ context.Context, q *etcdserverpb.CompactionRequest) (*etcdserverpb.CompactionResponse, error) {
-	if err := s.m.c.Compact(q.Revision); err != nil {
+// Compact discards the history before a revision.
+func (s *kvServer) Compact(_ context.Context, req *etcdserverpb.CompactionRequest) (*etcdserverpb.CompactionResponse, error) {
+	if err := s.member.cluster.Compact(req.Revision); err != nil {
 		return nil, err
 	}
-	s.m.c.mu.Lock()
-	defer s.m.c.mu.Unlock()
-	return &etcdserverpb.CompactionResponse{Header: s.m.header()}, nil
+	s.member.cluster.mu.Lock()
+	defer s.member.cluster.mu.Unlock()
+	return &etcdserverpb.CompactionResponse{Header: s.member.header()}, nil
 }
 
-// lease is one with its end.
+// lease is a granted lease with its expiry timer.
 type lease struct {
-	ttl   int64
-	ends  time.Time
-	timer *time.Timer
+	ttl       int64
+	expiresAt time.Time
+	timer     *time.Timer
 }
 
+// leaseServer implements etcd's Lease service.
 type leaseServer struct {
 	etcdserverpb.UnimplementedLeaseServer
-	m *Member
+	member *Member
 }
 
-// LeaseGrant grants a lease.
-func (s *leaseServer) LeaseGrant(_ context.Context, q *etcdserverpb.LeaseGrantRequest) (*etcdserverpb.LeaseGrantResponse, error) {
-	c := s.m.c
+// LeaseGrant grants a lease and starts its timer.
+func (s *leaseServer) LeaseGrant(_ context.Context, req *etcdserverpb.LeaseGrantRequest) (*etcdserverpb.LeaseGrantResponse, error) {
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := q.ID
-	for id == 0 || q.ID == 0 && c.store.leases[id] != nil {
-		id = c.nextID
-		c.nextID++
+	id := req.ID
+	for id == 0 || req.ID == 0 && c.store.leaseKeys[id] != nil {
+		id = c.nextLeaseID
+		c.nextLeaseID++
 	}
 	switch {
-	case q.TTL > 9_000_000_000:
+	case req.TTL > 9_000_000_000:
 		return nil, rpctypes.ErrGRPCLeaseTTLTooLarge
-	case c.store.leases[id] != nil:
+	case c.store.leaseKeys[id] != nil:
 		return nil, rpctypes.ErrGRPCLeaseExist
 	}
-	c.store.leases[id], c.store.ttl[id] = map[string]bool{}, max(q.TTL, 1)
-	c.arm(id)
-	return &etcdserverpb.LeaseGrantResponse{Header: s.m.header(), ID: id, TTL: c.store.ttl[id]}, nil
+	c.store.leaseKeys[id], c.store.leaseTTLs[id] = map[string]bool{}, max(req.TTL, 1)
+	c.startLeaseTimer(id)
+	return &etcdserverpb.LeaseGrantResponse{Header: s.member.header(), ID: id, TTL: c.store.leaseTTLs[id]}, nil
 }
 
-// arm has a lease end after its whole time from now. The lock is held.
-func (c *Cluster) arm(id int64) {
-	l := &lease{ttl: c.store.ttl[id]}
-	l.ends = time.Now().Add(time.Duration(l.ttl) * time.Second)
-	l.timer = time.AfterFunc(time.Until(l.ends), func() {
+// startLeaseTimer lets a lease expire after its full TTL, counted from now. The caller holds c.mu.
+func (c *Cluster) startLeaseTimer(id int64) {
+	l := &lease{ttl: c.store.leaseTTLs[id]}
+	l.expiresAt = time.Now().Add(time.Duration(l.ttl) * time.Second)
+	l.timer = time.AfterFunc(time.Until(l.expiresAt), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.expiry[id] == l && !time.Now().Before(l.ends) {
+		if c.activeLeases[id] == l && !time.Now().Before(l.expiresAt) {
 			c.revoke(id)
 		}
 	})
-	c.expiry[id] = l
+	c.activeLeases[id] = l
 }
 
-// revoke ends a lease and deletes its keys, all at one revision. The lock is held.
+// revoke ends a lease and deletes its keys, all at one revision. It reports whether the lease existed. The caller holds c.mu.
 func (c *Cluster) revoke(id int64) bool {
-	keys, there := c.store.leases[id]
-	if !there {
+	keys, ok := c.store.leaseKeys[id]
+	if !ok {
 		return false
 	}
-	w := c.store.begin()
-	for _, key := range sorted(keys) {
-		w.deleteRange(&etcdserverpb.DeleteRangeRequest{Key: []byte(key)})
+	b := c.store.newBatch()
+	for _, key := range sortedKeys(keys) {
+		b.deleteRange(&etcdserverpb.DeleteRangeRequest{Key: []byte(key)})
 	}
-	w.end()
-	delete(c.store.leases, id)
-	delete(c.store.ttl, id)
-	if l := c.expiry[id]; l != nil {
+	b.commit()
+	delete(c.store.leaseKeys, id)
+	delete(c.store.leaseTTLs, id)
+	if l := c.activeLeases[id]; l != nil {
 		l.timer.Stop()
-		delete(c.expiry, id)
+		delete(c.activeLeases, id)
 	}
 	c.notify()
 	return true
 }
 
-func sorted(keys map[string]bool) []string {
+// sortedKeys returns the keys of a set in order.
+func sortedKeys(keys map[string]bool) []string {
 	out := make([]string, 0, len(keys))
 	for k := range keys {
 		out = append(out, k)
@@ -167,37 +171,37 @@
 	return out
 }
 
-// LeaseRevoke ends a lease.
-func (s *leaseServer) LeaseRevoke(_ context.Context, q *etcdserverpb.LeaseRevokeRequest) (*etcdserverpb.LeaseRevokeResponse, error) {
-	c := s.m.c
+// LeaseRevoke revokes a lease and deletes its keys.
+func (s *leaseServer) LeaseRevoke(_ context.Context, req *etcdserverpb.LeaseRevokeRequest) (*etcdserverpb.LeaseRevokeResponse, error) {
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.revoke(q.ID) {
+	if !c.revoke(req.ID) {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	return &etcdserverpb.LeaseRevokeResponse{Header: s.m.header()}, nil
+	return &etcdserverpb.LeaseRevokeResponse{Header: s.member.header()}, nil
 }
 
-// LeaseKeepAlive renews leases; one that is gone is told with a TTL of 0.
+// LeaseKeepAlive renews leases. The reply for a lease that no longer exists has a TTL of 0.
 func (s *leaseServer) LeaseKeepAlive(stream etcdserverpb.Lease_LeaseKeepAliveServer) error {
-	c := s.m.c
+	c := s.member.cluster
 	for {
-		q, err := stream.Recv()
+		req, err := stream.Recv()
 		if err == io.EOF {
 			return nil
 		}
 		if err == nil {
-			err = s.m.awake(stream.Context())
+			err = s.member.waitWhilePaused(stream.Context())
 		}
 		if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		out := &etcdserverpb.LeaseKeepAliveResponse{Header: s.m.header(), ID: q.ID}
-		if l := c.expiry[q.ID]; l != nil {
+		out := &etcdserverpb.LeaseKeepAliveResponse{Header: s.member.header(), ID: req.ID}
+		if l := c.activeLeases[req.ID]; l != nil {
 			out.TTL = l.ttl
-			l.ends = time.Now().Add(time.Duration(l.ttl) * time.Second)
-			l.timer.Reset(time.Until(l.ends))
+			l.expiresAt = time.Now().Add(time.Duration(l.ttl) * time.Second)
+			l.timer.Reset(time.Until(l.expiresAt))
 		}
 		c.mu.Unlock()
 		if err := stream.Send(out); err != nil {
@@ -206,16 +210,16 @@
 	}
 }
 
-// LeaseTimeToLive tells how long a lease has left.
-func (s *leaseServer) LeaseTimeToLive(_ context.Context, q *etcdserverpb.LeaseTimeToLiveRequest) (*etcdserverpb.LeaseTimeToLiveResponse, error) {
-	c := s.m.c
+// LeaseTimeToLive returns the remaining time of a lease, and its keys on request.
+func (s *leaseServer) LeaseTimeToLive(_ context.Context, req *etcdserverpb.LeaseTimeToLiveRequest) (*etcdserverpb.LeaseTimeToLiveResponse, error) {
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := &etcdserverpb.LeaseTimeToLiveResponse{Header: s.m.header(), ID: q.ID, TTL: -1}
-	if l := c.expiry[q.ID]; l != nil {
-		out.TTL, out.GrantedTTL = int64(time.Until(l.ends).Seconds()), l.ttl
-		if q.Keys {
-			for _, k := range sorted(c.store.leases[q.ID]) {
+	out := &etcdserverpb.LeaseTimeToLiveResponse{Header: s.member.header(), ID: req.ID, TTL: -1}
+	if l := c.activeLeases[req.ID]; l != nil {
+		out.TTL, out.GrantedTTL = int64(time.Until(l.expiresAt).Seconds()), l.ttl
+		if req.Keys {
+			for _, k := range sortedKeys(c.store.leaseKeys[req.ID]) {
 				out.Keys = append(out.Keys, []byte(k))
 			}
 		}
@@ -225,43 +229,45 @@
 
 // LeaseLeases lists all leases.
 func (s *leaseServer) LeaseLeases(context.Context, *etcdserverpb.LeaseLeasesRequest) (*etcdserverpb.LeaseLeasesResponse, error) {
-	c := s.m.c
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := &etcdserverpb.LeaseLeasesResponse{Header: s.m.header()}
-	for id := range c.store.leases {
+	out := &etcdserverpb.LeaseLeasesResponse{Header: s.member.header()}
+	for id := range c.store.leaseKeys {
 		out.Leases = append(out.Leases, &etcdserverpb.LeaseStatus{ID: id})
 	}
 	slices.SortFunc(out.Leases, func(a, b *etcdserverpb.LeaseStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return out, nil
 }
 
+// maintenanceServer implements the status call of etcd's Maintenance service.
 type maintenanceServer struct {
 	etcdserverpb.UnimplementedMaintenanceServer
-	m *Member
+	member *Member
 }
 
-// Status tells how a member stands.
+// Status returns the version, leader and revisions of a member.
 func (s *maintenanceServer) Status(context.Context, *etcdserverpb.StatusRequest) (*etcdserverpb.StatusResponse, error) {
-	c := s.m.c
+	c := s.member.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &etcdserverpb.StatusResponse{Header: s.m.header(), Version: "3.6.0", Leader: 1, RaftIndex: uint64(c.store.revision),
-		RaftAppliedIndex: uint64(s.m.applied()), RaftTerm: 1}, nil
+	return &etcdserverpb.StatusResponse{Header: s.member.header(), Version: "3.6.0", Leader: 1, RaftIndex: uint64(c.store.revision),
+		RaftAppliedIndex: uint64(s.member.applied()), RaftTerm: 1}, nil
 }
 
+// authServer implements the authentication call of etcd's Auth service.
 type authServer struct {
 	etcdserverpb.UnimplementedAuthServer
-	m *Member
+	member *Member
 }
 
-// Authenticate gives a token for the right name and password.
-func (s *authServer) Authenticate(_ context.Context, q *etcdserverpb.AuthenticateRequest) (*etcdserverpb.AuthenticateResponse, error) {
-	switch o := s.m.c.o; {
+// Authenticate returns a token for the correct user name and password.
+func (s *authServer) Authenticate(_ context.Context, req *etcdserverpb.AuthenticateRequest) (*etcdserverpb.AuthenticateResponse, error) {
+	switch o := s.member.cluster.opts; {
 	case o.Password == "":
 		return nil, rpctypes.ErrGRPCAuthNotEnabled
-	case q.Name != o.User || q.Password != o.Password:
+	case req.Name != o.User || req.Password != o.Password:
 		return nil, rpctypes.ErrGRPCAuthFailed
 	}
-	return &etcdserverpb.AuthenticateResponse{Token: token}, nil
+	return &etcdserverpb.AuthenticateResponse{Token: authToken}, nil
 }
--- a/internal/lab/etcd/store.go
+++ b/internal/lab/etcd/store.go
@@ -1,6 +1,6 @@
-// Package etcd is a stand-in of an etcd cluster for tests and drills: the published gRPC API over a store by revision, with
-// faults on command. It does what etcd's documentation says and nothing that etcd would not do: events are never lost,
-// repeated or out of order on a watch, whatever else goes wrong.
+// Package etcd emulates an etcd cluster for tests and drills. It serves etcd's published gRPC API over an in-memory
+// multi-version store and injects faults on request. It keeps the guarantees of etcd's documentation under every fault: a
+// watch never loses, repeats or reorders events.
 package etcd
 
 import (
@@ -15,42 +15,42 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// event is a write at its revision.
+// event is one write, with the key's previous value.
 type event struct {
-	*mvccpb.Event // its Kv.ModRevision is the revision
+	*mvccpb.Event // Kv.ModRevision is the revision of the write
 	prev          *mvccpb.KeyValue
 }
 
-// store is the keys by revision, as every member would have them. It knows no socket and no clock, and is not safe for
-// concurrent use. Key values in it are never changed, so that they can be handed out.
+// store holds the versions of all keys by revision, as every member replicates them. It uses no sockets and no clock and is
+// not safe for concurrent use. Stored key values are never modified, so they can be returned without a copy.
 type store struct {
-	revision  int64 // of the last write; 1 in an empty store, as etcd has it
-	compacted int64
-	keys      map[string][]*mvccpb.KeyValue // versions by revision; Version 0 marks a deletion
-	log       []event                       // from the compacted revision on
-	leases    map[int64]map[string]bool     // keys by lease
-	ttl       map[int64]int64               // seconds, by lease
+	revision  int64                         // of the last write; 1 in an empty store, as in etcd
+	compacted int64                         // history before this revision has been discarded
+	keys      map[string][]*mvccpb.KeyValue // versions of each key by revision; Version 0 marks a deletion
+	log       []event                       // events from the compacted revision on
+	leaseKeys map[int64]map[string]bool     // keys by lease
+	leaseTTLs map[int64]int64               // seconds, by lease
 }
 
 func newStore() *store {
-	return &store{revision: 1, keys: map[string][]*mvccpb.KeyValue{}, leases: map[int64]map[string]bool{}, ttl: map[int64]int64{}}
+	return &store{revision: 1, keys: map[string][]*mvccpb.KeyValue{}, leaseKeys: map[int64]map[string]bool{}, leaseTTLs: map[int64]int64{}}
 }
 
-// clone is a copy that later writes do not change.
+// clone returns a copy that later writes do not change.
 func (s *store) clone() *store {
 	c := &store{revision: s.revision, compacted: s.compacted, keys: map[string][]*mvccpb.KeyValue{}, log: slices.Clone(s.log),
-		leases: map[int64]map[string]bool{}, ttl: maps.Clone(s.ttl)}
+		leaseKeys: map[int64]map[string]bool{}, leaseTTLs: maps.Clone(s.leaseTTLs)}
 	for k, v := range s.keys {
 		c.keys[k] = slices.Clone(v)
 	}
-	for id, keys := range s.leases {
-		c.leases[id] = maps.Clone(keys)
+	for id, keys := range s.leaseKeys {
+		c.leaseKeys[id] = maps.Clone(keys)
 	}
 	return c
 }
 
-// at is a key's value at a revision, nil if it has none.
-func (s *store) at(key string, revision int64) *mvccpb.KeyValue {
+// valueAt returns a key's value at a revision, nil if it has none.
+func (s *store) valueAt(key string, revision int64) *mvccpb.KeyValue {
 	versions := s.keys[key]
 	i, found := slices.BinarySearchFunc(versions, revision, func(kv *mvccpb.KeyValue, r int64) int { return cmp.Compare(kv.ModRevision, r) })
 	if !found {
@@ -62,8 +62,9 @@
 	return versions[i]
 }
 
-// within tells whether a key is in a range as the API has it: one key, all from a key on (end is a zero byte), or up to an end.
-func within(key, from, end []byte) bool {
+// inRange reports whether a key is in a range as the API defines it: only the key from if end is empty, all keys >= from if end
+// is a zero byte, otherwise the keys >= from and < end.
+func inRange(key, from, end []byte) bool {
 	switch {
 	case len(end) == 0:
 		return bytes.Equal(key, from)
@@ -73,17 +74,17 @@
 	return bytes.Compare(key, from) >= 0 && bytes.Compare(key, end) < 0
 }
 
-// in are the values of a range at a revision, by key.
-func (s *store) in(from, end []byte, revision int64) (out []*mvccpb.KeyValue) {
+// rangeAt returns the values of the keys in a range at a revision, sorted by key.
+func (s *store) rangeAt(from, end []byte, revision int64) (out []*mvccpb.KeyValue) {
 	if len(end) == 0 {
-		if kv := s.at(string(from), revision); kv != nil {
+		if kv := s.valueAt(string(from), revision); kv != nil {
 			out = append(out, kv)
 		}
 		return out
 	}
 	for key := range s.keys {
-		if within([]byte(key), from, end) {
-			if kv := s.at(key, revision); kv != nil {
+		if inRange([]byte(key), from, end) {
+			if kv := s.valueAt(key, revision); kv != nil {
 				out = append(out, kv)
 			}
 		}
@@ -92,48 +93,48 @@
 	return out
 }
 
-// read answers a Range at the newest revision that a member has applied.
-func (s *store) read(q *etcdserverpb.RangeRequest, applied int64) (*etcdserverpb.RangeResponse, error) {
-	if len(q.Key) == 0 {
+// read answers a Range request. Without a revision in the request it reads at applied, the newest that the member has.
+func (s *store) read(req *etcdserverpb.RangeRequest, applied int64) (*etcdserverpb.RangeResponse, error) {
+	if len(req.Key) == 0 {
 		return nil, rpctypes.ErrGRPCEmptyKey
 	}
-	at := applied
-	if q.Revision > 0 {
-		at = q.Revision
+	revision := applied
+	if req.Revision > 0 {
+		revision = req.Revision
 	}
-	if at > applied {
+	if revision > applied {
 		return nil, rpctypes.ErrGRPCFutureRev
 	}
-	if at < s.compacted {
+	if revision < s.compacted {
 		return nil, rpctypes.ErrGRPCCompacted
 	}
-	kvs := s.in(q.Key, q.RangeEnd, at)
+	kvs := s.rangeAt(req.Key, req.RangeEnd, revision)
 	kvs = slices.DeleteFunc(kvs, func(kv *mvccpb.KeyValue) bool {
-		return q.MinModRevision > 0 && kv.ModRevision < q.MinModRevision || q.MaxModRevision > 0 && kv.ModRevision > q.MaxModRevision ||
-			q.MinCreateRevision > 0 && kv.CreateRevision < q.MinCreateRevision || q.MaxCreateRevision > 0 && kv.CreateRevision > q.MaxCreateRevision
+		return req.MinModRevision > 0 && kv.ModRevision < req.MinModRevision || req.MaxModRevision > 0 && kv.ModRevision > req.MaxModRevision ||
+			req.MinCreateRevision > 0 && kv.CreateRevision < req.MinCreateRevision || req.MaxCreateRevision > 0 && kv.CreateRevision > req.MaxCreateRevision
 	})
-	by := map[etcdserverpb.RangeRequest_SortTarget]func(a, b *mvccpb.KeyValue) int{
+	compare := map[etcdserverpb.RangeRequest_SortTarget]func(a, b *mvccpb.KeyValue) int{
 		etcdserverpb.RangeRequest_KEY:     func(a, b *mvccpb.KeyValue) int { return bytes.Compare(a.Key, b.Key) },
 		etcdserverpb.RangeRequest_VERSION: func(a, b *mvccpb.KeyValue) int { return cmp.Compare(a.Version, b.Version) },
 		etcdserverpb.RangeRequest_CREATE:  func(a, b *mvccpb.KeyValue) int { return cmp.Compare(a.CreateRevision, b.CreateRevision) },
 		etcdserverpb.RangeRequest_MOD:     func(a, b *mvccpb.KeyValue) int { return cmp.Compare(a.ModRevision, b.ModRevision) },
 		etcdserverpb.RangeRequest_VALUE:   func(a, b *mvccpb.KeyValue) int { return bytes.Compare(a.Value, b.Value) },
-	}[q.SortTarget]
-	if q.SortOrder != etcdserverpb.RangeRequest_NONE || q.SortTarget != etcdserverpb.RangeRequest_KEY {
-		slices.SortStableFunc(kvs, by)
+	}[req.SortTarget]
+	if req.SortOrder != etcdserverpb.RangeRequest_NONE || req.SortTarget != etcdserverpb.RangeRequest_KEY {
+		slices.SortStableFunc(kvs, compare)
 	}
-	if q.SortOrder == etcdserverpb.RangeRequest_DESCEND {
+	if req.SortOrder == etcdserverpb.RangeRequest_DESCEND {
 		slices.Reverse(kvs)
 	}
 	out := &etcdserverpb.RangeResponse{Count: int64(len(kvs))}
-	if q.CountOnly {
+	if req.CountOnly {
 		return out, nil
 	}
-	if q.Limit > 0 && int64(len(kvs)) > q.Limit {
-		kvs, out.More = kvs[:q.Limit], true
+	if req.Limit > 0 && int64(len(kvs)) > req.Limit {
+		kvs, out.More = kvs[:req.Limit], true
 	}
 	for _, kv := range kvs {
-		if q.KeysOnly {
+		if req.KeysOnly {
 			kv = proto.CloneOf(kv)
 			kv.Value = nil
 		}
@@ -142,100 +143,100 @@
 	return out, nil
 }
 
-// write is a transaction's writes, all at one revision.
-type write struct {
-	s      *store
+// writeBatch collects the writes of a request, all at one revision.
+type writeBatch struct {
+	store  *store
 	events []event
 }
 
-// begin begins writes at the next revision.
-func (s *store) begin() *write { return &write{s: s} }
+// newBatch starts a batch of writes at the next revision.
+func (s *store) newBatch() *writeBatch { return &writeBatch{store: s} }
 
-// set writes one version of a key.
-func (w *write) set(kv *mvccpb.KeyValue, kind mvccpb.Event_EventType) {
-	s := w.s
+// addVersion writes one version of a key and records its event.
+func (b *writeBatch) addVersion(kv *mvccpb.KeyValue, kind mvccpb.Event_EventType) {
+	s := b.store
 	key := string(kv.Key)
-	prev := s.at(key, s.revision+1)
+	prev := s.valueAt(key, s.revision+1)
 	if prev != nil && prev.Lease != 0 {
-		delete(s.leases[prev.Lease], key)
+		delete(s.leaseKeys[prev.Lease], key)
 	}
 	if kv.Lease != 0 {
-		s.leases[kv.Lease][key] = true
+		s.leaseKeys[kv.Lease][key] = true
 	}
 	s.keys[key] = append(s.keys[key], kv)
-	told := kv
+	eventKV := kv
 	if kind == mvccpb.Event_DELETE {
-		told = &mvccpb.KeyValue{Key: kv.Key, ModRevision: kv.ModRevision}
+		eventKV = &mvccpb.KeyValue{Key: kv.Key, ModRevision: kv.ModRevision}
 	}
-	w.events = append(w.events, event{&mvccpb.Event{Type: kind, Kv: told}, prev})
+	b.events = append(b.events, event{&mvccpb.Event{Type: kind, Kv: eventKV}, prev})
 }
 
-// end makes the writes visible.
-func (w *write) end() {
-	if len(w.events) > 0 {
-		w.s.revision++
-		w.s.log = append(w.s.log, w.events...)
+// commit makes the writes of the batch visible.
+func (b *writeBatch) commit() {
+	if len(b.events) > 0 {
+		b.store.revision++
+		b.store.log = append(b.store.log, b.events...)
 	}
 }
 
-// put answers a Put within writes.
-func (w *write) put(q *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
-	s := w.s
-	if len(q.Key) == 0 {
+// put answers a Put request within the batch.
+func (b *writeBatch) put(req *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
+	s := b.store
+	if len(req.Key) == 0 {
 		return nil, rpctypes.ErrGRPCEmptyKey
 	}
-	if slices.ContainsFunc(w.events, func(e event) bool { return bytes.Equal(e.Kv.Key, q.Key) }) {
+	if slices.ContainsFunc(b.events, func(e event) bool { return bytes.Equal(e.Kv.Key, req.Key) }) {
 		return nil, rpctypes.ErrGRPCDuplicateKey
 	}
-	prev := s.at(string(q.Key), s.revision+1)
-	if (q.IgnoreValue || q.IgnoreLease) && prev == nil {
+	prev := s.valueAt(string(req.Key), s.revision+1)
+	if (req.IgnoreValue || req.IgnoreLease) && prev == nil {
 		return nil, rpctypes.ErrGRPCKeyNotFound
 	}
-	kv := &mvccpb.KeyValue{Key: q.Key, Value: q.Value, Lease: q.Lease, ModRevision: s.revision + 1, CreateRevision: s.revision + 1, Version: 1}
+	kv := &mvccpb.KeyValue{Key: req.Key, Value: req.Value, Lease: req.Lease, ModRevision: s.revision + 1, CreateRevision: s.revision + 1, Version: 1}
 	if prev != nil {
 		kv.CreateRevision, kv.Version = prev.CreateRevision, prev.Version+1
-		if q.IgnoreValue {
+		if req.IgnoreValue {
 			kv.Value = prev.Value
 		}
-		if q.IgnoreLease {
+		if req.IgnoreLease {
 			kv.Lease = prev.Lease
 		}
 	}
-	if kv.Lease != 0 && s.leases[kv.Lease] == nil {
+	if kv.Lease != 0 && s.leaseKeys[kv.Lease] == nil {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	w.set(kv, mvccpb.Event_PUT)
+	b.addVersion(kv, mvccpb.Event_PUT)
 	out := &etcdserverpb.PutResponse{}
-	if q.PrevKv {
+	if req.PrevKv {
 		out.PrevKv = prev
 	}
 	return out, nil
 }
 
-// deleteRange answers a DeleteRange within writes.
-func (w *write) deleteRange(q *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
-	if len(q.Key) == 0 {
+// deleteRange answers a DeleteRange request within the batch.
+func (b *writeBatch) deleteRange(req *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
+	if len(req.Key) == 0 {
 		return nil, rpctypes.ErrGRPCEmptyKey
 	}
 	out := &etcdserverpb.DeleteRangeResponse{}
-	for _, kv := range w.s.in(q.Key, q.RangeEnd, w.s.revision+1) {
-		w.set(&mvccpb.KeyValue{Key: kv.Key, ModRevision: w.s.revision + 1}, mvccpb.Event_DELETE)
+	for _, kv := range b.store.rangeAt(req.Key, req.RangeEnd, b.store.revision+1) {
+		b.addVersion(&mvccpb.KeyValue{Key: kv.Key, ModRevision: b.store.revision + 1}, mvccpb.Event_DELETE)
 		out.Deleted++
-		if q.PrevKv {
+		if req.PrevKv {
 			out.PrevKvs = append(out.PrevKvs, kv)
 		}
 	}
 	return out, nil
 }
 
-// holds tells whether a comparison of a transaction holds.
-func (s *store) holds(c *etcdserverpb.Compare) bool {
-	kvs := s.in(c.Key, c.RangeEnd, s.revision)
+// evaluate reports whether a comparison of a transaction is true.
+func (s *store) evaluate(c *etcdserverpb.Compare) bool {
+	kvs := s.rangeAt(c.Key, c.RangeEnd, s.revision)
 	if len(kvs) == 0 {
 		if len(c.RangeEnd) > 0 {
 			return true
 		}
-		if c.Target == etcdserverpb.Compare_VALUE { // there is none to compare
+		if c.Target == etcdserverpb.Compare_VALUE { // a missing key has no value to compare
 			return false
 		}
 		kvs = []*mvccpb.KeyValue{{}}
@@ -263,51 +264,52 @@
 	return true
 }
 
-// txn answers a Txn. One that fails changes nothing.
-func (s *store) txn(q *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
-	before := s.clone()
-	w := s.begin()
-	out, err := w.branch(q)
+// txn answers a Txn request. One that fails changes nothing.
+func (s *store) txn(req *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
+	backup := s.clone()
+	b := s.newBatch()
+	out, err := b.runTxn(req)
 	if err != nil {
-		*s = *before
+		*s = *backup
 		return nil, err
 	}
-	w.end()
+	b.commit()
 	return out, nil
 }
 
-func (w *write) branch(q *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
+// runTxn evaluates the comparisons of a transaction and runs the selected branch within the batch.
+func (b *writeBatch) runTxn(req *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
 	out := &etcdserverpb.TxnResponse{Succeeded: true}
-	for _, c := range q.Compare {
-		out.Succeeded = out.Succeeded && w.s.holds(c)
+	for _, c := range req.Compare {
+		out.Succeeded = out.Succeeded && b.store.evaluate(c)
 	}
-	ops := q.Success
+	ops := req.Success
 	if !out.Succeeded {
-		ops = q.Failure
+		ops = req.Failure
 	}
 	for _, op := range ops {
 		r := &etcdserverpb.ResponseOp{}
 		switch x := op.Request.(type) {
 		case *etcdserverpb.RequestOp_RequestRange:
-			got, err := w.s.read(x.RequestRange, w.s.revision+1)
+			got, err := b.store.read(x.RequestRange, b.store.revision+1)
 			if err != nil {
 				return nil, err
 			}
 			r.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: got}
 		case *etcdserverpb.RequestOp_RequestPut:
-			got, err := w.put(x.RequestPut)
+			got, err := b.put(x.RequestPut)
 			if err != nil {
 				return nil, err
 			}
 			r.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: got}
 		case *etcdserverpb.RequestOp_RequestDeleteRange:
-			got, err := w.deleteRange(x.RequestDeleteRange)
+			got, err := b.deleteRange(x.RequestDeleteRange)
 			if err != nil {
 				return nil, err
 			}
 			r.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: got}
 		case *etcdserverpb.RequestOp_RequestTxn:
-			got, err := w.branch(x.RequestTxn)
+			got, err := b.runTxn(x.RequestTxn)
 			if err != nil {
 				return nil, err
 			}
@@ -318,7 +320,7 @@
 	return out, nil
 }
 
-// compact forgets what is older than a revision: versions that were no longer a key's value then, and the log before it.
+// compact discards the history before a revision: versions that had been replaced by then, and the events before it.
 func (s *store) compact(revision int64) error {
 	if revision <= s.compacted {
 		return rpctypes.ErrGRPCCompacted
@@ -347,15 +349,15 @@
 	return nil
 }
 
-// since are the events of a range from one revision up to another, both included. They begin at the compacted revision at the
-// earliest.
-func (s *store) since(from, to int64, key, end []byte) (out []event) {
+// eventsBetween returns the events of a key range from one revision up to another, both included. Events before the
+// compacted revision are no longer available.
+func (s *store) eventsBetween(from, to int64, key, end []byte) (out []event) {
 	i, _ := slices.BinarySearchFunc(s.log, from, func(e event, r int64) int { return cmp.Compare(e.Kv.ModRevision, r) })
 	for _, e := range s.log[i:] {
 		if e.Kv.ModRevision > to {
 			break
 		}
-		if within(e.Kv.Key, key, end) {
+		if inRange(e.Kv.Key, key, end) {
 			out = append(out, e)
 		}
 	}
--- a/internal/lab/proxy/load.go
+++ b/internal/lab/proxy/load.go
@@ -14,18 +14,19 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Tracker counts a proxy's requests by endpoint, for its load reports. Any goroutine may call it.
+// LoadTracker counts a proxy's requests by endpoint, for its load reports. It is safe for concurrent use.
 type LoadTracker struct {
 	mu    sync.Mutex
 	stats map[string]map[string]*endpoint.UpstreamEndpointStats // by cluster and address
 }
 
-// NewTracker returns a Tracker that has counted nothing.
+// NewLoadTracker returns an empty LoadTracker.
 func NewLoadTracker() *LoadTracker {
 	return &LoadTracker{stats: map[string]map[string]*endpoint.UpstreamEndpointStats{}}
 }
 
-func (t *LoadTracker) at(cluster, address string) *endpoint.UpstreamEndpointStats {
+// endpointStats returns the counters of an endpoint and creates them if needed. The caller holds t.mu.
+func (t *LoadTracker) endpointStats(cluster, address string) *endpoint.UpstreamEndpointStats {
 	if t.stats[cluster] == nil {
 		t.stats[cluster] = map[string]*endpoint.UpstreamEndpointStats{}
 	}
@@ -40,24 +41,25 @@
 	return e
 }
 
-// Busy tells how many requests are out at an endpoint.
+// InFlight returns the number of requests in flight at an endpoint.
 func (t *LoadTracker) InFlight(cluster, address string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return int(t.stats[cluster][address].GetTotalRequestsInProgress())
 }
 
-// Begin counts a request that goes out. The function that it returns counts its end, with the metrics that the answer told.
+// Begin counts a request that is sent. The caller calls the returned function at the request's end, with the metrics that the
+// response reported.
 func (t *LoadTracker) Begin(cluster, address string) (end func(ok bool, metrics map[string]float64)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.at(cluster, address)
+	e := t.endpointStats(cluster, address)
 	e.TotalIssuedRequests++
 	e.TotalRequestsInProgress++
 	return func(ok bool, metrics map[string]float64) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		e := t.at(cluster, address)
+		e := t.endpointStats(cluster, address)
 		e.TotalRequestsInProgress--
 		if ok {
 			e.TotalSuccessfulRequests++
@@ -78,47 +80,47 @@
 	}
 }
 
-// report takes what was counted since the last report. Requests in progress stay counted.
-func (t *LoadTracker) report(interval time.Duration) []*endpoint.ClusterStats {
+// takeReport returns the counts since the last report and resets them. Requests in progress stay counted.
+func (t *LoadTracker) takeReport(interval time.Duration) []*endpoint.ClusterStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*endpoint.ClusterStats
-	for name, endpoints := range t.stats {
-		z := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{}}
+	for cluster, endpoints := range t.stats {
+		locality := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{}}
 		for address, e := range endpoints {
-			z.UpstreamEndpointStats = append(z.UpstreamEndpointStats, e)
+			locality.UpstreamEndpointStats = append(locality.UpstreamEndpointStats, e)
 			delete(endpoints, address)
 			if e.TotalRequestsInProgress > 0 {
-				t.at(name, address).TotalRequestsInProgress = e.TotalRequestsInProgress
+				t.endpointStats(cluster, address).TotalRequestsInProgress = e.TotalRequestsInProgress
 			}
 		}
-		out = append(out, &endpoint.ClusterStats{ClusterName: name, UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{z},
+		out = append(out, &endpoint.ClusterStats{ClusterName: cluster, UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{locality},
 			LoadReportInterval: durationpb.New(interval)})
 	}
 	return out
 }
 
-// reportLoads sends load reports as the service asks for them, until the stream ends.
+// reportLoads sends load reports at the interval that the control service requests, until the stream ends.
 func (c *Client) reportLoads(ctx context.Context, conn *grpc.ClientConn) error {
 	s, err := loadstats.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 	if err != nil {
 		return err
 	}
-	if err := s.Send(&loadstats.LoadStatsRequest{Node: c.node()}); err != nil {
+	if err := s.Send(&loadstats.LoadStatsRequest{Node: c.nodeInfo()}); err != nil {
 		return err
 	}
 	r, err := s.Recv()
 	if err != nil {
 		return err
 	}
-	every := r.LoadReportingInterval.AsDuration()
-	tick := time.NewTicker(every)
+	interval := r.LoadReportingInterval.AsDuration()
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
 		select {
 		case now := <-tick.C:
-			if err := s.Send(&loadstats.LoadStatsRequest{ClusterStats: c.LoadTracker.report(now.Sub(last))}); err != nil {
+			if err := s.Send(&loadstats.LoadStatsRequest{ClusterStats: c.LoadTracker.takeReport(now.Sub(last))}); err != nil {
 				return err
 			}
 			last = now
--- a/internal/lab/proxy/stream.go
+++ b/internal/lab/proxy/stream.go
@@ -23,31 +23,31 @@
 	"kitewood/internal/xds"
 )
 
-// again is how long a proxy waits before it connects again.
-const again = 50 * time.Millisecond
+// reconnectDelay is the delay between the end of a stream and the next connection attempt.
+const reconnectDelay = 50 * time.Millisecond
 
-// Client keeps a Table as a control service says, over one aggregated stream, state of the world or delta. It connects again,
-// to the next of its servers in turn, and goes on from what it has.
+// Client is an xDS client that keeps a Table up to date over one aggregated stream, in the state-of-the-world or the delta
+// variant. After a disconnect it connects to the next of its Servers in turn and resumes from the versions that it has.
 type Client struct {
 	NodeID      string
 	Servers     []string
 	Delta       bool
 	Table       *Table
-	LoadTracker *LoadTracker // reported to the service; nil for none
+	LoadTracker *LoadTracker // reported to the control service; nil for no reports
 	Log         *slog.Logger
-	Dial        func(context.Context) (net.Conn, error) // instead of TCP; nil for TCP
+	Dial        func(context.Context) (net.Conn, error) // opens connections; nil for TCP
 
-	mu   sync.Mutex
-	cut  context.CancelFunc // ends the stream that is open
-	cuts int
+	mu           sync.Mutex
+	cancelStream context.CancelFunc // ends the open stream
+	disconnects  int
 
-	versions map[string]map[string]string // delta: of each resource, by type
-	whole    map[string]string            // state of the world: of each type
-	least    map[string]float64           // by cluster: the bias of least request, 0 where it does not ask for it
+	resourceVersions map[string]map[string]string // delta: version of each resource, by type and name
+	typeVersions     map[string]string            // state of the world: version of each type
+	leastRequestBias map[string]float64           // by cluster; 0 if the cluster does not use least request
 }
 
-// leastRequest tells whether the first policy of a cluster that this proxy knows is least request, by its bias; 0 if it is not.
-func leastRequest(x *cluster.Cluster) float64 {
+// clusterBias returns the least-request bias of a cluster. It is 0 if the first policy that this proxy supports is another one.
+func clusterBias(x *cluster.Cluster) float64 {
 	for _, p := range x.GetLoadBalancingPolicy().GetPolicies() {
 		switch p.GetTypedExtensionConfig().GetName() {
 		case "envoy.load_balancing_policies.least_request":
@@ -66,38 +66,39 @@
 	return 0
 }
 
-// Run follows the service until the context ends.
+// Run keeps a stream to a control service open until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	c.versions = map[string]map[string]string{xds.TypeCluster: {}, xds.TypeEndpoint: {}, xds.TypeRoute: {}}
-	c.whole = map[string]string{}
+	c.resourceVersions = map[string]map[string]string{xds.TypeCluster: {}, xds.TypeEndpoint: {}, xds.TypeRoute: {}}
+	c.typeVersions = map[string]string{}
 	for n := 0; ctx.Err() == nil; n++ {
-		err := c.once(ctx, c.Servers[n%len(c.Servers)])
-		c.Log.Debug("the stream has ended", "node", c.NodeID, "error", err)
+		err := c.runStream(ctx, c.Servers[n%len(c.Servers)])
+		c.Log.Debug("xDS stream ended", "node", c.NodeID, "error", err)
 		select {
-		case <-time.After(again):
+		case <-time.After(reconnectDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Cut ends the stream that is open, as a broken network does. The proxy connects again, to the next of its servers.
+// Disconnect ends the open stream, as a network failure would. The client then connects to the next of its Servers.
 func (c *Client) Disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut != nil {
-		c.cut()
-		c.cuts++
+	if c.cancelStream != nil {
+		c.cancelStream()
+		c.disconnects++
 	}
 }
 
-// Cuts tells how often it was cut off.
+// Disconnects returns how often Disconnect ended a stream.
 func (c *Client) Disconnects() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cuts
+	return c.disconnects
 }
 
-func (c *Client) once(ctx context.Context, server string) error {
+// runStream connects to one server and runs a stream until it ends.
+func (c *Client) runStream(ctx context.Context, server string) error {
 	options := []grpc.DialOption{grpc.WithTransportCredentials(insecure.NewCredentials())}
 	if c.Dial != nil {
 		options = append(options, grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) { return c.Dial(ctx) }))
@@ -110,50 +111,51 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.cut = cancel
+	c.cancelStream = cancel
 	c.mu.Unlock()
 	if c.LoadTracker != nil {
 		go c.reportLoads(ctx, conn)
 	}
 	if c.Delta {
-		return c.deltas(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn))
+		return c.runDelta(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn))
 	}
-	return c.wholes(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn))
+	return c.runStateOfTheWorld(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn))
 }
 
-func (c *Client) node() *core.Node { return &core.Node{Id: c.NodeID, Cluster: "lab"} }
+func (c *Client) nodeInfo() *core.Node { return &core.Node{Id: c.NodeID, Cluster: "lab"} }
 
-// clusters are the names of those it has.
-func (c *Client) clusters() []string { return slices.Sorted(maps.Keys(c.least)) }
+// clusterNames returns the sorted names of the known clusters.
+func (c *Client) clusterNames() []string { return slices.Sorted(maps.Keys(c.leastRequestBias)) }
 
-// names are the resources that a proxy asks for by name.
-func (c *Client) names(typeURL string) []string {
+// requestedNames returns the resources of a type that are requested by name. It is nil for a wildcard request.
+func (c *Client) requestedNames(typeURL string) []string {
 	switch typeURL {
 	case xds.TypeEndpoint:
-		return c.clusters()
+		return c.clusterNames()
 	case xds.TypeRoute:
 		return []string{"kitewood"}
 	}
 	return nil
 }
 
-func (c *Client) wholes(ctx context.Context, api discovery.AggregatedDiscoveryServiceClient) error {
-	s, err := api.StreamAggregatedResources(ctx)
+// runStateOfTheWorld runs a state-of-the-world stream until it ends.
+func (c *Client) runStateOfTheWorld(ctx context.Context, client discovery.AggregatedDiscoveryServiceClient) error {
+	s, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
 	nonces := map[string]string{}
-	ask := func(typeURL string, refused error) error {
-		q := &discovery.DiscoveryRequest{Node: c.node(), TypeUrl: typeURL, VersionInfo: c.whole[typeURL], ResponseNonce: nonces[typeURL], ResourceNames: c.names(typeURL)}
-		if refused != nil {
-			q.ErrorDetail = &status.Status{Code: 3, Message: refused.Error()}
+	request := func(typeURL string, rejection error) error {
+		req := &discovery.DiscoveryRequest{Node: c.nodeInfo(), TypeUrl: typeURL, VersionInfo: c.typeVersions[typeURL], ResponseNonce: nonces[typeURL], ResourceNames: c.requestedNames(typeURL)}
+		if rejection != nil {
+			req.ErrorDetail = &status.Status{Code: 3, Message: rejection.Error()}
 		}
-		return s.Send(q)
+		return s.Send(req)
 	}
-	// The endpoints of clusters that are known are asked for at once: it may be long until the clusters change.
+	// Request the endpoints of known clusters immediately: the next change of the clusters may be far off.
 	for _, t := range []string{xds.TypeCluster, xds.TypeEndpoint, xds.TypeRoute} {
-		if t != xds.TypeEndpoint || len(c.least) > 0 {
-			if err := ask(t, nil); err != nil {
+		if t != xds.TypeEndpoint || len(c.leastRequestBias) > 0 {
+			if err := request(t, nil); err != nil {
 				return err
 			}
 		}
@@ -163,38 +165,39 @@
 		if err != nil {
 			return err
 		}
-		before := c.clusters()
-		refused := c.apply(r.TypeUrl, r.Resources, nil, true)
+		before := c.clusterNames()
+		rejection := c.apply(r.TypeUrl, r.Resources, nil, true)
 		nonces[r.TypeUrl] = r.Nonce
-		if refused == nil {
-			c.whole[r.TypeUrl] = r.VersionInfo
+		if rejection == nil {
+			c.typeVersions[r.TypeUrl] = r.VersionInfo
 		}
-		if err := ask(r.TypeUrl, refused); err != nil {
+		if err := request(r.TypeUrl, rejection); err != nil {
 			return err
 		}
-		if r.TypeUrl == xds.TypeCluster && !slices.Equal(before, c.clusters()) {
-			if err := ask(xds.TypeEndpoint, nil); err != nil {
+		if r.TypeUrl == xds.TypeCluster && !slices.Equal(before, c.clusterNames()) {
+			if err := request(xds.TypeEndpoint, nil); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (c *Client) deltas(ctx context.Context, api discovery.AggregatedDiscoveryServiceClient) error {
-	s, err := api.DeltaAggregatedResources(ctx)
+// runDelta runs a delta stream until it ends.
+func (c *Client) runDelta(ctx context.Context, client discovery.AggregatedDiscoveryServiceClient) error {
+	s, err := client.DeltaAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	asked := map[string]bool{}
+	subscribed := map[string]bool{}
 	for _, t := range []string{xds.TypeCluster, xds.TypeEndpoint, xds.TypeRoute} {
-		if t == xds.TypeEndpoint && len(c.least) == 0 {
+		if t == xds.TypeEndpoint && len(c.leastRequestBias) == 0 {
 			continue
 		}
-		if err := s.Send(&discovery.DeltaDiscoveryRequest{Node: c.node(), TypeUrl: t, ResourceNamesSubscribe: c.names(t), InitialResourceVersions: c.versions[t]}); err != nil {
+		if err := s.Send(&discovery.DeltaDiscoveryRequest{Node: c.nodeInfo(), TypeUrl: t, ResourceNamesSubscribe: c.requestedNames(t), InitialResourceVersions: c.resourceVersions[t]}); err != nil {
 			return err
 		}
-		for _, name := range c.names(t) {
-			asked[t+name] = true
+		for _, name := range c.requestedNames(t) {
+			subscribed[t+name] = true
 		}
 	}
 	for {
@@ -202,76 +205,76 @@
 		if err != nil {
 			return err
 		}
-		bodies := make([]*anypb.Any, len(r.Resources))
+		resources := make([]*anypb.Any, len(r.Resources))
 		for i, x := range r.Resources {
-			bodies[i] = x.Resource
+			resources[i] = x.Resource
 		}
-		q := &discovery.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce}
-		if refused := c.apply(r.TypeUrl, bodies, r.RemovedResources, false); refused != nil {
-			q.ErrorDetail = &status.Status{Code: 3, Message: refused.Error()}
+		req := &discovery.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce}
+		if rejection := c.apply(r.TypeUrl, resources, r.RemovedResources, false); rejection != nil {
+			req.ErrorDetail = &status.Status{Code: 3, Message: rejection.Error()}
 		} else {
 			for _, x := range r.Resources {
-				c.versions[r.TypeUrl][x.Name] = x.Version
+				c.resourceVersions[r.TypeUrl][x.Name] = x.Version
 			}
 			for _, name := range r.RemovedResources {
-				delete(c.versions[r.TypeUrl], name)
+				delete(c.resourceVersions[r.TypeUrl], name)
 			}
 		}
-		if err := s.Send(q); err != nil {
+		if err := s.Send(req); err != nil {
 			return err
 		}
 		if r.TypeUrl != xds.TypeCluster {
 			continue
 		}
-		more := &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint}
-		for _, name := range c.clusters() {
-			if !asked[xds.TypeEndpoint+name] {
-				asked[xds.TypeEndpoint+name] = true
-				more.ResourceNamesSubscribe = append(more.ResourceNamesSubscribe, name)
+		subscription := &discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint}
+		for _, name := range c.clusterNames() {
+			if !subscribed[xds.TypeEndpoint+name] {
+				subscribed[xds.TypeEndpoint+name] = true
+				subscription.ResourceNamesSubscribe = append(subscription.ResourceNamesSubscribe, name)
 			}
 		}
-		if len(more.ResourceNamesSubscribe) > 0 {
-			if err := s.Send(more); err != nil {
+		if len(subscription.ResourceNamesSubscribe) > 0 {
+			if err := s.Send(subscription); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// apply takes resources; an error refuses them.
-func (c *Client) apply(typeURL string, bodies []*anypb.Any, removed []string, whole bool) error {
+// apply applies resources to the table. An error means that they are rejected, and its text goes to the control service.
+func (c *Client) apply(typeURL string, resources []*anypb.Any, removed []string, complete bool) error {
 	switch typeURL {
 	case xds.TypeCluster:
-		if whole || c.least == nil {
-			c.least = map[string]float64{}
+		if complete || c.leastRequestBias == nil {
+			c.leastRequestBias = map[string]float64{}
 		}
 		for _, name := range removed {
-			delete(c.least, name)
+			delete(c.leastRequestBias, name)
 		}
-		for _, b := range bodies {
+		for _, b := range resources {
 			var x cluster.Cluster
 			if err := b.UnmarshalTo(&x); err != nil {
 				return err
 			}
-			c.least[x.Name] = leastRequest(&x)
+			c.leastRequestBias[x.Name] = clusterBias(&x)
 		}
-		c.Table.SetClusters(c.least)
+		c.Table.SetClusters(c.leastRequestBias)
 	case xds.TypeEndpoint:
-		return each(bodies, c.Table.SetEndpoints)
+		return applyEach(resources, c.Table.SetEndpoints)
 	case xds.TypeRoute:
-		return each(bodies, c.Table.SetRoutes)
+		return applyEach(resources, c.Table.SetRoutes)
 	default:
 		return fmt.Errorf("%s was not asked for", typeURL)
 	}
 	return nil
 }
 
-// each unpacks messages of one type and applies them.
-func each[M any, P interface {
+// applyEach unpacks resources of one type and applies each of them.
+func applyEach[M any, P interface {
 	*M
 	proto.Message
-}](bodies []*anypb.Any, apply func(P) error) error {
-	for _, b := range bodies {
+}](resources []*anypb.Any, apply func(P) error) error {
+	for _, b := range resources {
 		m := P(new(M))
 		if err := b.UnmarshalTo(m); err != nil {
 			return err
--- a/internal/lab/proxy/table.go
+++ b/internal/lab/proxy/table.go
@@ -1,5 +1,6 @@
-// Package proxy is a small data plane that applies what xDS says: weighted round robin over healthy endpoints, drains,
-// routes. The lab puts it where other installations have proxies of their own.
+// Package proxy is a small data plane that is configured over xDS. It implements routes, weighted round robin and least request
+// over healthy endpoints, draining, and drop policies. The lab uses it in place of the third-party proxies of other
+// installations.
 package proxy
 
 import (
@@ -21,40 +22,41 @@
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 )
 
-// Endpoint is where a request can go, with its turn in the weighted round robin.
+// Endpoint is an endpoint of a cluster, with its position in the weighted round robin.
 type Endpoint struct {
-	Address string
-	Weight  uint32
-	next    float64
+	Address  string
+	Weight   uint32
+	nextTurn float64
 }
 
-// Table is what a proxy was told. Any goroutine may call it.
+// Table holds the routes, clusters and endpoints that a proxy has received. It is safe for concurrent use.
 type Table struct {
-	// Busy tells how many of the proxy's requests are out at an endpoint of a cluster. With it, clusters that ask for least
-	// request get it, as Envoy has it: where all weights are alike, of two endpoints drawn at random the one with fewer of them;
-	// where they differ, an endpoint's weight at its turn is divided by those and one, raised to the cluster's bias. It is set
-	// before the Table is used.
+	// InFlight returns the number of the proxy's requests in flight at an endpoint of a cluster. Clusters configured for least
+	// request use it only if InFlight is set. The algorithm is Envoy's: with equal weights, the endpoint with fewer requests in
+	// flight of two chosen at random; otherwise weighted round robin, where the weight of the endpoint whose turn it is gets
+	// divided by (requests in flight + 1) to the power of the cluster's bias. It must be set before the Table is used.
 	InFlight func(cluster, address string) int
 
-	// Changed is told the endpoints of a cluster that take requests whenever they are told, if it is set before the Table is used.
+	// OnEndpointsChanged, if not nil, is called at each update of a cluster's endpoints with those that accept requests. It must
+	// be set before the Table is used.
 	OnEndpointsChanged func(cluster string, addresses []string)
 
-	mu        sync.Mutex
-	routes    *routes.RouteConfiguration
-	clusters  map[string]float64     // the bias of least request of each, 0 where it does not ask for it
-	endpoints map[string][]*Endpoint // that take new requests, by cluster
-	turn      map[string]float64
-	alike     map[string]bool    // clusters whose endpoints have one weight
-	drops     map[string]float64 // share that is refused, by cluster
-	emptied   int                // times that a cluster that had endpoints was left with none
+	mu               sync.Mutex
+	routes           *routes.RouteConfiguration
+	leastRequestBias map[string]float64     // by cluster; 0 if the cluster does not use least request
+	endpoints        map[string][]*Endpoint // that accept new requests, by cluster
+	lastTurn         map[string]float64
+	equalWeights     map[string]bool    // clusters whose endpoints all have the same weight
+	dropShare        map[string]float64 // fraction of requests to drop, by cluster
+	emptiedCount     int                // how often a cluster lost its last endpoint
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
-	return &Table{clusters: map[string]float64{}, endpoints: map[string][]*Endpoint{}, turn: map[string]float64{}, alike: map[string]bool{}, drops: map[string]float64{}}
+	return &Table{leastRequestBias: map[string]float64{}, endpoints: map[string][]*Endpoint{}, lastTurn: map[string]float64{}, equalWeights: map[string]bool{}, dropShare: map[string]float64{}}
 }
 
-// SetRoutes takes a route configuration.
+// SetRoutes replaces the route configuration.
 func (t *Table) SetRoutes(r *routes.RouteConfiguration) error {
 	if len(r.VirtualHosts) == 0 {
 		return errors.New("a route configuration without virtual hosts")
@@ -65,52 +67,52 @@
 	return nil
 }
 
-// SetClusters takes the clusters there are, each with the bias of least request, 0 where it does not ask for that.
-func (t *Table) SetClusters(least map[string]float64) {
+// SetClusters replaces the set of clusters. It takes the least-request bias of each, 0 if the cluster does not use least request.
+func (t *Table) SetClusters(bias map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.clusters = maps.Clone(least)
+	t.leastRequestBias = maps.Clone(bias)
 }
 
-// SetEndpoints takes the endpoints of a cluster. Those that are not healthy get nothing new.
+// SetEndpoints replaces the endpoints of a cluster. Those that are not healthy get no new requests.
 func (t *Table) SetEndpoints(a *endpoint.ClusterLoadAssignment) error {
 	var list []*Endpoint
-	for _, z := range a.Endpoints {
-		for _, e := range z.LbEndpoints {
+	for _, locality := range a.Endpoints {
+		for _, e := range locality.LbEndpoints {
 			if e.HealthStatus != core.HealthStatus_HEALTHY && e.HealthStatus != core.HealthStatus_UNKNOWN {
 				continue
 			}
-			at := e.GetEndpoint().GetAddress().GetSocketAddress()
-			if at == nil || e.GetLoadBalancingWeight().GetValue() == 0 {
+			address := e.GetEndpoint().GetAddress().GetSocketAddress()
+			if address == nil || e.GetLoadBalancingWeight().GetValue() == 0 {
 				return fmt.Errorf("cluster %q: an endpoint without an address or a weight", a.ClusterName)
 			}
-			list = append(list, &Endpoint{Address: net.JoinHostPort(at.Address, strconv.Itoa(int(at.GetPortValue()))), Weight: e.LoadBalancingWeight.Value})
+			list = append(list, &Endpoint{Address: net.JoinHostPort(address.Address, strconv.Itoa(int(address.GetPortValue()))), Weight: e.LoadBalancingWeight.Value})
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old := map[string]float64{}
+	oldTurns := map[string]float64{}
 	for _, e := range t.endpoints[a.ClusterName] {
-		old[e.Address] = e.next
+		oldTurns[e.Address] = e.nextTurn
 	}
 	for i, e := range list {
 		var known bool
-		if e.next, known = old[e.Address]; !known { // somewhere in its first interval, so that newcomers get no burst
-			e.next = t.turn[a.ClusterName] + float64(i+1)/float64(len(list))/float64(e.Weight)
+		if e.nextTurn, known = oldTurns[e.Address]; !known { // spread over the first interval, so that new endpoints get no burst
+			e.nextTurn = t.lastTurn[a.ClusterName] + float64(i+1)/float64(len(list))/float64(e.Weight)
 		}
 	}
 	if len(list) == 0 && len(t.endpoints[a.ClusterName]) > 0 {
-		t.emptied++
+		t.emptiedCount++
 	}
 	t.endpoints[a.ClusterName] = list
-	t.alike[a.ClusterName] = !slices.ContainsFunc(list, func(e *Endpoint) bool { return e.Weight != list[0].Weight })
-	pass := 1.0 // categories are drawn one after the other
+	t.equalWeights[a.ClusterName] = !slices.ContainsFunc(list, func(e *Endpoint) bool { return e.Weight != list[0].Weight })
+	passShare := 1.0 // each category drops from what the previous ones let through
 	for _, d := range a.GetPolicy().GetDropOverloads() {
-		of := map[typev3.FractionalPercent_DenominatorType]float64{typev3.FractionalPercent_HUNDRED: 100, typev3.FractionalPercent_TEN_THOUSAND: 1e4,
+		denominator := map[typev3.FractionalPercent_DenominatorType]float64{typev3.FractionalPercent_HUNDRED: 100, typev3.FractionalPercent_TEN_THOUSAND: 1e4,
 			typev3.FractionalPercent_MILLION: 1e6}[d.GetDropPercentage().GetDenominator()]
-		pass *= 1 - float64(d.GetDropPercentage().GetNumerator())/of
+		passShare *= 1 - float64(d.GetDropPercentage().GetNumerator())/denominator
 	}
-	t.drops[a.ClusterName] = 1 - pass
+	t.dropShare[a.ClusterName] = 1 - passShare
 	if t.OnEndpointsChanged != nil {
 		addresses := make([]string, 0, len(list))
 		for _, e := range list {
@@ -121,67 +123,69 @@
 	return nil
 }
 
-// Emptied tells how often a cluster that had endpoints was left with none.
+// EmptiedCount returns how often a cluster lost its last endpoint.
 func (t *Table) EmptiedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.emptied
+	return t.emptiedCount
 }
 
-// Ready tells whether a cluster has endpoints and there are routes.
+// Ready reports whether there are routes and the cluster is known and has endpoints.
 func (t *Table) Ready(cluster string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, there := t.clusters[cluster]
-	return t.routes != nil && there && len(t.endpoints[cluster]) > 0
+	_, ok := t.leastRequestBias[cluster]
+	return t.routes != nil && ok && len(t.endpoints[cluster]) > 0
 }
 
-// Drops tells whether a request to a cluster is one of those that the proxy is to refuse.
+// ShouldDrop decides at random whether the cluster's drop policy drops a request.
 func (t *Table) ShouldDrop(cluster string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return rand.Float64() < t.drops[cluster]
+	return rand.Float64() < t.dropShare[cluster]
 }
 
-// Pick finds the endpoint for a request: the first route that fits, then the earliest turn.
+// Pick returns the address of the endpoint for a request: the first route that matches selects the cluster, and the cluster's
+// load-balancing policy the endpoint.
 func (t *Table) Pick(host, path string, header func(string) string) (string, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	cluster := route(t.routes, host, path, header)
+	cluster := findCluster(t.routes, host, path, header)
 	if cluster == "" {
-		return "", errors.New("no route fits")
+		return "", errors.New("no route matches the request")
 	}
 	list := t.endpoints[cluster]
-	least, there := t.clusters[cluster]
-	if len(list) == 0 || !there {
-		return "", fmt.Errorf("cluster %q has no endpoint", cluster)
+	bias, ok := t.leastRequestBias[cluster]
+	if len(list) == 0 || !ok {
+		return "", fmt.Errorf("cluster %q has no endpoints", cluster)
 	}
-	if least > 0 && t.InFlight != nil && t.alike[cluster] {
+	if bias > 0 && t.InFlight != nil && t.equalWeights[cluster] {
 		a, b := list[rand.IntN(len(list))].Address, list[rand.IntN(len(list))].Address
 		if t.InFlight(cluster, b) < t.InFlight(cluster, a) {
 			a = b
 		}
 		return a, nil
 	}
-	first := slices.MinFunc(list, func(a, b *Endpoint) int { return cmp.Compare(a.next, b.next) })
-	t.turn[cluster] = first.next
-	share := 1.0
-	if least > 0 && t.InFlight != nil {
-		share = math.Pow(1+float64(t.InFlight(cluster, first.Address)), least)
+	first := slices.MinFunc(list, func(a, b *Endpoint) int { return cmp.Compare(a.nextTurn, b.nextTurn) })
+	t.lastTurn[cluster] = first.nextTurn
+	cost := 1.0
+	if bias > 0 && t.InFlight != nil {
+		cost = math.Pow(1+float64(t.InFlight(cluster, first.Address)), bias)
 	}
-	first.next += share / float64(first.Weight)
+	first.nextTurn += cost / float64(first.Weight)
 	return first.Address, nil
 }
 
-// Route finds the cluster of a request, "" where no route fits.
+// Route returns the cluster of a request, "" if no route matches.
 func (t *Table) Route(host, path string, header func(string) string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return route(t.routes, host, path, header)
+	return findCluster(t.routes, host, path, header)
 }
 
-// route finds the cluster of a request, as the protocol's virtual hosts have it.
-func route(c *routes.RouteConfiguration, host, path string, header func(string) string) string {
+// findCluster returns the cluster of a request, "" if no route matches. The virtual host is selected as xDS defines it: an exact
+// domain is preferred to a wildcard, a longer wildcard suffix to a shorter one.
+func findCluster(c *routes.RouteConfiguration, host, path string, header func(string) string) string {
 	if c == nil {
 		return ""
 	}
@@ -190,7 +194,7 @@
 	}
 	host = strings.ToLower(host)
 	var best *routes.VirtualHost
-	length := -1
+	bestRank := -1
 	for _, v := range c.VirtualHosts {
 		for _, d := range v.Domains {
 			suffix, wild := strings.CutPrefix(d, "*")
@@ -201,20 +205,21 @@
 			case wild && strings.HasSuffix(host, suffix) && len(host) > len(suffix):
 				rank = len(suffix)
 			}
-			if rank > length {
-				best, length = v, rank
+			if rank > bestRank {
+				best, bestRank = v, rank
 			}
 		}
 	}
 	for _, r := range best.GetRoutes() {
-		if fits(r.Match, path, header) {
+		if matches(r.Match, path, header) {
 			return r.GetRoute().GetCluster()
 		}
 	}
 	return ""
 }
 
-func fits(m *routes.RouteMatch, path string, header func(string) string) bool {
+// matches reports whether a request matches a route.
+func matches(m *routes.RouteMatch, path string, header func(string) string) bool {
 	path, _, _ = strings.Cut(path, "?")
 	switch p := m.PathSpecifier.(type) {
 	case *routes.RouteMatch_Path:
--- a/internal/lab/proxy/table_test.go
+++ b/internal/lab/proxy/table_test.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// table has one cluster with two endpoints of some weights.
-func table(t *testing.T, bias float64, drop *endpoint.ClusterLoadAssignment_Policy, weights ...uint32) *Table {
+// newTable returns a table with one cluster "c" whose endpoints have the given weights.
+func newTable(t *testing.T, bias float64, drop *endpoint.ClusterLoadAssignment_Policy, weights ...uint32) *Table {
 	t.Helper()
 	x := NewTable()
 	x.SetClusters(map[string]float64{"c": bias})
@@ -21,27 +21,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	z := &endpoint.LocalityLbEndpoints{}
+	locality := &endpoint.LocalityLbEndpoints{}
 	for port, weight := range weights {
-		z.LbEndpoints = append(z.LbEndpoints, &endpoint.LbEndpoint{LoadBalancingWeight: wrapperspb.UInt32(weight),
+		locality.LbEndpoints = append(locality.LbEndpoints, &endpoint.LbEndpoint{LoadBalancingWeight: wrapperspb.UInt32(weight),
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{Address: &core.Address_SocketAddress{
 				SocketAddress: &core.SocketAddress{Address: "10.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(port) + 1}}}}}}})
 	}
-	if err := x.SetEndpoints(&endpoint.ClusterLoadAssignment{ClusterName: "c", Endpoints: []*endpoint.LocalityLbEndpoints{z}, Policy: drop}); err != nil {
+	if err := x.SetEndpoints(&endpoint.ClusterLoadAssignment{ClusterName: "c", Endpoints: []*endpoint.LocalityLbEndpoints{locality}, Policy: drop}); err != nil {
 		t.Fatal(err)
 	}
 	return x
 }
 
-// With least request an endpoint that holds requests gets its weight divided by their power, or is taken only where it is drawn
-// twice if all weights are alike; without it they change nothing.
+// With least request, the weight of an endpoint is divided by a power of its requests in flight plus one. If all weights are
+// equal, the loaded one of two endpoints is picked only when both random choices fall on it. Without least request, the
+// requests in flight have no effect.
 func TestLeastRequest(t *testing.T) {
 	for _, c := range []struct {
-		bias        float64
-		other       uint32
-		least, most int // of 900 at the endpoint that holds one
+		bias               float64
+		otherWeight        uint32
+		minPicks, maxPicks int // bounds for the endpoint with one request in flight, of 900 picks
 	}{{0, 100, 450, 450}, {1, 101, 295, 305}, {3, 101, 95, 105}, {1, 100, 150, 300}, {3, 100, 150, 300}} {
-		x := table(t, c.bias, nil, 100, c.other)
+		x := newTable(t, c.bias, nil, 100, c.otherWeight)
 		x.InFlight = func(_, address string) int {
 			if address == "10.0.0.1:1" {
 				return 1
@@ -50,32 +51,32 @@
 		}
 		n := 0
 		for range 900 {
-			at, err := x.Pick("any", "/", func(string) string { return "" })
+			address, err := x.Pick("any", "/", func(string) string { return "" })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if at == "10.0.0.1:1" {
+			if address == "10.0.0.1:1" {
 				n++
 			}
 		}
-		if n < c.least || n > c.most {
-			t.Errorf("bias %g, weights 100 and %d: %d of 900", c.bias, c.other, n)
+		if n < c.minPicks || n > c.maxPicks {
+			t.Errorf("bias %g, weights 100 and %d: %d of 900 picks for the endpoint with a request in flight", c.bias, c.otherWeight, n)
 		}
 	}
 }
 
-// Categories of refusals are drawn one after the other, each in its own unit.
+// Drop categories apply one after the other, each with its own denominator.
 func TestDrops(t *testing.T) {
-	drop := func(numerator uint32, of typev3.FractionalPercent_DenominatorType) *endpoint.ClusterLoadAssignment_Policy_DropOverload {
-		return &endpoint.ClusterLoadAssignment_Policy_DropOverload{DropPercentage: &typev3.FractionalPercent{Numerator: numerator, Denominator: of}}
+	drop := func(numerator uint32, denominator typev3.FractionalPercent_DenominatorType) *endpoint.ClusterLoadAssignment_Policy_DropOverload {
+		return &endpoint.ClusterLoadAssignment_Policy_DropOverload{DropPercentage: &typev3.FractionalPercent{Numerator: numerator, Denominator: denominator}}
 	}
-	x := table(t, 0, &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{
+	x := newTable(t, 0, &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{
 		drop(50, typev3.FractionalPercent_HUNDRED), drop(5000, typev3.FractionalPercent_TEN_THOUSAND)}})
-	if got := x.drops["c"]; got != 0.75 {
-		t.Errorf("%g are refused", got)
+	if got := x.dropShare["c"]; got != 0.75 {
+		t.Errorf("drop share %g, want 0.75", got)
 	}
-	if !table(t, 0, &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{
-		drop(1e6, typev3.FractionalPercent_MILLION)}}).ShouldDrop("c") || table(t, 0, nil).ShouldDrop("c") {
-		t.Error("all are to be refused, and none without a policy")
+	if !newTable(t, 0, &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{
+		drop(1e6, typev3.FractionalPercent_MILLION)}}).ShouldDrop("c") || newTable(t, 0, nil).ShouldDrop("c") {
+		t.Error("a policy of 100 percent must drop all requests, and a table without a policy none")
 	}
 }
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay stands on a path between two processes and breaks it on command: it delays, loses, cuts one way or both
-// ways, resets, and lets go again. Who connects through it needs to know nothing of it.
+// Package relay forwards TCP connections and UDP datagrams between two processes and injects network faults: delay, loss,
+// blocking of one or both directions, and connection resets. It is transparent to the processes.
 //
-// What a cut or a loss does to TCP is what the peers' systems would make of it: bytes are kept and come later, in order;
-// connections that stand stay silent and open; new ones never come up. Datagrams that are lost never come.
+// On TCP, blocking and loss have the effect that the peers' network stacks would produce: bytes arrive later and in order,
+// established connections stay open without traffic, and new connections are never established. Lost datagrams never arrive.
 package relay
 
 import (
@@ -16,80 +16,82 @@
 	"time"
 )
 
-// State is how a path is.
+// State is the set of faults on a path.
 type State struct {
-	Delay        time.Duration // of each way
-	Loss         float64       // share of datagrams that are lost; on TCP, of pieces that are sent again
-	BlockForward bool          // nothing passes from who connects
-	BlockReverse bool          // nothing passes to who connects
+	Delay        time.Duration // one-way, in each direction
+	Loss         float64       // fraction of datagrams that are lost; on TCP, of chunks that are retransmitted
+	BlockForward bool          // nothing passes from the client to the target
+	BlockReverse bool          // nothing passes from the target to the client
 }
 
-// Target is what stands at the end of a path.
+// TargetState is the state of the target, as a connecting client sees it.
 type TargetState uint8
 
-// The targets.
+// The states of a target.
 const (
-	Accepting   TargetState = iota
-	Refusing                // nobody listens there: connections are refused
-	Unreachable             // its machine is off the network: connections never come up
+	Accepting   TargetState = iota // connections are accepted
+	Refusing                       // no listener: connections are refused
+	Unreachable                    // host off the network: connections are never established
 )
 
-// again is how long the system waits at the least before it sends again what TCP has lost (RFC 6298 as Linux has it).
-const again = 200 * time.Millisecond
+// retransmitTimeout is Linux's minimum TCP retransmission timeout (see RFC 6298).
+const retransmitTimeout = 200 * time.Millisecond
 
-// Relay is one path. It is safe for concurrent use.
+// Relay is one path between clients and a target. It is safe for concurrent use.
 type Relay struct {
-	target string
-	ended  func(half string)
-	wait   sync.WaitGroup
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	state   State
-	changed chan struct{} // closed at each change of state
-	closed  bool
-	at      TargetState
-	address string           // to listen at
-	ln      *net.TCPListener // nil while connections are refused
-	block   *AcceptBlocker
-	pairs   map[*pair]bool
-	packets *net.UDPConn
-	peers   map[string]*net.UDPConn // sockets to the target, by who sends
+	targetAddress string
+	onClientClose func(address string)
+	tasks         sync.WaitGroup
+
+	mu            sync.Mutex
+	rng           *rand.Rand
+	state         State
+	changed       chan struct{} // closed and replaced at each change of state
+	closed        bool
+	targetState   TargetState
+	listenAddress string           // where ln listens
+	ln            *net.TCPListener // nil while connections are refused
+	blocker       *AcceptBlocker
+	conns         map[*proxiedConn]bool
+	udpConn       *net.UDPConn
+	targetConns   map[string]*net.UDPConn // sockets to the target, by the sender's address
 }
 
-// ListenTCP opens a path for connections. The seed draws what is lost.
+// ListenTCP opens a path for TCP connections. The seed determines which chunks are lost.
 func ListenTCP(address, target string, seed uint64) (*Relay, error) {
 	r := newRelay(target, seed)
-	r.address = address
+	r.listenAddress = address
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r, r.fit()
+	return r, r.updateListener()
 }
 
-// Ended has a function told when who connected has ended its side, or broken it, whatever the path lets through; the
-// address is that of the connection's other half, as the target sees it. It is set before anybody connects.
-func (r *Relay) OnClientClose(tell func(half string)) {
+// OnClientClose sets a function that is called when a client closes or resets its side of a connection, even while the path is
+// blocked. Its argument is the address from which the relay connected to the target, as the target sees it. It must be set
+// before the first client connects.
+func (r *Relay) OnClientClose(f func(address string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = tell
+	r.onClientClose = f
 }
 
-// ListenUDP opens a path for datagrams. Answers of the target go back to who sent.
+// ListenUDP opens a path for datagrams. Replies of the target go back to the sender. The seed determines which datagrams are lost.
 func ListenUDP(address, target string, seed uint64) (*Relay, error) {
 	r := newRelay(target, seed)
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	if r.packets, err = net.ListenUDP("udp", at); err != nil {
+	if r.udpConn, err = net.ListenUDP("udp", at); err != nil {
 		return nil, err
 	}
-	r.wait.Go(r.forward)
+	r.tasks.Go(r.forwardDatagrams)
 	return r, nil
 }
 
-// Listen opens a listener where another may just have been closed: a process that is being started holds a copy of what
-// was open until it has become another program, so the address may be in use for a moment.
+// Listen opens a listener at an address whose previous listener may just have been closed. It retries while the address is in
+// use: a child process that is being started inherits the open sockets until it calls exec, so the address can stay in use
+// for a moment.
 func Listen(address string) (*net.TCPListener, error) {
 	for n := 0; ; n++ {
 		ln, err := net.Listen("tcp", address)
@@ -104,61 +106,62 @@
 }
 
 func newRelay(target string, seed uint64) *Relay {
-	return &Relay{target: target, rng: rand.New(rand.NewPCG(seed, 0x72656c6179)), changed: make(chan struct{}),
-		pairs: map[*pair]bool{}, peers: map[string]*net.UDPConn{}}
+	return &Relay{targetAddress: target, rng: rand.New(rand.NewPCG(seed, 0x72656c6179)), changed: make(chan struct{}),
+		conns: map[*proxiedConn]bool{}, targetConns: map[string]*net.UDPConn{}}
 }
 
-// Set changes the state of the path.
+// SetState sets the faults on the path.
 func (r *Relay) SetState(s State) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = s
 	close(r.changed)
 	r.changed = make(chan struct{})
-	return r.fit()
+	return r.updateListener()
 }
 
-// Target tells what stands at the path's end, so that who connects sees the same here.
+// SetTargetState sets the state of the target, which clients then see at the relay's own listener.
 func (r *Relay) SetTargetState(t TargetState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at = t
-	return r.fit()
+	r.targetState = t
+	return r.updateListener()
 }
 
-// fit has the listener be as the path and its end are: a handshake needs both ways and somebody who answers.
-func (r *Relay) fit() error {
+// updateListener opens, blocks or closes the listener according to the states of the path and the target. A TCP handshake
+// needs both directions and a host that answers. The caller holds r.mu.
+func (r *Relay) updateListener() error {
 	if r.closed {
 		return net.ErrClosed
 	}
-	if r.packets != nil {
+	if r.udpConn != nil {
 		return nil
 	}
-	switch want := r.at; {
-	case want == Refusing:
-		r.shut()
-	case want == Unreachable || r.state.BlockForward || r.state.BlockReverse:
-		if r.ln != nil && r.block == nil {
-			r.block = NewAcceptBlocker(r.ln, &r.wait)
+	switch target := r.targetState; {
+	case target == Refusing:
+		r.closeListener()
+	case target == Unreachable || r.state.BlockForward || r.state.BlockReverse:
+		if r.ln != nil && r.blocker == nil {
+			r.blocker = NewAcceptBlocker(r.ln, &r.tasks)
 		}
-	case r.ln == nil || r.block != nil:
-		// A listener that was blocked is not opened again: what queued there is reset, as after a long silence.
-		r.shut()
-		ln, err := Listen(r.address)
+	case r.ln == nil || r.blocker != nil:
+		// A blocked listener is replaced, not reused: the connections in its queue are reset, as after a long outage.
+		r.closeListener()
+		ln, err := Listen(r.listenAddress)
 		if err != nil {
 			return fmt.Errorf("relay: %w", err)
 		}
-		r.ln, r.address = ln, ln.Addr().String()
-		r.wait.Go(func() { r.accept(ln) })
+		r.ln, r.listenAddress = ln, ln.Addr().String()
+		r.tasks.Go(func() { r.accept(ln) })
 	}
 	return nil
 }
 
-// shut closes the listener, if it stands.
-func (r *Relay) shut() {
-	if r.block != nil {
-		r.block.Release()
-		r.block = nil
+// closeListener closes the listener if it is open, and releases its blocker. The caller holds r.mu.
+func (r *Relay) closeListener() {
+	if r.blocker != nil {
+		r.blocker.Release()
+		r.blocker = nil
 	}
 	if r.ln != nil {
 		r.ln.Close()
@@ -166,45 +169,45 @@
 	}
 }
 
-// Reset breaks all connections that stand.
+// Reset resets all established connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
+	for p := range r.conns {
 		p.reset()
 	}
 }
 
-// Close ends the path and all that stands on it, and waits for it.
+// Close closes the listener and all connections and waits for the relay's goroutines to end.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if !r.closed {
 		r.closed = true
 		close(r.changed)
-		r.shut()
-		if r.packets != nil {
-			r.packets.Close()
+		r.closeListener()
+		if r.udpConn != nil {
+			r.udpConn.Close()
 		}
-		for _, c := range r.peers {
+		for _, c := range r.targetConns {
 			c.Close()
 		}
-		for p := range r.pairs {
+		for p := range r.conns {
 			p.reset()
 		}
 	}
 	r.mu.Unlock()
-	r.wait.Wait()
+	r.tasks.Wait()
 }
 
-// now is the state, and what is closed when it changes; ok is false once the path is closed.
-func (r *Relay) now() (s State, changed chan struct{}, ok bool) {
+// current returns the state and the channel that is closed when it changes. ok is false once the path is closed.
+func (r *Relay) current() (s State, changed chan struct{}, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.changed, !r.closed
 }
 
-// lost draws whether a piece or a datagram is lost.
-func (r *Relay) lost() bool {
+// drawLoss decides at random whether a chunk or a datagram is lost.
+func (r *Relay) drawLoss() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Loss > 0 && r.rng.Float64() < r.state.Loss
@@ -216,129 +219,128 @@
 		if err != nil {
 			return
 		}
-		r.wait.Go(func() { r.join(c.(*net.TCPConn)) })
+		r.tasks.Go(func() { r.serveConn(c.(*net.TCPConn)) })
 	}
 }
 
-// join carries one connection to its end.
-func (r *Relay) join(near *net.TCPConn) {
-	defer near.Close()
-	far, err := net.DialTimeout("tcp", r.target, 5*time.Second)
+// serveConn connects to the target and forwards one client connection until it ends.
+func (r *Relay) serveConn(client *net.TCPConn) {
+	defer client.Close()
+	target, err := net.DialTimeout("tcp", r.targetAddress, 5*time.Second)
 	if err != nil {
-		near.SetLinger(0) // refused there, so reset here
+		client.SetLinger(0) // the target refused it, so the client gets a reset
 		return
 	}
-	defer far.Close()
-	p := &pair{relay: r, near: near, far: far.(*net.TCPConn), gone: make(chan struct{})}
+	defer target.Close()
+	p := &proxiedConn{relay: r, client: client, target: target.(*net.TCPConn), closed: make(chan struct{})}
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
 		return
 	}
-	r.pairs[p] = true
+	r.conns[p] = true
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.pairs, p)
+		delete(r.conns, p)
 		r.mu.Unlock()
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { p.carry(p.near, p.far, func(s State) bool { return s.BlockForward }, p.sent) })
-	both.Go(func() { p.carry(p.far, p.near, func(s State) bool { return s.BlockReverse }, p.answered) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyChunks(p.client, p.target, func(s State) bool { return s.BlockForward }, p.recordSent) })
+	directions.Go(func() { p.copyChunks(p.target, p.client, func(s State) bool { return s.BlockReverse }, p.recordReply) })
+	directions.Wait()
 }
 
-// pair is one connection and its other half.
-type pair struct {
-	relay     *Relay
-	near, far *net.TCPConn
-	once      sync.Once
-	gone      chan struct{}
-
-	mu    sync.Mutex
-	asked time.Time // the first byte since the last that came back; zero for none
+// proxiedConn is one client connection with its connection to the target.
+type proxiedConn struct {
+	relay          *Relay
+	client, target *net.TCPConn
+	resetOnce      sync.Once
+	closed         chan struct{} // closed by reset
+	mu             sync.Mutex
+	pendingSince   time.Time // when the client sent the first byte since the target's last reply; zero for none
 }
 
-// sent takes note of what who connected has sent.
-func (p *pair) sent(x piece) {
+// recordSent records a chunk that the client sent and reports the end of its side.
+func (p *proxiedConn) recordSent(x chunk) {
 	p.relay.mu.Lock()
-	tell := p.relay.ended
+	onClose := p.relay.onClientClose
 	p.relay.mu.Unlock()
-	if x.end && tell != nil {
-		tell(p.far.LocalAddr().String())
+	if x.last && onClose != nil {
+		onClose(p.target.LocalAddr().String())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asked.IsZero() {
-		p.asked = time.Now()
+	if p.pendingSince.IsZero() {
+		p.pendingSince = time.Now()
 	}
 }
 
-// answered takes note of what has come back.
-func (p *pair) answered(piece) {
+// recordReply records that the target replied.
+func (p *proxiedConn) recordReply(chunk) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = time.Time{}
+	p.pendingSince = time.Time{}
 }
 
-// Asked tells when the first byte of what a connection asks now was sent, whenever it came through: the connection is named
-// as to Ended. ok is false if nothing is known of it.
-func (r *Relay) PendingSince(half string) (at time.Time, ok bool) {
+// PendingSince returns when the client sent the first byte of the request that is pending on a connection, even if the path
+// delayed it. The connection is identified as for OnClientClose. ok is false if it is unknown or has nothing pending.
+func (r *Relay) PendingSince(address string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		if p.far.LocalAddr().String() == half {
+	for p := range r.conns {
+		if p.target.LocalAddr().String() == address {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.asked, !p.asked.IsZero()
+			return p.pendingSince, !p.pendingSince.IsZero()
 		}
 	}
 	return time.Time{}, false
 }
 
-// reset breaks both halves without a word of what was on its way.
-func (p *pair) reset() {
-	p.once.Do(func() {
-		close(p.gone)
-		p.near.SetLinger(0)
-		p.far.SetLinger(0)
-		p.near.Close()
-		p.far.Close()
+// reset resets both connections. Chunks in transit are discarded.
+func (p *proxiedConn) reset() {
+	p.resetOnce.Do(func() {
+		close(p.closed)
+		p.client.SetLinger(0)
+		p.target.SetLinger(0)
+		p.client.Close()
+		p.target.Close()
 	})
 }
 
-// piece is what was read at once; end says that nothing follows.
-type piece struct {
-	due  time.Time
-	data []byte
-	end  bool
-	cut  bool // the end was a reset
+// chunk is the result of one read.
+type chunk struct {
+	due   time.Time // when it may be delivered
+	data  []byte
+	last  bool // nothing follows
+	reset bool // the connection ended by a reset, not by a close
 }
 
 const (
-	most  = 32 << 10 // bytes of a piece
-	ahead = 64       // pieces under way in one direction; beyond it the sender waits, as at a full window
+	maxChunkSize    = 32 << 10 // bytes read at once
+	maxQueuedChunks = 64       // chunks in transit in one direction; beyond that the sender blocks, as with a full TCP window
 )
 
-// carry passes what comes from one half on to the other, each piece when it is due and the way is not cut.
-func (p *pair) carry(from, to *net.TCPConn, cut func(State) bool, note func(piece)) {
-	under := make(chan piece, ahead)
+// copyChunks forwards the chunks of one direction, each when it is due and the direction is not blocked.
+func (p *proxiedConn) copyChunks(from, to *net.TCPConn, blocked func(State) bool, record func(chunk)) {
+	queue := make(chan chunk, maxQueuedChunks)
 	var reader sync.WaitGroup
 	reader.Go(func() {
-		defer close(under)
-		buf := make([]byte, most)
+		defer close(queue)
+		buf := make([]byte, maxChunkSize)
 		for {
 			n, err := from.Read(buf)
-			s, _, _ := p.relay.now()
+			s, _, _ := p.relay.current()
 			due := time.Now().Add(s.Delay)
-			if n > 0 && p.relay.lost() {
-				due = due.Add(again)
+			if n > 0 && p.relay.drawLoss() {
+				due = due.Add(retransmitTimeout)
 			}
-			x := piece{due: due, data: append([]byte(nil), buf[:n]...), end: err != nil, cut: err != nil && err != io.EOF}
-			note(x)
+			x := chunk{due: due, data: append([]byte(nil), buf[:n]...), last: err != nil, reset: err != nil && err != io.EOF}
+			record(x)
 			select {
-			case under <- x:
-			case <-p.gone:
+			case queue <- x:
+			case <-p.closed:
 				return
 			}
 			if err != nil {
@@ -347,8 +349,8 @@
 		}
 	})
 	defer reader.Wait()
-	for x := range under {
-		if !p.pass(x.due, cut) {
+	for x := range queue {
+		if !p.waitToDeliver(x.due, blocked) {
 			break
 		}
 		if len(x.data) > 0 {
@@ -358,81 +360,81 @@
 			}
 		}
 		switch {
-		case x.cut:
+		case x.reset:
 			p.reset()
-		case x.end:
+		case x.last:
 			to.CloseWrite()
 		}
 	}
-	for range under { // the reader must not wait for a place
+	for range queue { // drain the queue, so that the reader does not block on it
 	}
 }
 
-// pass waits until a piece is due and its way is open; false if the connection has ended meanwhile.
-func (p *pair) pass(due time.Time, cut func(State) bool) bool {
+// waitToDeliver waits until a chunk is due and its direction is not blocked. It returns false if the connection ends first.
+func (p *proxiedConn) waitToDeliver(due time.Time, blocked func(State) bool) bool {
 	if wait := time.Until(due); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-		case <-p.gone:
+		case <-p.closed:
 			return false
 		}
 	}
 	for {
-		s, changed, ok := p.relay.now()
+		s, changed, ok := p.relay.current()
 		switch {
 		case !ok:
 			return false
-		case !cut(s):
+		case !blocked(s):
 			return true
 		}
 		select {
 		case <-changed:
-		case <-p.gone:
+		case <-p.closed:
 			return false
 		}
 	}
 }
 
-// forward passes datagrams to the target.
-func (r *Relay) forward() {
+// forwardDatagrams forwards the clients' datagrams to the target.
+func (r *Relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := r.packets.ReadFromUDP(buf)
+		n, from, err := r.udpConn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
 		data := append([]byte(nil), buf[:n]...)
-		to := r.peer(from)
+		to := r.targetConn(from)
 		if to == nil {
 			continue
 		}
-		r.later(func(s State) bool { return s.BlockForward }, func() { to.Write(data) })
+		r.deliverDatagram(func(s State) bool { return s.BlockForward }, func() { to.Write(data) })
 	}
 }
 
-// later does something after the path's delay, unless the datagram is lost or its way is cut.
-func (r *Relay) later(cut func(State) bool, do func()) {
-	s, _, ok := r.now()
-	if !ok || cut(s) || r.lost() {
+// deliverDatagram calls send after the path's delay, unless the datagram is lost or its direction is blocked.
+func (r *Relay) deliverDatagram(blocked func(State) bool, send func()) {
+	s, _, ok := r.current()
+	if !ok || blocked(s) || r.drawLoss() {
 		return
 	}
 	if s.Delay <= 0 {
-		do()
+		send()
 		return
 	}
-	time.AfterFunc(s.Delay, do) // after Close the sockets are closed, and it does nothing
+	time.AfterFunc(s.Delay, send) // after Close the socket is closed and send has no effect
 }
 
-// peer is the socket by which what one sender sends goes to the target; what comes back on it goes to that sender.
-func (r *Relay) peer(from *net.UDPAddr) *net.UDPConn {
+// targetConn returns the socket that forwards a sender's datagrams to the target. Replies received on it go back to that sender.
+func (r *Relay) targetConn(from *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.peers[from.String()]; c != nil || r.closed {
+	if c := r.targetConns[from.String()]; c != nil || r.closed {
 		return c
 	}
-	at, err := net.ResolveUDPAddr("udp", r.target)
+	at, err := net.ResolveUDPAddr("udp", r.targetAddress)
 	if err != nil {
 		return nil
 	}
@@ -440,20 +442,20 @@
 	if err != nil {
 		return nil
 	}
-	r.peers[from.String()] = c
-	r.wait.Go(func() {
+	r.targetConns[from.String()] = c
+	r.tasks.Go(func() {
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := c.Read(buf)
 			if err != nil {
-				if _, _, ok := r.now(); !ok {
+				if _, _, ok := r.current(); !ok {
 					return
 				}
-				time.Sleep(time.Millisecond) // the target refused a datagram: others may come through
+				time.Sleep(time.Millisecond) // the target refused a datagram; later ones may be delivered
 				continue
 			}
 			data := append([]byte(nil), buf[:n]...)
-			r.later(func(s State) bool { return s.BlockReverse }, func() { r.packets.WriteToUDP(data, from) })
+			r.deliverDatagram(func(s State) bool { return s.BlockReverse }, func() { r.udpConn.WriteToUDP(data, from) })
 		}
 	})
 	return c
