--- a/cmd/kitewood-lab/proxies.go
+++ b/cmd/kitewood-lab/proxies.go
@@ -126,7 +126,7 @@
 			x.err = x.play(ctx, base, c.Duration("duration"), emulator.Proxies{Program: own, Control: control})
 			if x.err == nil {
 				fmt.Fprintf(c.Root().ErrWriter, "%s, %s, seed %d: service %s, p99 %.0f ms, %d broken rules\n", x.scenario, x.policy, x.seed,
-					f3(x.sum.Service.Service), x.sum.Latency.P99, x.sum.Broken())
+					f3(x.sum.Service.Service), x.sum.Latency.P99, x.sum.Violations())
 			}
 		})
 	}
--- a/cmd/kitewood-lab/soak_test.go
+++ b/cmd/kitewood-lab/soak_test.go
@@ -18,7 +18,7 @@
 		Clients    int
 		Attempts   int
 		Faults     []any
-		Violations []ledger.Breach
+		Violations []ledger.Violation
 	}
 }
 
--- a/internal/lab/drill/controlservice.go
+++ b/internal/lab/drill/controlservice.go
@@ -25,7 +25,7 @@
 // startControlWith starts a control service with these lines of pools and routes.
 func startControlWith(o Options, dir, name, pools, routes string) (*controlService, error) {
 	// GOMAXPROCS are the cores that the figures are stated for.
-	c, err := child.StartControl(o.Control, dir, name, "pools:\n"+pools+"routes:\n"+routes, "GOMAXPROCS=4")
+	c, err := child.StartControl(o.ControlBinary, dir, name, "pools:\n"+pools+"routes:\n"+routes, "GOMAXPROCS=4")
 	return &controlService{c}, err
 }
 
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -16,10 +16,10 @@
 
 // etcdChaosDrill breaks a cluster in all ways that the stand-in knows.
 var etcdChaosDrill = Drill{
-	Name:    "etcd-chaos",
-	About:   "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
-	Control: true,
-	Run:     runEtcdChaos,
+	Name:         "etcd-chaos",
+	Description:  "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
+	NeedsControl: true,
+	Run:          runEtcdChaos,
 }
 
 // chaosOracle knows what the list has to be: what was written, and bad words that a restored state does not take back.
@@ -111,7 +111,7 @@
 		began := time.Now()
 		wrong := ""
 		err := r.until(ctx, "the list is the truth", func() bool {
-			all, err := control.AskMembers(r.admin)
+			all, err := control.QueryMembers(r.admin)
 			if err != nil || len(all) != 1 {
 				return false
 			}
@@ -145,7 +145,7 @@
 	}
 	// read is what the service has read of etcd.
 	read := func() (out membership.SourceView) {
-		if all, err := control.AskMembers(r.admin); err == nil && len(all) == 1 {
+		if all, err := control.QueryMembers(r.admin); err == nil && len(all) == 1 {
 			out = all[0].Sources[0]
 		}
 		return out
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -114,10 +114,10 @@
 	endpoints, _ := json.Marshal(r.cluster.Addresses())
 	rest := fmt.Sprintf("admin: %s\npools:\n  - {name: web, members: {etcd: {endpoints: %s, prefix: %s}, serve: %q%s}, "+
 		"classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\nroutes: [{hosts: [web.test], pool: web}]\n", r.admin, endpoints, etcdPrefix, r.served, more)
-	if r.service, err = child.StartControl(o.Control, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
+	if r.service, err = child.StartControl(o.ControlBinary, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
 		return r, err
 	}
-	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.AskMembers(r.admin); return err == nil }); err != nil {
+	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.QueryMembers(r.admin); return err == nil }); err != nil {
 		return r, err
 	}
 	if told == nil && sidecars+proxies == 0 { // nobody asks what was seen when, and following costs the service a look at all
--- a/internal/lab/drill/pools.go
+++ b/internal/lab/drill/pools.go
@@ -10,9 +10,9 @@
 
 // poolsDrill brings trouble to one pool of three.
 var poolsDrill = Drill{
-	Name:  "pools",
-	About: "one pool of three freezes, is flooded, fails, comes and goes, or all descriptors are asked for: the others serve as before",
-	Run:   runPools,
+	Name:        "pools",
+	Description: "one pool of three freezes, is flooded, fails, comes and goes, or all descriptors are asked for: the others serve as before",
+	Run:         runPools,
 }
 
 // poolLimit is how many operations the troubled pool may have open.
--- a/internal/lab/drill/xdsdrain.go
+++ b/internal/lab/drill/xdsdrain.go
@@ -19,10 +19,10 @@
 
 // xdsDrainDrill drains instances while two proxies send to them.
 var xdsDrainDrill = Drill{
-	Name:    "xds-drain",
-	About:   "two proxies, the lab's and gRPC's own client, under steady load: nothing new at a draining instance 500 ms after the word",
-	Control: true,
-	Run:     runXDSDrain,
+	Name:         "xds-drain",
+	Description:  "two proxies, the lab's and gRPC's own client, under steady load: nothing new at a draining instance 500 ms after the word",
+	NeedsControl: true,
+	Run:          runXDSDrain,
 }
 
 const (
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -16,10 +16,10 @@
 // xdsReconnectDrill replaces nearly a whole pool while the proxies' streams break.
 var xdsReconnectDrill = Drill{
 	Name: "xds-reconnect",
-	About: "98% of the instances are replaced while proxies are cut off at random and one control service of two is killed: " +
+	Description: "98% of the instances are replaced while proxies are cut off at random and one control service of two is killed: " +
 		"nothing sent to what is gone, no list emptied, no cold instance pushed over",
-	Control: true,
-	Run:     runXDSReconnect,
+	NeedsControl: true,
+	Run:          runXDSReconnect,
 }
 
 // The cold start of the drill's instances, as the configuration has it by default, and how far they are used when warm.
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -38,26 +38,26 @@
 
 // client carries one piece of business through its tries.
 func (w *World) client(ctx context.Context, c *model.Client, n int) {
-	try := c.First()
+	try := c.FirstAttempt()
 	for more := true; more; {
 		if !w.sleep(ctx, try.At) {
 			return
 		}
-		end, why := w.caller.try(w.pick(), call{class: c.Class, work: c.Work, deadline: try.Deadline, client: n, intended: c.Asked,
-			repeat: try.Repeat, leaves: w.leaves(c.Asked, try, n)})
+		end, why := w.caller.try(w.pick(), call{class: c.ClassIndex, work: c.Work, deadline: try.Deadline, client: n, intended: c.StartedAt,
+			repeat: try.Retry, leaves: w.leaves(c.StartedAt, try, n)})
 		now := w.book.Now()
 		switch {
-		case end == model.TryServed && now <= c.Asked+w.s.Classes[c.Class].Aim.D():
+		case end == model.AttemptServed && now <= c.StartedAt+w.s.Classes[c.ClassIndex].Aim.D():
 			w.inTime.Add(1)
-		case end != model.TryServed:
+		case end != model.AttemptServed:
 			w.errors.Add(1)
 		}
-		try, more = c.Next(now, end, why.advice())
+		try, more = c.NextAttempt(now, end, why.advice())
 	}
 }
 
 // leaves is when a client closes its connection before its time is over, 0 if it does not.
-func (w *World) leaves(asked time.Duration, try model.Try, client int) time.Duration {
+func (w *World) leaves(asked time.Duration, try model.ClientAttempt, client int) time.Duration {
 	rng := model.NewRand(w.seed^uint64(client), 7+uint64(try.At-asked))
 	if rng.Float64() >= w.s.Clients.Leave {
 		return 0
@@ -71,7 +71,7 @@
 	w.frontMu.Lock()
 	w.picks++
 	for s := range w.ending {
-		if pool := s.client(); w.picks%2 == 0 && pool != nil && pool.Rests() {
+		if pool := s.client(); w.picks%2 == 0 && pool != nil && pool.HasIdle() {
 			w.frontMu.Unlock()
 			return s
 		}
--- a/internal/lab/emulator/parts_test.go
+++ b/internal/lab/emulator/parts_test.go
@@ -18,12 +18,12 @@
 
 // Each way of spoiling is what its name says to a client that reads the answer by the book.
 func TestSpoiltAnswers(t *testing.T) {
-	for spoil, c := range map[model.Spoil]struct {
+	for spoil, c := range map[model.Corruption]struct {
 		good   bool // an answer with its own body comes out
 		behind bool // something is left behind it
 	}{
-		model.Whole: {true, false}, model.Noise: {}, model.BadHead: {}, model.EndlessHead: {}, model.LongLength: {}, model.HugeLength: {},
-		model.SecondCopy: {true, true}, model.NoiseBehind: {true, true}, model.BadReport: {true, false}, model.Interim: {true, false},
+		model.Intact: {true, false}, model.Garbage: {}, model.MalformedHead: {}, model.EndlessHead: {}, model.OverlongLength: {}, model.HugeLength: {},
+		model.DuplicateResponse: {true, true}, model.TrailingGarbage: {true, true}, model.MalformedReport: {true, false}, model.InterimResponse: {true, false},
 	} {
 		a := answer{outcome: model.Served, spoil: spoil, status: 200, body: body("id", token("i", 7)), load: "queue=1"}
 		in := bufio.NewReader(bytes.NewReader(a.text()))
--- a/internal/lab/emulator/paths.go
+++ b/internal/lab/emulator/paths.go
@@ -91,9 +91,9 @@
 // change breaks a sidecar's paths, or heals what was broken.
 func (p *paths) change(s *sidecar, b *scenario.Path, broken bool) error {
 	if b.To == scenario.PathDiscovery {
-		kind := ledger.Hears
+		kind := ledger.DiscoveryPathRestored
 		if broken {
-			kind = ledger.Deaf
+			kind = ledger.DiscoveryPathCut
 		}
 		p.w.book.Add(ledger.Entry{Kind: kind, Sidecar: s.name, Tier: s.tier})
 	}
--- a/internal/lab/emulator/proxies.go
+++ b/internal/lab/emulator/proxies.go
@@ -87,7 +87,7 @@
 	}
 	select {
 	case <-w.controls.Ended:
-		w.book.Add(ledger.Entry{Kind: ledger.Crashed, Sidecar: "control", Note: w.controls.Said()})
+		w.book.Add(ledger.Entry{Kind: ledger.SidecarCrashed, Sidecar: "control", Note: w.controls.Said()})
 	default:
 		w.controls.Kill()
 	}
--- a/internal/lab/emulator/timeline.go
+++ b/internal/lab/emulator/timeline.go
@@ -21,7 +21,7 @@
 			return
 		}
 		w.log.Debug("timeline", "at", w.book.Now().Round(time.Millisecond), "event", e.String())
-		w.book.Add(ledger.Entry{Kind: ledger.Trouble, Instance: e.Instance, Note: e.String()})
+		w.book.Add(ledger.Entry{Kind: ledger.FaultInjected, Instance: e.Instance, Note: e.String()})
 		if i := w.instance(e.Instance); i != nil {
 			w.happen(i, e, &open)
 			continue
@@ -60,15 +60,15 @@
 	case scenario.Return:
 		open.Go(func() { w.bringBack(i) })
 	case scenario.Slow:
-		i.do(func() { i.model.Slow(now, e.Factor) })
+		i.do(func() { i.model.SetSlowdown(now, e.Factor) })
 	case scenario.Pause:
 		i.do(func() { i.model.Pause(now, e.Span) })
 	case scenario.LateReports:
-		i.do(func() { i.model.LateReports(now, e.Span) })
+		i.do(func() { i.model.SetReportDelay(now, e.Span) })
 	case scenario.SpoilAnswers:
-		i.do(func() { i.model.Spoil(now, e.Factor) })
+		i.do(func() { i.model.SetCorruptShare(now, e.Factor) })
 	case scenario.Busy:
-		i.do(func() { i.model.Busy(now, e.Factor > 0) })
+		i.do(func() { i.model.SetRejecting(now, e.Factor > 0) })
 	case scenario.Misroute:
 		i.do(func() { i.misled = e.Factor > 0 })
 	case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.HealPath, scenario.BreakWatches:
@@ -209,7 +209,7 @@
 func (w *World) died(s *sidecar, notice time.Duration) {
 	w.frontMu.Lock()
 	defer w.frontMu.Unlock()
-	w.front.Died(w.book.Now()+notice, s.name)
+	w.front.MarkDead(w.book.Now()+notice, s.name)
 }
 
 func (w *World) again(s *sidecar) {
@@ -219,7 +219,7 @@
 	}
 	w.frontMu.Lock()
 	defer w.frontMu.Unlock()
-	w.front.Admit(s.name, w.shareOf(s))
+	w.front.AddSidecar(s.name, w.shareOf(s))
 }
 
 // failStart ends the run because a sidecar could not be started, unless the run is ending anyway.
--- a/internal/lab/etcd/etcd_test.go
+++ b/internal/lab/etcd/etcd_test.go
@@ -210,7 +210,7 @@
 	if err := c.Restore(backup); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the restored cluster serves", func() bool {
+	testkit.WaitUntil(t, "the restored cluster serves", func() bool {
 		r, err := behind.Get(x, "a")
 		return err == nil && string(r.Kvs[0].Value) == "1" && r.Header.ClusterId != before.Header.ClusterId && r.Header.Revision < before.Header.Revision
 	})
@@ -385,7 +385,7 @@
 			if err := m.Break(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Until(t, "it serves again", func() bool { _, err := k.Get(ctx(t), "x"); return err == nil })
+			testkit.WaitUntil(t, "it serves again", func() bool { _, err := k.Get(ctx(t), "x"); return err == nil })
 		}
 	}
 	r, err := k.Put(ctx(t), "a1", "end")
@@ -416,5 +416,5 @@
 	if err := k.RequestProgress(ctx(t)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
+	testkit.WaitUntil(t, "the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -44,7 +44,7 @@
 // Result is what a run showed.
 type Result struct {
 	Summary  *results.Summary
-	Breaches []ledger.Breach
+	Breaches []ledger.Violation
 	Account  *account.Account
 	Sidecars int
 	Plan     []Fault // as they were drawn
@@ -110,19 +110,19 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := ownViolations(filepath.Join(o.Dir, "sidecars"), run.Took)
+	own, err := ownViolations(filepath.Join(o.Dir, "sidecars"), run.Duration)
 	if err != nil {
 		return nil, err
 	}
 	run.Entries = append(run.Entries, own...)
-	head := results.Head("run", s.Name, o.Seed, started)
+	head := results.NewSummary("run", s.Name, o.Seed, started)
 	head.Binary = o.Binary
 	rules := s.Rules()
 	if o.Slack > 0 {
 		rules.Slack = o.Slack
 	}
-	r := &Result{Sidecars: Size(s), Plan: faults(run.Plan), Account: account.Of(run.Entries, s.Served())}
-	if r.Summary, r.Breaches, err = results.KeepRun(o.Dir, s, rules, head, run); err != nil {
+	r := &Result{Sidecars: Size(s), Plan: faults(run.Plan), Account: account.Summarize(run.Entries, s.Served())}
+	if r.Summary, r.Breaches, err = results.WriteRun(o.Dir, s, rules, head, run); err != nil {
 		return nil, err
 	}
 	if err := keep(o.Dir, AccountFile, r.Account); err != nil {
--- a/internal/lab/fleet/own.go
+++ b/internal/lab/fleet/own.go
@@ -29,7 +29,7 @@
 			return nil, err
 		}
 		for _, line := range lines {
-			out = append(out, ledger.Entry{At: took, Kind: ledger.Own, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
+			out = append(out, ledger.Entry{At: took, Kind: ledger.OwnCheckFailed, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
 		}
 	}
 	return out, nil
--- a/internal/lab/fleet/soak.go
+++ b/internal/lab/fleet/soak.go
@@ -37,15 +37,15 @@
 
 // SoakResult is what one seed showed.
 type SoakResult struct {
-	Seed       uint64          `json:"seed"`
-	Form       string          `json:"form"` // of the sidecars' configuration
-	Sidecars   int             `json:"sidecars"`
-	Clients    int             `json:"clients"`
-	Served     float64         `json:"served"` // share of the clients, in time
-	Attempts   int             `json:"attempts"`
-	Faults     []Fault         `json:"faults"`
-	Violations []ledger.Breach `json:"violations"`
-	Dir        string          `json:"dir"`
+	Seed       uint64             `json:"seed"`
+	Form       string             `json:"form"` // of the sidecars' configuration
+	Sidecars   int                `json:"sidecars"`
+	Clients    int                `json:"clients"`
+	Served     float64            `json:"served"` // share of the clients, in time
+	Attempts   int                `json:"attempts"`
+	Faults     []Fault            `json:"faults"`
+	Violations []ledger.Violation `json:"violations"`
+	Dir        string             `json:"dir"`
 }
 
 // Soak plays one seed: a fleet under faults that overlap in time, judged by every invariant of the ledger and by the
@@ -66,13 +66,13 @@
 	if r.Summary.CutShort {
 		return nil, context.Cause(ctx)
 	}
-	out := &SoakResult{Seed: o.Seed, Form: s.Sidecar.Form, Sidecars: r.Sidecars, Clients: r.Summary.Service.Clients, Attempts: r.Account.Attempts,
+	out := &SoakResult{Seed: o.Seed, Form: s.Sidecar.Form, Sidecars: r.Sidecars, Clients: r.Summary.Service.ClientRequests, Attempts: r.Account.Attempts,
 		Faults: r.Plan, Violations: r.Breaches, Dir: o.Dir}
 	if out.Clients > 0 {
 		out.Served = float64(r.Summary.Service.InTime) / float64(out.Clients)
 	}
 	if out.Violations == nil {
-		out.Violations = []ledger.Breach{}
+		out.Violations = []ledger.Violation{}
 	}
 	return out, nil
 }
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -137,8 +137,8 @@
 }
 
 // cold is how an instance of a tier starts, in the model's terms.
-func (s *Scenario) cold(t *Tier) model.Cold {
-	return model.Cold{Share: t.Cold.Share, Time: t.Cold.Time.D(), Multiple: t.Cold.Multiple, Window: t.Cold.Window.D(), Mean: s.meanWork() * t.Work}
+func (s *Scenario) cold(t *Tier) model.ColdStart {
+	return model.ColdStart{InitialShare: t.Cold.Share, Duration: t.Cold.Time.D(), LoadFactor: t.Cold.Multiple, Window: t.Cold.Window.D(), MeanWork: s.meanWork() * t.Work}
 }
 
 // capacity is how many requests a second the tier that runs out first can do.
@@ -204,14 +204,14 @@
 	return Machine{Name: name, Tier: tier, Kind: k.Name, Number: number, Config: t.config(k, k.Speed.Draw(l.rng), l.s.cold(t))}
 }
 
-func (t *Tier) config(k Kind, speed float64, cold model.Cold) model.Config {
-	return model.Config{Cores: k.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
-		Errors: t.Errors, Spoilt: t.Spoilt, Cold: cold,
-		Choke: model.Choke{Waiting: t.Choke.Waiting, Over: t.Choke.Over.D(), Slower: t.Choke.Slower, Below: t.Choke.Below,
-			Rest: t.Choke.Rest.D(), Most: t.Choke.Most.D()},
-		Conns: model.Conns{Cost: t.Conns.Cost.D(), Delay: t.Conns.Delay.D(), Cap: t.Conns.Cap * k.Cores, Tax: t.Conns.Tax,
-			Idle: t.Conns.Idle.D()},
-		Reports: model.Reports{Period: t.Reports.Period.D(), Delay: t.Reports.Delay.D(), Noise: t.Reports.Noise}}
+func (t *Tier) config(k Kind, speed float64, cold model.ColdStart) model.Config {
+	return model.Config{Cores: k.Cores, Speed: speed, Slots: t.Slots, QueueLimit: t.Queue, ThrashFactor: t.Thrash, ThrashThreshold: t.ThrashAt,
+		ErrorShare: t.Errors, CorruptShare: t.Spoilt, ColdStart: cold,
+		Overload: model.Overload{QueuedPerCore: t.Choke.Waiting, TriggerAfter: t.Choke.Over.D(), Slowdown: t.Choke.Slower, RecoverBelow: t.Choke.Below,
+			RecoverAfter: t.Choke.Rest.D(), MaxDuration: t.Choke.Most.D()},
+		Connections: model.ConnectionCosts{HandshakeWork: t.Conns.Cost.D(), FirstRequestDelay: t.Conns.Delay.D(), TableSize: t.Conns.Cap * k.Cores, FullTableLoss: t.Conns.Tax,
+			IdleTimeout: t.Conns.Idle.D()},
+		LoadReports: model.LoadReports{Period: t.Reports.Period.D(), Delay: t.Reports.Delay.D(), Noise: t.Reports.Noise}}
 }
 
 // number is how many of some a trouble meets: its count, its part, or all.
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -18,7 +18,7 @@
 		return nil, err
 	}
 	s.fill()
-	wrong := f.Wrong()
+	wrong := f.NewProblemList()
 	s.wrong(wrong.Add)
 	if err := wrong.Err(); err != nil {
 		return nil, err
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -149,7 +149,7 @@
 			t.Fatal(err)
 		}
 		c, err := program.Load(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
-		if err != nil || c.Module.Tier != tier || len(c.Classes) != 2 || c.Classes[1].Methods[0] != "POST" || len(c.LoadFields) != 4 {
+		if err != nil || c.Balancer.Tier != tier || len(c.Classes) != 2 || c.Classes[1].Methods[0] != "POST" || len(c.LoadFields) != 4 {
 			t.Errorf("tier %d: %v %+v", tier, err, c)
 		}
 	}
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -89,38 +89,38 @@
 
 // Rules are the rules by which the ledger of a run is judged.
 func (s *Scenario) Rules() ledger.Rules {
-	r := ledger.Rules{Slack: Slack, DrainGrace: 500 * time.Millisecond, ToldWithin: 6 * time.Second}
+	r := ledger.Rules{Slack: Slack, DrainGrace: 500 * time.Millisecond, NotifiedWithin: 6 * time.Second}
 	for _, c := range s.Classes {
-		r.Safe = append(r.Safe, c.Effect == "safe")
+		r.RetrySafe = append(r.RetrySafe, c.Effect == "safe")
 	}
 	for _, t := range s.Tiers {
-		c := ledger.Cold{Share: t.Cold.Share, Time: t.Cold.Time.D(), Window: t.Cold.Window.D()}
+		c := ledger.SlowStart{InitialShare: t.Cold.Share, Duration: t.Cold.Time.D(), Window: t.Cold.Window.D()}
 		if t.Cold.Multiple > 0 {
-			c.Budget = s.cold(&t).Budget
+			c.WorkBudget = s.cold(&t).Budget
 		}
-		r.Cold = append(r.Cold, c)
+		r.SlowStart = append(r.SlowStart, c)
 	}
 	return r
 }
 
 // Served is how the ledger of a run counts service.
-func (s *Scenario) Served() ledger.Goal {
+func (s *Scenario) Served() ledger.Objective {
 	g := &s.Goal
-	out := ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, LateFail: g.LateFail, Waste: g.Waste,
-		Connection: g.Connection, Probes: g.Probe, Window: g.Window.D(), ByWork: g.WorthBy == "work", Warmup: s.Warmup.D()}
+	out := ledger.Objective{WholeRun: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, LateFailure: g.LateFail, Waste: g.Waste,
+		Connection: g.Connection, Probes: g.Probe, Window: g.Window.D(), UtilityPerWork: g.WorthBy == "work", Warmup: s.Warmup.D()}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, ledger.GoalClass{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D()})
+		out.Classes = append(out.Classes, ledger.ClassObjective{Name: c.Name, Utility: c.Worth, LatencyTarget: c.Aim.D()})
 	}
 	return out
 }
 
 // Model are the classes and habits as the model takes them.
-func (s *Scenario) Model() ([]model.Class, model.Habits) {
+func (s *Scenario) Model() ([]model.Class, model.ClientBehavior) {
 	var classes []model.Class
 	for _, c := range s.Classes {
-		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), Spread: c.Spread, Worth: c.Worth,
-			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Safe: c.Effect == "safe"})
+		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), WorkCV: c.Spread, Utility: c.Worth,
+			LatencyTarget: c.Aim.D(), TotalTimeout: c.GiveUp.D(), Safe: c.Effect == "safe"})
 	}
 	h := s.Clients
-	return classes, model.Habits{Retries: h.Retries, TryShare: h.TryShare, Backoff: h.Backoff.D(), Honour: h.Honour}
+	return classes, model.ClientBehavior{MaxRetries: h.Retries, AttemptTimeoutShare: h.TryShare, Backoff: h.Backoff.D(), HonorRetryAfter: h.Honour}
 }
--- a/internal/lab/services/play.go
+++ b/internal/lab/services/play.go
@@ -61,8 +61,8 @@
 		rng := rand.New(rand.NewPCG(o.Seed, uint64(i)))
 		source := &numbered{pool: pool, arrivals: load.NewArrivals(pool.Rate, nil, rng, s.Duration.D())}
 		wait.Go(func() {
-			err := load.Run(ctx, source, load.Options{URL: "http://" + p.address, Timeout: 2 * pool.Deadline.D(), MaxOpen: 4000,
-				Recorder: recorder, Each: func(_ load.Item, x load.Outcome) {
+			err := load.Run(ctx, source, load.Options{URL: "http://" + p.address, Timeout: 2 * pool.Deadline.D(), MaxInFlight: 4000,
+				Recorder: recorder, OnOutcome: func(_ load.Item, x load.Outcome) {
 					mu.Lock()
 					defer mu.Unlock()
 					key := "none"
--- a/internal/lab/services/process.go
+++ b/internal/lab/services/process.go
@@ -58,7 +58,7 @@
 	}
 	pool := httpc.NewPool(httpc.Options{Address: p.address, ConnectTimeout: time.Second})
 	defer pool.Close()
-	ready := httpc.Text("GET", "/health/ready", "drill", nil)
+	ready := httpc.FormatRequest("GET", "/health/ready", "drill", nil)
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if pool.Do("", "GET", ready, time.Now().Add(time.Second)).Status == 200 {
 			return p, nil
--- a/internal/lab/services/scenario.go
+++ b/internal/lab/services/scenario.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	s.Fill()
-	wrong := f.Wrong()
+	wrong := f.NewProblemList()
 	s.check(wrong.Add)
 	if err := wrong.Err(); err != nil {
 		return nil, err
--- a/internal/lab/services/service.go
+++ b/internal/lab/services/service.go
@@ -119,9 +119,9 @@
 }
 
 // list is the list of a service's destinations.
-func (s *service) list() (out []listfile.Destination) {
+func (s *service) list() (out []listfile.Endpoint) {
 	for i, a := range s.addrs {
-		out = append(out, listfile.Destination{Name: fmt.Sprintf("%s-%d", s.pool.Name, i), Address: a})
+		out = append(out, listfile.Endpoint{Name: fmt.Sprintf("%s-%d", s.pool.Name, i), Address: a})
 	}
 	return out
 }
--- a/internal/lab/wrong/wrong.go
+++ b/internal/lab/wrong/wrong.go
@@ -28,18 +28,18 @@
 
 // Rules are the rules that the modes break, by mode.
 var Rules = map[string]string{
-	"twice":         ledger.RuleRepeat,
-	"refuses":       ledger.RuleRepeat,
-	"copies":        ledger.RuleCopies,
-	"never":         ledger.RuleAnswer,
-	"answers-twice": ledger.RuleAnswer,
-	"invents":       ledger.RuleAnswer,
+	"twice":         ledger.RuleNoUnsafeRetry,
+	"refuses":       ledger.RuleNoUnsafeRetry,
+	"copies":        ledger.RuleNoConcurrentAttempts,
+	"never":         ledger.RuleOneAnswer,
+	"answers-twice": ledger.RuleOneAnswer,
+	"invents":       ledger.RuleOneAnswer,
 	"drained":       ledger.RuleDrain,
-	"cold":          ledger.RuleCold,
-	"crash":         ledger.RuleCrash,
-	"gone":          ledger.RuleGone,
-	"more-time":     ledger.RuleTime,
-	"own":           ledger.RuleOwn,
+	"cold":          ledger.RuleSlowStart,
+	"crash":         ledger.RuleNoCrash,
+	"gone":          ledger.RuleClientGone,
+	"more-time":     ledger.RuleTimeLeft,
+	"own":           ledger.RuleOwnCheck,
 }
 
 // Modes are the names of Rules, sorted.
