--- a/cmd/kitewood-lab/compare.go
+++ b/cmd/kitewood-lab/compare.go
@@ -91,7 +91,7 @@
 			if err != nil {
 				return sides, err
 			}
-			s.Last(c.Duration("duration"))
+			s.SetDuration(c.Duration("duration"))
 			binary, err := filepath.Abs(programs[n])
 			if err != nil {
 				return sides, err
--- a/cmd/kitewood-lab/count.go
+++ b/cmd/kitewood-lab/count.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	accountTables(w, account.Summarize(entries, s.Served()))
+	accountTables(w, account.Summarize(entries, s.LedgerObjective()))
 	return nil
 }
 
--- a/cmd/kitewood-lab/fleet.go
+++ b/cmd/kitewood-lab/fleet.go
@@ -27,7 +27,7 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "of all draws (default: the scenario's)"},
 			&cli.IntFlag{Name: "sidecars", Usage: "processes in all tiers, 3 to 60 (default: the scenario's)"},
 			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration"},
-			&cli.StringFlag{Name: "wrong", Usage: "run the fleet wrongly: " + strings.Join(fleet.WrongNames(), ", ")},
+			&cli.StringFlag{Name: "wrong", Usage: "run the fleet wrongly: " + strings.Join(fleet.DefectNames(), ", ")},
 			&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
 			&cli.BoolFlag{Name: "json", Usage: "print the account as one JSON object"},
 		},
@@ -38,11 +38,11 @@
 			}
 			if name == "list" {
 				for _, x := range fleet.Cases() {
-					fmt.Fprintf(c.Root().Writer, "%-12s %6s  %s\n", x.Name, x.Last, x.About)
+					fmt.Fprintf(c.Root().Writer, "%-12s %6s  %s\n", x.Name, x.Duration, x.Description)
 				}
 				return nil
 			}
-			base, hard := name, slices.Contains(fleet.Names(), name)
+			base, hard := name, slices.Contains(fleet.CaseNames(), name)
 			if hard {
 				base = "fleet"
 			}
@@ -52,12 +52,12 @@
 			}
 			defer release()
 			if hard {
-				if _, p.scenario, err = fleet.Find(name); err != nil {
+				if _, p.scenario, err = fleet.FindCase(name); err != nil {
 					return err
 				}
 			}
-			p.scenario.Last(c.Duration("duration"))
-			if err := fleet.Wrong(p.scenario, c.String("wrong")); err != nil {
+			p.scenario.SetDuration(c.Duration("duration"))
+			if err := fleet.ApplyDefect(p.scenario, c.String("wrong")); err != nil {
 				return fmt.Errorf("--wrong: %w", err)
 			}
 			dir, err := results.CreateDir(c.String("out"), "fleet-"+p.scenario.Name, p.seed, time.Now())
@@ -65,7 +65,7 @@
 				return err
 			}
 			bar := newBar(p.scenario.Duration.D())
-			r, err := fleet.Play(ctx, fleet.Options{Scenario: p.scenario, Sidecars: c.Int("sidecars"), Seed: p.seed, Binary: p.binary, Dir: dir, Log: p.log,
+			r, err := fleet.Run(ctx, fleet.Options{Scenario: p.scenario, Sidecars: c.Int("sidecars"), Seed: p.seed, Binary: p.binary, Dir: dir, Log: p.log,
 				Progress: bar.run})
 			bar.end()
 			if err != nil {
@@ -81,7 +81,7 @@
 				err = enc.Encode(map[string]any{"scenario": p.scenario.Name, "seed": p.seed, "sidecars": r.Sidecars, "account": r.Account,
 					"rules": r.Summary.RuleViolations, "service": r.Summary.Service})
 			} else {
-				runTables(w, r.Summary, r.Breaches)
+				runTables(w, r.Summary, r.Violations)
 				accountTables(w, r.Account)
 				fmt.Fprintf(w, "%d sidecars; results: %s\nreport: %s\n", r.Sidecars, dir, filepath.Join(dir, results.ReportFile))
 			}
--- a/cmd/kitewood-lab/proxies.go
+++ b/cmd/kitewood-lab/proxies.go
@@ -153,7 +153,7 @@
 	if base.scenario, err = findScenario(x.scenario); err != nil {
 		return err
 	}
-	base.scenario.Last(last)
+	base.scenario.SetDuration(last)
 	base.seed, base.out = x.seed, filepath.Join(base.out, fmt.Sprintf("%s-%s-seed%d", x.scenario, x.policy, x.seed))
 	if other.Policy = x.policy; x.policy != sidecars {
 		base.proxies = &other
--- a/cmd/kitewood-lab/run.go
+++ b/cmd/kitewood-lab/run.go
@@ -110,11 +110,11 @@
 	}
 	defer release()
 	s := p.scenario
-	s.Last(c.Duration("duration"))
+	s.SetDuration(c.Duration("duration"))
 	bar := newBar(s.Duration.D())
 	p.out, p.progress, p.page = c.String("out"), bar.run, true
 	if !asJSON {
-		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, p.seed, s.Duration.D(), s.Lay(p.seed).Rate)
+		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, p.seed, s.Duration.D(), s.Plan(p.seed).BaseRate)
 	}
 	dir, sum, breaches, err := p.run(ctx)
 	bar.end()
--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -62,7 +62,7 @@
 			if err != nil {
 				return err
 			}
-			defer address.Free()
+			defer address.Release()
 			c, err := start(dir, address.String(), members, o)
 			if err != nil {
 				return err
@@ -70,7 +70,7 @@
 			seen[n], err = callInLoops(ctx, address.String(), callers, last)
 			c.Kill()
 			if err != nil {
-				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Said())
+				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Output())
 			}
 		}
 		kite, plain := seen[0], seen[1]
@@ -153,12 +153,12 @@
 			return nil
 		}
 		select {
-		case <-c.Ended:
-			return fmt.Errorf("it ended: %s", c.Said())
+		case <-c.Done:
+			return fmt.Errorf("it ended: %s", c.Output())
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %s: %s", controlWait, c.Said())
+	return fmt.Errorf("not ready within %s: %s", controlWait, c.Output())
 }
 
 // callInLoops has callers ask for a time.
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -103,12 +103,12 @@
 	if err != nil {
 		return nil, err
 	}
-	d := model.NewDiscovery(model.DiscoveryConfig{Period: s.Discovery.Period.D()}, nil)
+	d := model.NewDiscovery(model.DiscoveryConfig{Period: s.Discovery.PublishPeriod.D()}, nil)
 	left := map[string]time.Duration{}
 	for n, at := range removals {
 		name := fmt.Sprint(n)
 		left[name] = at
-		d.ScheduleChange(at+model.Jitter(rng, s.Discovery.Notice.D()/2), model.Member{Name: name, Status: model.Terminating})
+		d.ScheduleChange(at+model.Jitter(rng, s.Discovery.DetectionDelay.D()/2), model.Member{Name: name, Status: model.Terminating})
 	}
 	var out []time.Duration
 	for {
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -81,7 +81,7 @@
 // etcdRig is a stand-in etcd, a control service that follows it, and proxies and sidecars that send to what it lists.
 type etcdRig struct {
 	cluster  *etcd.Cluster
-	service  *child.Control
+	service  *child.ControlProcess
 	admin    string
 	served   string // where the merged list is offered
 	sidecars []*child.Child
@@ -309,7 +309,7 @@
 		r.cluster.Stop()
 	}
 	for _, a := range r.kept {
-		a.Free()
+		a.Release()
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -61,7 +61,7 @@
 			}
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
-		v := ledger.MeasureService(r.Entries, s.Served())
+		v := ledger.MeasureService(r.Entries, s.LedgerObjective())
 		clients, operations, worst = clients+v.ClientRequests, operations+v.SidecarRequests, min(worst, v.Service)
 	}
 	out.Tell("clients", float64(clients))
@@ -88,9 +88,9 @@
 func squeeze(s *scenario.Scenario, d time.Duration) {
 	f := float64(d) / float64(s.Duration)
 	s.Duration = scenario.Duration(d)
-	for i := range s.Troubles {
-		s.Troubles[i].At = scenario.Duration(float64(s.Troubles[i].At) * f)
-		s.Troubles[i].For = scenario.Duration(float64(s.Troubles[i].For) * f)
+	for i := range s.Faults {
+		s.Faults[i].At = scenario.Duration(float64(s.Faults[i].At) * f)
+		s.Faults[i].Duration = scenario.Duration(float64(s.Faults[i].Duration) * f)
 	}
 	for i := range s.Load.Shape {
 		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * f)
--- a/internal/lab/drill/xdsdrain.go
+++ b/internal/lab/drill/xdsdrain.go
@@ -200,7 +200,7 @@
 
 // connected waits until all proxies can send.
 func connected(ctx context.Context, service *controlService, tables []*proxy.Table, api grpc_health_v1.HealthClient) error {
-	if err := until(ctx, service.Control, "the lab's proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
+	if err := until(ctx, service.ControlProcess, "the lab's proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return err
 	}
 	call, cancel := context.WithTimeout(ctx, controlWait)
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -70,7 +70,7 @@
 		clients[n] = &proxy.Client{Node: fmt.Sprintf("lab-%d", n), Servers: servers, Delta: n%2 == 0, Table: tables[n], Log: o.Log}
 		wait.Go(func() { clients[n].Run(ctx) })
 	}
-	if err := until(ctx, services[0].Control, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
+	if err := until(ctx, services[0].ControlProcess, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return nil, err
 	}
 
--- a/internal/lab/drill/xdsscale.go
+++ b/internal/lab/drill/xdsscale.go
@@ -216,7 +216,7 @@
 	}
 	for until := time.Now().Add(controlWait); c.answers.Load() < int64(proxies); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("%d of %d proxies have endpoints within a minute: %s", c.answers.Load(), proxies, service.Said())
+			return fmt.Errorf("%d of %d proxies have endpoints within a minute: %s", c.answers.Load(), proxies, service.Output())
 		}
 	}
 	before, cpu, began := c.bytes.Load(), service.CPU(), time.Now()
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -11,7 +11,7 @@
 // clients sends what the scenario's clients ask, open-loop, until the end of the run or of ctx, and waits for the
 // outcome of all that went out.
 func (w *World) clients(ctx context.Context, until time.Duration) {
-	classes, habits := w.s.Model()
+	classes, habits := w.s.ClientModel()
 	rng := model.NewRand(w.seed, 3)
 	var shape load.Shape
 	for _, p := range w.s.Load.Shape {
@@ -21,7 +21,7 @@
 	if w.s.Load.Arrivals == "constant" {
 		spacing = nil
 	}
-	arrivals := load.NewArrivals(w.plan.Rate, shape, spacing, until)
+	arrivals := load.NewArrivals(w.plan.BaseRate, shape, spacing, until)
 	var open tasks
 	number := 0
 	for at, more := arrivals.Next(); more; at, more = arrivals.Next() {
@@ -47,7 +47,7 @@
 			repeat: try.Retry, leaves: w.leaves(c.StartedAt, try, n)})
 		now := w.book.Now()
 		switch {
-		case end == model.AttemptServed && now <= c.StartedAt+w.s.Classes[c.ClassIndex].Aim.D():
+		case end == model.AttemptServed && now <= c.StartedAt+w.s.Classes[c.ClassIndex].LatencyTarget.D():
 			w.inTime.Add(1)
 		case end != model.AttemptServed:
 			w.errors.Add(1)
@@ -59,7 +59,7 @@
 // leaves is when a client closes its connection before its time is over, 0 if it does not.
 func (w *World) leaves(asked time.Duration, try model.ClientAttempt, client int) time.Duration {
 	rng := model.NewRand(w.seed^uint64(client), 7+uint64(try.At-asked))
-	if rng.Float64() >= w.s.Clients.Leave {
+	if rng.Float64() >= w.s.Clients.LeaveShare {
 		return 0
 	}
 	return try.At + time.Duration(rng.Float64()*float64(try.Deadline-try.At))
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -36,7 +36,7 @@
 `
 
 func TestMain(m *testing.M) {
-	if mode := os.Getenv(wrong.Variable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
+	if mode := os.Getenv(wrong.ModeVariable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := wrong.Serve(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -105,7 +105,7 @@
 				s.Duration = scenario.Duration(5 * time.Second)
 			}
 			o := options(t, s)
-			o.Env = []string{wrong.Variable + "=" + mode}
+			o.Env = []string{wrong.ModeVariable + "=" + mode}
 			r, err := Run(context.Background(), o)
 			if err != nil {
 				t.Fatal(err)
@@ -120,7 +120,7 @@
 				if len(breaches) > 0 {
 					t.Fatalf("nothing is wrong, and the ledger says: %s", breaches[0])
 				}
-				if v := ledger.MeasureService(r.Entries, s.Served()); v.ClientRequests < 60 || v.InTime < v.ClientRequests*9/10 {
+				if v := ledger.MeasureService(r.Entries, s.LedgerObjective()); v.ClientRequests < 60 || v.InTime < v.ClientRequests*9/10 {
 					t.Errorf("%d of %d served in time", v.InTime, v.ClientRequests)
 				}
 				return
--- a/internal/lab/emulator/instance.go
+++ b/internal/lab/emulator/instance.go
@@ -137,7 +137,7 @@
 	if i.model.Crashed() {
 		i.w.book.Add(ledger.Entry{Kind: ledger.InstanceCrashed, Tier: i.machine.Tier, Instance: i.machine.Name})
 		i.down()
-		i.w.registry.seen(i.machine, model.Gone, i.since, i.w.s.Discovery.SilentNotice.D())
+		i.w.registry.seen(i.machine, model.Gone, i.since, i.w.s.Discovery.SilentDetectionDelay.D())
 		return -1
 	}
 	next, any := i.model.NextEvent()
@@ -255,7 +255,7 @@
 
 // address is where a sidecar reaches the instance.
 func (i *instance) address(s *sidecar) string {
-	return fmt.Sprintf("%s:%d", i.w.block.instance(i.machine.Tier, i.machine.Number), instancePort+s.index)
+	return fmt.Sprintf("%s:%d", i.w.block.instance(i.machine.Tier, i.machine.AddressNumber), instancePort+s.index)
 }
 
 func (i *instance) opened(c *iconn) {
@@ -303,11 +303,11 @@
 	n := i.w.copies.Add(1)
 	t := &attempt{conn: c, id: r.id, class: r.class, work: r.work, sidecar: c.sidecar, chain: r.chain}
 	tier := &i.w.s.Tiers[i.machine.Tier]
-	mean := i.w.s.Classes[r.class].Work.D().Seconds() * tier.Work
-	t.tierWork = r.work * tier.Work * model.Lognormal(i.rng, 1, i.w.s.Classes[r.class].Noise)
+	mean := i.w.s.Classes[r.class].Work.D().Seconds() * tier.WorkShare
+	t.tierWork = r.work * tier.WorkShare * model.Lognormal(i.rng, 1, i.w.s.Classes[r.class].AttemptNoise)
 	t.request = model.Request{AttemptID: n, Work: t.tierWork, MeanWork: mean, Deadline: now + r.left}
 	if below := i.machine.Tier + 1; below < len(i.w.s.Tiers) {
-		calls := i.w.s.Tiers[below].Calls
+		calls := i.w.s.Tiers[below].CallsPerRequest
 		t.request.DownstreamCalls = int(calls)
 		if i.rng.Float64() < calls-float64(int(calls)) {
 			t.request.DownstreamCalls++
@@ -506,7 +506,7 @@
 		return nil, 400
 	}
 	q.work = us / 1e6
-	q.left = w.s.Classes[q.class].GiveUp.D()
+	q.left = w.s.Classes[q.class].TotalTimeout.D()
 	if v := r.Header.Get("X-Time-Left-Ms"); v != "" {
 		left, err := strconv.ParseFloat(v, 64)
 		if err != nil {
@@ -520,7 +520,7 @@
 // loadText writes a report with the fields of the settings, in the protocol's form.
 func (w *World) loadText(tier int, l model.Load) string {
 	var parts []string
-	for _, f := range w.s.Tiers[tier].Reports.Fields {
+	for _, f := range w.s.Tiers[tier].LoadReports.Fields {
 		switch f {
 		case "queue":
 			parts = append(parts, fmt.Sprintf("queue=%d", l.Queue))
--- a/internal/lab/emulator/lost_test.go
+++ b/internal/lab/emulator/lost_test.go
@@ -20,7 +20,7 @@
 		t.Run(class, func(t *testing.T) {
 			s := read(t, strings.TrimSuffix(small, "troubles:\n"))
 			w := &World{s: s, seed: 1, book: ledger.NewRecorder(), tasks: &tasks{}, log: slog.New(slog.DiscardHandler)}
-			plan := s.Lay(1)
+			plan := s.Plan(1)
 			var machines []*instance
 			for _, m := range plan.Machines[:2] {
 				m.Config.Connections.FirstRequestDelay = wait
--- a/internal/lab/emulator/paths.go
+++ b/internal/lab/emulator/paths.go
@@ -33,15 +33,15 @@
 }
 
 func instancePath(s *sidecar, m *scenario.Machine) path {
-	return path{s.name, scenario.PathInstances, m.Tier, m.Number}
+	return path{s.name, scenario.PathInstances, m.Tier, m.AddressNumber}
 }
 
 // instance opens the path from a sidecar to the address of an instance, if it does not stand. What replaces an instance
 // at its address has its path.
 func (p *paths) instance(s *sidecar, i *instance) error {
 	m := i.machine
-	return p.open(instancePath(s, &m), p.w.block.relayed(m.Tier, m.Number, s.index), i.address(s),
-		func(half string) { p.w.gone(m.Tier, m.Number, half) })
+	return p.open(instancePath(s, &m), p.w.block.relayed(m.Tier, m.AddressNumber, s.index), i.address(s),
+		func(half string) { p.w.gone(m.Tier, m.AddressNumber, half) })
 }
 
 // discovery opens the path from a sidecar to discovery at a place.
@@ -71,7 +71,7 @@
 func (p *paths) state(key path) (s relay.State) {
 	for _, b := range p.broken[key.sidecar] {
 		if p.meets(b, key) {
-			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), CutOut: s.CutOut || b.Out, CutBack: s.CutBack || b.Back}
+			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), CutOut: s.CutOut || b.CutOutgoing, CutBack: s.CutBack || b.CutIncoming}
 		}
 	}
 	return s
@@ -84,7 +84,7 @@
 	}
 	return slices.ContainsFunc(b.Targets, func(name string) bool {
 		i := p.w.instance(name)
-		return i != nil && i.machine.Tier == key.tier && i.machine.Number == key.number
+		return i != nil && i.machine.Tier == key.tier && i.machine.AddressNumber == key.number
 	})
 }
 
@@ -111,7 +111,7 @@
 		if err := r.Set(p.state(key)); err != nil {
 			return fmt.Errorf("path of %s: %w", s.name, err)
 		}
-		if broken && b.Reset {
+		if broken && b.ResetConnections {
 			r.Reset()
 		}
 	}
@@ -150,7 +150,7 @@
 func (w *World) gone(tier, number int, half string) {
 	instances, _ := w.here()
 	for _, i := range instances {
-		if i.machine.Tier != tier || i.machine.Number != number {
+		if i.machine.Tier != tier || i.machine.AddressNumber != number {
 			continue
 		}
 		i.post(func() {
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -56,11 +56,11 @@
 		var list []model.Member
 		for _, m := range r.w.plan.Machines {
 			if m.Tier == t {
-				list = append(list, model.Member{Name: m.Name, Kind: m.Kind, Group: m.Number, Status: model.Ready})
+				list = append(list, model.Member{Name: m.Name, Kind: m.Kind, Group: m.AddressNumber, Status: model.Ready})
 			}
 		}
-		r.lists = append(r.lists, model.NewDiscovery(model.DiscoveryConfig{Period: d.Period.D(), CallsPerSecond: d.Capacity,
-			Timeout: d.Timeout.D(), KeptVersions: 64, RejectWhenFull: d.RefuseFull, ServeTimedOut: d.WorksOffFailed}, list))
+		r.lists = append(r.lists, model.NewDiscovery(model.DiscoveryConfig{Period: d.PublishPeriod.D(), CallsPerSecond: d.CallsPerSecond,
+			Timeout: d.Timeout.D(), KeptVersions: 64, RejectWhenFull: d.RejectWhenFull, ServeTimedOut: d.ServeTimedOut}, list))
 	}
 }
 
@@ -104,7 +104,7 @@
 func (r *registry) seen(m scenario.Machine, status model.Status, since, after time.Duration) {
 	r.post(func() {
 		r.lists[m.Tier].ScheduleChange(r.w.book.Now()+model.Jitter(r.rng, after), model.Member{Name: m.Name, Kind: m.Kind,
-			Group: m.Number, Status: status, StartedAt: since})
+			Group: m.AddressNumber, Status: status, StartedAt: since})
 	})
 }
 
@@ -276,13 +276,13 @@
 	if r.tell(w, s, first) != nil || !follow {
 		return
 	}
-	beat := time.NewTicker(r.w.s.Discovery.Beat.D())
+	beat := time.NewTicker(r.w.s.Discovery.HeartbeatPeriod.D())
 	defer beat.Stop()
 	for {
 		select {
 		case u := <-watch.updates:
 			var spread time.Duration
-			r.do(func() { spread = model.Jitter(r.rng, r.w.s.Discovery.Spread.D()) })
+			r.do(func() { spread = model.Jitter(r.rng, r.w.s.Discovery.DelayJitter.D()) })
 			select {
 			case <-time.After(spread):
 			case <-q.Context().Done():
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -70,10 +70,10 @@
 func (s *sidecar) configure() error {
 	limits := s.w.s.Sidecar
 	me, of := s.me, s.of
-	if limits.Alone {
+	if limits.Standalone {
 		me, of = 0, 1
 	}
-	if limits.Form == scenario.FormPools {
+	if limits.ConfigFormat == scenario.FormatPools {
 		type object = map[string]any
 		pool := s.w.s.Pool(s.tier, me, of)
 		pool["members"] = object{"discovery": s.w.registry.address(s)}
@@ -242,7 +242,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range s.w.s.Classes {
-		longest = max(longest, c.GiveUp.D())
+		longest = max(longest, c.TotalTimeout.D())
 	}
 	longest = min(longest, killLongest)
 	select {
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -115,7 +115,7 @@
 func Run(ctx context.Context, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := &World{s: o.Scenario, seed: o.Seed, plan: o.Scenario.Lay(o.Seed), binary: o.Binary, proxies: o.Proxies, env: o.Env, debug: o.Debug, dir: o.Dir, log: o.Log,
+	w := &World{s: o.Scenario, seed: o.Seed, plan: o.Scenario.Plan(o.Seed), binary: o.Binary, proxies: o.Proxies, env: o.Env, debug: o.Debug, dir: o.Dir, log: o.Log,
 		tasks: &tasks{}, instances: map[string]*instance{}, indexes: make([]int, len(o.Scenario.Tiers)),
 		cancel: cancel, ctx: ctx, over: ctx.Done(), starter: child.NewStarter()}
 	defer w.starter.Close()
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 	}
-	if w.plan.Relayed() {
+	if w.plan.NeedsRelays() {
 		w.paths = newPaths(w)
 	}
 	w.caller = &caller{w: w, prefix: rand.Uint64()}
--- a/internal/lab/fleet/own.go
+++ b/internal/lab/fleet/own.go
@@ -17,14 +17,14 @@
 const maxLogLine = 1 << 20
 
 // ownViolations reads the sidecars' logs of a run for what they have counted themselves. The entries stand at the run's end.
-func ownViolations(dir string, took time.Duration) ([]ledger.Entry, error) {
+func loggedViolations(dir string, took time.Duration) ([]ledger.Entry, error) {
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	var out []ledger.Entry
 	for _, path := range logs {
-		lines, err := linesWith(path, violationMessage)
+		lines, err := linesContaining(path, violationMessage)
 		if err != nil {
 			return nil, err
 		}
@@ -36,7 +36,7 @@
 }
 
 // linesWith are the lines of a file that hold a text.
-func linesWith(path, text string) ([]string, error) {
+func linesContaining(path, text string) ([]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -96,8 +96,8 @@
 		if plan, err = scenario.Load(filepath.Join(dir, results.ScenarioFile)); err != nil {
 			return nil, err
 		}
-		r.Description = plan.About
-		for _, b := range plan.Lay(sum.Seed).Bands {
+		r.Description = plan.Description
+		for _, b := range plan.Plan(sum.Seed).Bands {
 			bands = append(bands, Band{From: b.From.Seconds(), To: math.Min(b.To.Seconds(), plan.Duration.D().Seconds()), Name: b.Name})
 		}
 		if r.Violations, err = results.ReadViolations(dir); err != nil {
@@ -172,7 +172,7 @@
 		names, values := attempts(entries)
 		err = errors.Join(err, add(barChart("Attempts per operation", "at the instances, for all operations of all sidecars",
 			"attempts that reached an instance", "operations", names, values)))
-		a := account.Summarize(entries, plan.Served())
+		a := account.Summarize(entries, plan.LedgerObjective())
 		err = errors.Join(err, add(timeChart("What one second's operations cost", "attempts that reached instances, busy replies of sidecars, and clients' repeats",
 			"a second", fleetLines(a, plan), bands, end)),
 			add(timeChart("Beside the work", "from all sidecars together", "a second", besideLines(a), bands, end)))
@@ -197,7 +197,7 @@
 		counts[0][n]++
 		kind := 5
 		switch {
-		case c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+plan.Classes[c.Class].Aim.D():
+		case c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+plan.Classes[c.Class].LatencyTarget.D():
 			kind = 1
 		case c.ServedAt != 0:
 			kind = 2
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -121,7 +121,7 @@
 // KeepRun judges a run of the emulator by some rules, writes its folder and gives back the summary and the broken rules.
 func WriteRun(dir string, s *scenario.Scenario, rules ledger.Rules, head Summary, r *emulator.Result) (*Summary, []ledger.Violation, error) {
 	breaches := ledger.FindViolations(r.Entries, rules)
-	service := ledger.MeasureService(r.Entries, s.Served())
+	service := ledger.MeasureService(r.Entries, s.LedgerObjective())
 	rec := RecordLatencies(r.Entries)
 	sum := head
 	sum.Summary = rec.Summary()
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.Free)
+	t.Cleanup(a.Release)
 	return a.String()
 }
 
