--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -10,30 +10,31 @@
 	"kitewood/scenarios"
 )
 
-// Case is a hard case: what is done to the base scenario's fleet, and when it is over.
+// Case is an overload or failure case: the changes that it makes to the base scenario of the fleet, and the time in which its
+// faults are active.
 type Case struct {
 	Name, Description    string
-	FaultStart, FaultEnd time.Duration // of the trouble
+	FaultStart, FaultEnd time.Duration // from the start of the run
 	Duration             time.Duration // of the run
 	Apply                func(*scenario.Scenario)
 }
 
 const (
 	second        = scenario.Duration(time.Second)
-	faultStart    = 10 * second // troubles begin
-	faultDuration = 20 * second // the long ones
+	faultStart    = 10 * second // of most faults
+	faultDuration = 20 * second // of long faults
 )
 
-// FullFrom is when the case double goes from a quiet day to the fleet's capacity; at twice of it it is from the case's From
-// to its To.
+// FullLoadStart is when the load of the case double rises from 60% of the fleet's capacity to the whole of it. From the case's
+// FaultStart to its FaultEnd the load is twice the capacity.
 const FullLoadStart = 4 * time.Second
 
-// trouble adds one.
-func withFault(t scenario.Fault) func(*scenario.Scenario) {
-	return func(s *scenario.Scenario) { s.Faults = append(s.Faults, t) }
+// withFault returns a change that adds a fault.
+func withFault(f scenario.Fault) func(*scenario.Scenario) {
+	return func(s *scenario.Scenario) { s.Faults = append(s.Faults, f) }
 }
 
-// all does several changes.
+// combine returns a change that applies several changes in turn.
 func combine(changes ...func(*scenario.Scenario)) func(*scenario.Scenario) {
 	return func(s *scenario.Scenario) {
 		for _, c := range changes {
@@ -42,21 +43,21 @@
 	}
 }
 
-// load sets the fleet's load as multiples of its capacity, by corners.
-func withLoad(corners ...scenario.Point) func(*scenario.Scenario) {
+// withLoad returns a change that sets the load over time. The factors of the points are multiples of the fleet's capacity.
+func withLoad(points ...scenario.Point) func(*scenario.Scenario) {
 	return func(s *scenario.Scenario) {
-		for _, c := range corners {
-			s.Load.Shape = append(s.Load.Shape, scenario.Point{At: c.At, Factor: c.Factor / s.Load.Utilisation})
+		for _, p := range points {
+			s.Load.Shape = append(s.Load.Shape, scenario.Point{At: p.At, Factor: p.Factor / s.Load.Utilisation})
 		}
 	}
 }
 
-// slowThird makes a third of the middle tier four times slower.
+// withSlowThird makes a third of the middle tier four times slower.
 var withSlowThird = withFault(scenario.Fault{Kind: "slow", At: faultStart, Duration: faultDuration, Tier: "comptes", Share: 0.34, Magnitude: 4})
 
-// Cases are the hard cases, in the order of their pages.
+// Cases returns all cases in the order in which the documentation lists them.
 func Cases() []Case {
-	long, end := time.Duration(faultStart+faultDuration), 45*time.Second
+	long, end := time.Duration(faultStart+faultDuration), 45*time.Second // end of a long fault, and of the run
 	begin := time.Duration(faultStart)
 	return []Case{
 		{"calm", "nothing happens: what the others are held against", 0, 0, 20 * time.Second, combine()},
@@ -97,7 +98,7 @@
 	}
 }
 
-// Names are the names of the hard cases.
+// CaseNames returns the names of all cases.
 func CaseNames() (names []string) {
 	for _, c := range Cases() {
 		names = append(names, c.Name)
@@ -105,12 +106,12 @@
 	return names
 }
 
-// Find gives a hard case and its scenario, ready to be played.
+// FindCase returns a case and its complete, checked scenario.
 func FindCase(name string) (Case, *scenario.Scenario, error) {
 	cases := Cases()
 	i := slices.IndexFunc(cases, func(c Case) bool { return c.Name == name })
 	if i < 0 {
-		return Case{}, nil, fmt.Errorf("no case %q: there are %s", name, strings.Join(CaseNames(), ", "))
+		return Case{}, nil, fmt.Errorf("unknown case %q; the cases are %s", name, strings.Join(CaseNames(), ", "))
 	}
 	file, text, err := scenarios.Find("fleet")
 	if err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is the rig of many processes: it plays a scenario of the lab with a fleet of a given size, breaks what the
-// scenario's plan says between the processes and on them, and adds up from the ledger what all did together.
+// Package fleet tests many sidecar processes together: it runs a lab scenario with a fleet of a given size, injects the faults
+// of the scenario's plan into the processes and the network paths between them, and computes fleet-wide totals from the ledger.
 package fleet
 
 import (
@@ -21,36 +21,36 @@
 	"kitewood/internal/lab/scenario"
 )
 
-// The files that a run leaves beside those of every run.
+// Files that a fleet run writes in addition to those of every run.
 const (
 	AccountFile = "account.json"
-	PlanFile    = "plan.json" // the faults as they were drawn
+	PlanFile    = "plan.json" // the planned faults
 )
 
-// Options say what to play.
+// Options configure a run.
 type Options struct {
 	Scenario *scenario.Scenario
-	Sidecars int // processes in all tiers; 0 for as many as the scenario has
+	Sidecars int // processes in all tiers; 0 for the scenario's own number
 	Seed     uint64
-	Binary   string        // kitewood
-	Env      []string      // of the sidecars, beside this process's
-	Debug    bool          // the sidecars log at debug level
-	Slack    time.Duration // of the rules, instead of the protocol's; 0 for that
-	Dir      string        // for what it leaves; it is made
+	Binary   string        // path of kitewood
+	Env      []string      // added to the environment of the sidecars
+	Debug    bool          // sidecars log at debug level
+	Slack    time.Duration // tolerance of the rules' time limits; 0 for the protocol's
+	Dir      string        // output directory; created if missing
 	Log      *slog.Logger
 	Progress func(emulator.Progress)
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Summary    *results.Summary
 	Violations []ledger.Violation
 	Account    *account.Account
 	Sidecars   int
-	Plan       []PlannedFault // as they were drawn
+	Plan       []PlannedFault
 }
 
-// Size is how many sidecar processes a scenario has at its start.
+// SidecarCount returns the number of sidecar processes that a scenario has at its start.
 func SidecarCount(s *scenario.Scenario) int {
 	n := 0
 	for t := range s.Tiers {
@@ -61,7 +61,7 @@
 	return n + s.Tiers[0].Sidecars
 }
 
-// Callers is how many sidecars of a tier ask discovery for its list.
+// DiscoveryCallers returns the number of sidecars that ask discovery for the endpoint list of a tier.
 func DiscoveryCallers(s *scenario.Scenario, tier int) int {
 	if tier == 0 {
 		return s.Tiers[0].Sidecars
@@ -69,31 +69,31 @@
 	return s.Tiers[tier-1].Instances
 }
 
-// Bounds of a fleet, in processes.
+// Bounds of a fleet, in sidecar processes.
 const (
 	minSidecars = 3
 	maxSidecars = 150
 )
 
-// Scale gives a scenario a fleet of about so many sidecars, with as many instances beside them as it had: all tiers grow
-// alike, and the load with them where it is given as a utilisation.
+// Scale changes a scenario to a fleet of about the given number of sidecars. All tiers are scaled by the same factor, so the
+// ratio of instances to sidecars stays; a load given as a rate is scaled too, one given as a utilisation follows by itself.
 func Scale(s *scenario.Scenario, sidecars int) error {
 	if sidecars < minSidecars || sidecars > maxSidecars {
 		return fmt.Errorf("between %d and %d sidecars, not %d", minSidecars, maxSidecars, sidecars)
 	}
-	by := float64(sidecars) / float64(SidecarCount(s))
-	part := func(n int) int { return max(1, int(math.Round(float64(n)*by))) }
+	factor := float64(sidecars) / float64(SidecarCount(s))
+	scaled := func(n int) int { return max(1, int(math.Round(float64(n)*factor))) }
 	for t := range s.Tiers {
-		s.Tiers[t].Instances = part(s.Tiers[t].Instances)
+		s.Tiers[t].Instances = scaled(s.Tiers[t].Instances)
 	}
 	rest := sidecars - (SidecarCount(s) - s.Tiers[0].Sidecars)
 	if s.Tiers[0].Sidecars = max(1, rest); s.Load.Rate > 0 {
-		s.Load.Rate *= by
+		s.Load.Rate *= factor
 	}
 	return nil
 }
 
-// Play plays a scenario, keeps what it left in a folder and adds it up.
+// Run runs a scenario, writes its results to the output directory and summarizes them.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	s := o.Scenario
 	if o.Sidecars > 0 {
@@ -110,19 +110,19 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := loggedViolations(filepath.Join(o.Dir, "sidecars"), run.Duration)
+	logged, err := loggedViolations(filepath.Join(o.Dir, "sidecars"), run.Duration)
 	if err != nil {
 		return nil, err
 	}
-	run.Entries = append(run.Entries, own...)
-	head := results.NewSummary("run", s.Name, o.Seed, started)
-	head.Binary = o.Binary
+	run.Entries = append(run.Entries, logged...)
+	summary := results.NewSummary("run", s.Name, o.Seed, started)
+	summary.Binary = o.Binary
 	rules := s.Rules()
 	if o.Slack > 0 {
 		rules.Slack = o.Slack
 	}
 	r := &Result{Sidecars: SidecarCount(s), Plan: plannedFaults(run.Plan), Account: account.Summarize(run.Entries, s.LedgerObjective())}
-	if r.Summary, r.Violations, err = results.WriteRun(o.Dir, s, rules, head, run); err != nil {
+	if r.Summary, r.Violations, err = results.WriteRun(o.Dir, s, rules, summary, run); err != nil {
 		return nil, err
 	}
 	if err := writeJSON(o.Dir, AccountFile, r.Account); err != nil {
@@ -131,7 +131,7 @@
 	return r, writeJSON(o.Dir, PlanFile, r.Plan)
 }
 
-// Fault is an entry of the plan as it is written down.
+// PlannedFault is an event of the plan as it is written to PlanFile.
 type PlannedFault struct {
 	AtMS int64  `json:"at_ms"`
 	Text string `json:"what"`
@@ -153,8 +153,8 @@
 	return os.WriteFile(filepath.Join(dir, name), append(text, '\n'), 0o644)
 }
 
-// Wrongs are ways of running the fleet wrongly on purpose, to see a promise broken: each takes one part of the fleet's
-// handling of overload away by configuration.
+// Defects are deliberate misconfigurations, by name, that show that a check can fail: each disables one part of the fleet's
+// overload handling.
 var Defects = map[string]func(*scenario.Sidecar){
 	"no-budget":  func(c *scenario.Sidecar) { c.Chain, c.RetryShare, c.RetryBurst, c.MaxAttempts = false, 1, 1e6, 10 },
 	"dice":       func(c *scenario.Sidecar) { c.Origin = false },
@@ -163,7 +163,7 @@
 	"no-chain":   func(c *scenario.Sidecar) { c.Chain = false },
 }
 
-// Wrong runs a scenario's sidecars wrongly in a named way; the empty name changes nothing.
+// ApplyDefect configures a scenario's sidecars with the named defect; the empty name changes nothing.
 func ApplyDefect(s *scenario.Scenario, name string) error {
 	if name == "" {
 		return nil
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// WrongNames are the names that Wrong knows, sorted.
+// DefectNames returns the names of Defects, sorted.
 func DefectNames() []string {
 	var names []string
 	for n := range Defects {
--- a/internal/lab/fleet/own.go
+++ b/internal/lab/fleet/own.go
@@ -10,14 +10,15 @@
 	"kitewood/internal/lab/ledger"
 )
 
-// violationMessage is how a sidecar logs that its own check has counted a violation; see package guard.
+// violationMessage is in the log line that a sidecar writes when one of its own invariant checks fails; see package guard.
 const violationMessage = `msg="invariant violated"`
 
-// maxLogLine bounds a line of a sidecar's log, in bytes.
+// maxLogLine is the longest accepted line of a sidecar's log, in bytes.
 const maxLogLine = 1 << 20
 
-// ownViolations reads the sidecars' logs of a run for what they have counted themselves. The entries stand at the run's end.
-func loggedViolations(dir string, took time.Duration) ([]ledger.Entry, error) {
+// loggedViolations reads the invariant violations that the sidecars of a run have logged, as ledger entries. The entries carry
+// the time of the run's end.
+func loggedViolations(dir string, end time.Duration) ([]ledger.Entry, error) {
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
@@ -29,13 +30,13 @@
 			return nil, err
 		}
 		for _, line := range lines {
-			out = append(out, ledger.Entry{At: took, Kind: ledger.OwnCheckFailed, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
+			out = append(out, ledger.Entry{At: end, Kind: ledger.OwnCheckFailed, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
 		}
 	}
 	return out, nil
 }
 
-// linesWith are the lines of a file that hold a text.
+// linesContaining returns the lines of a file that contain a text.
 func linesContaining(path, text string) ([]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/fleet/soak.go
+++ b/internal/lab/fleet/soak.go
@@ -16,50 +16,50 @@
 	"kitewood/scenarios"
 )
 
-// Bounds of a soak's fleet and time.
+// Bounds of a soak's fleet and duration.
 const (
 	MinSoakSidecars = 10
 	MaxSoakSidecars = 150
 	MinSoakDuration = 12 * time.Second
 )
 
-// SoakOptions say what to soak.
+// SoakOptions configure a soak.
 type SoakOptions struct {
-	Seed     uint64 // draws the fleet, the clients and the faults
+	Seed     uint64 // determines the fleet, the clients and the faults
 	Sidecars int    // processes in all tiers
 	Duration time.Duration
-	Binary   string        // kitewood; with Wrong, a program that is a wrong sidecar where the environment names its mode
-	Defect   string        // one of the wrong sidecar's modes; empty for kitewood itself
-	Slack    time.Duration // of the rules, where this machine is busy with more; 0 for the protocol's own
+	Binary   string        // path of kitewood; with Defect, of a program that serves as a faulty sidecar in the mode named by the environment
+	Defect   string        // mode of the faulty sidecar, see package wrong; empty for kitewood itself
+	Slack    time.Duration // tolerance of the rules' time limits on a busy machine; 0 for the protocol's
 	Dir      string
 	Log      *slog.Logger
 }
 
-// SoakResult is what one seed showed.
+// SoakResult is the outcome of the soak of one seed.
 type SoakResult struct {
 	Seed           uint64             `json:"seed"`
-	ConfigFormat   string             `json:"form"` // of the sidecars' configuration
+	ConfigFormat   string             `json:"form"` // of the sidecars
 	Sidecars       int                `json:"sidecars"`
 	ClientRequests int                `json:"clients"`
-	ServedShare    float64            `json:"served"` // share of the clients, in time
+	ServedShare    float64            `json:"served"` // share of client requests answered in time
 	Attempts       int                `json:"attempts"`
 	Faults         []PlannedFault     `json:"faults"`
 	Violations     []ledger.Violation `json:"violations"`
 	Dir            string             `json:"dir"`
 }
 
-// Soak plays one seed: a fleet under faults that overlap in time, judged by every invariant of the ledger and by the
+// Soak runs one seed: a fleet under faults that overlap in time, checked against every invariant of the ledger and by the
 // sidecars' own checks.
 func Soak(ctx context.Context, o SoakOptions) (*SoakResult, error) {
 	s, err := SoakScenario(o.Seed, o.Sidecars, o.Duration, o.Defect != "")
 	if err != nil {
 		return nil, err
 	}
-	play := Options{Scenario: s, Seed: o.Seed, Binary: o.Binary, Dir: o.Dir, Log: o.Log, Slack: o.Slack, Debug: true}
+	options := Options{Scenario: s, Seed: o.Seed, Binary: o.Binary, Dir: o.Dir, Log: o.Log, Slack: o.Slack, Debug: true}
 	if o.Defect != "" {
-		play.Env = []string{wrong.ModeVariable + "=" + o.Defect}
+		options.Env = []string{wrong.ModeVariable + "=" + o.Defect}
 	}
-	r, err := Run(ctx, play)
+	r, err := Run(ctx, options)
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", o.Seed, err)
 	}
@@ -77,17 +77,17 @@
 	return out, nil
 }
 
-// SoakDir is the folder of a seed's run.
+// SoakDir returns the directory of a seed's run.
 func SoakDir(dir string, seed uint64) string { return filepath.Join(dir, fmt.Sprintf("soak-%d", seed)) }
 
-// SoakScenario draws the scenario of a seed. A calm one has only what the wrong sidecars need to be wrong: a release, and
-// clients that leave.
+// SoakScenario generates the scenario of a seed. A calm scenario has only what the defects of faulty sidecars need to show:
+// a rolling release, and clients that disconnect before the response.
 func SoakScenario(seed uint64, sidecars int, duration time.Duration, calm bool) (*scenario.Scenario, error) {
 	if sidecars < MinSoakSidecars || sidecars > MaxSoakSidecars {
 		return nil, fmt.Errorf("between %d and %d sidecars, not %d", MinSoakSidecars, MaxSoakSidecars, sidecars)
 	}
 	if duration < MinSoakDuration {
-		return nil, fmt.Errorf("at least %v, not %v", MinSoakDuration, duration)
+		return nil, fmt.Errorf("the duration must be at least %v, not %v", MinSoakDuration, duration)
 	}
 	file, text, err := scenarios.Find("fleet")
 	if err != nil {
@@ -97,200 +97,203 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &generator{rng: model.NewRand(seed, 0x736f616b), scenario: s}
+	g := &generator{rng: model.NewRand(seed, 0x736f616b), scenario: s}
 	s.Name, s.Description = fmt.Sprintf("soak-%d", seed), "faults that overlap in time, drawn from a seed"
 	s.Duration, s.Warmup = scenario.Duration(duration), 0
 	if err := Scale(s, sidecars); err != nil {
 		return nil, err
 	}
-	d.drawSettings()
-	d.addRelease()
+	g.drawSettings()
+	g.addRelease()
 	if calm {
 		s.Sidecar.ConfigFormat, s.Sidecar.Chain, s.Sidecar.Origin = scenario.FormatPlatform, false, false
 	} else {
-		d.addFaults()
+		g.addFaults()
 	}
 	return s, s.Check()
 }
 
-// drawer draws what differs from seed to seed.
+// generator draws the parts of a soak scenario that depend on the seed.
 type generator struct {
 	rng      *rand.Rand
 	scenario *scenario.Scenario
 }
 
-// between draws a time.
-func (d *generator) duration(least, most time.Duration) scenario.Duration {
-	return scenario.Duration((least + time.Duration(d.rng.Float64()*float64(most-least))).Round(time.Millisecond))
+// duration draws a duration from a range, in whole milliseconds.
+func (g *generator) duration(low, high time.Duration) scenario.Duration {
+	return scenario.Duration((low + time.Duration(g.rng.Float64()*float64(high-low))).Round(time.Millisecond))
 }
 
-// part draws a share.
-func (d *generator) share(least, most float64) float64 {
-	return float64(int(100*(least+d.rng.Float64()*(most-least)))) / 100
+// share draws a number from a range, in whole hundredths.
+func (g *generator) share(low, high float64) float64 {
+	return float64(int(100*(low+g.rng.Float64()*(high-low)))) / 100
 }
 
-// one draws one of some.
-func choose[T any](d *generator, all ...T) T { return all[d.rng.IntN(len(all))] }
+// choose draws one of the choices.
+func choose[T any](g *generator, choices ...T) T { return choices[g.rng.IntN(len(choices))] }
 
-// settings draws the fleet's configuration, its clients and its discovery.
-func (d *generator) drawSettings() {
-	s := d.scenario
-	if d.rng.IntN(2) == 0 {
+// drawSettings draws the configuration of the sidecars, the clients and discovery.
+func (g *generator) drawSettings() {
+	s := g.scenario
+	if g.rng.IntN(2) == 0 {
 		s.Sidecar.ConfigFormat, s.Sidecar.Chain, s.Sidecar.Origin = scenario.FormatPlatform, false, false
 	}
-	s.Load.Utilisation = d.share(0.25, 0.5)
-	s.Clients.MaxRetries, s.Clients.LeaveShare = d.rng.IntN(3), d.share(0.03, 0.15)
+	s.Load.Utilisation = g.share(0.25, 0.5)
+	s.Clients.MaxRetries, s.Clients.LeaveShare = g.rng.IntN(3), g.share(0.03, 0.15)
 	for i := range s.Classes {
-		s.Classes[i].TotalTimeout = d.duration(3*time.Second, 6*time.Second)
+		s.Classes[i].TotalTimeout = g.duration(3*time.Second, 6*time.Second)
 		s.Classes[i].LatencyTarget = s.Classes[i].TotalTimeout / 2
 	}
-	s.Frontend.DetectionDelay = d.duration(time.Millisecond, time.Second)
-	s.Discovery.CallsPerSecond = float64(3 + d.rng.IntN(30))
-	s.Discovery.RejectWhenFull = d.rng.IntN(2) == 0
-	if d.rng.IntN(2) == 0 {
-		d.overloadDiscovery()
+	s.Frontend.DetectionDelay = g.duration(time.Millisecond, time.Second)
+	s.Discovery.CallsPerSecond = float64(3 + g.rng.IntN(30))
+	s.Discovery.RejectWhenFull = g.rng.IntN(2) == 0
+	if g.rng.IntN(2) == 0 {
+		g.overloadDiscovery()
 	}
-	if d.rng.IntN(3) == 0 {
-		d.addLoadSpike()
+	if g.rng.IntN(3) == 0 {
+		g.addLoadSpike()
 	}
 	for i := range s.Tiers {
-		s.Tiers[i].Connections.IdleTimeout = d.duration(2*time.Second, 20*time.Second)
+		s.Tiers[i].Connections.IdleTimeout = g.duration(2*time.Second, 20*time.Second)
 	}
 }
 
-// leastCapacity of discovery in a crowd, in calls a second, is what a handful of callers was seen to have.
+// minCallsPerSecond is the lowest capacity of an overloaded discovery, as seen with a handful of callers.
 const minCallsPerSecond = 3.3
 
-// discoveryCrowd has discovery take some seconds to serve each sidecar of a tier once, and work off calls that have failed.
-func (d *generator) overloadDiscovery() {
+// overloadDiscovery gives discovery so little capacity that it takes some seconds to serve each sidecar of a tier once, and
+// has it serve calls even after they have timed out.
+func (g *generator) overloadDiscovery() {
 	callers := 0
-	for t := range d.scenario.Tiers {
-		callers = max(callers, DiscoveryCallers(d.scenario, t))
+	for t := range g.scenario.Tiers {
+		callers = max(callers, DiscoveryCallers(g.scenario, t))
 	}
-	d.scenario.Discovery.CallsPerSecond = max(float64(callers)/d.share(2, 5), minCallsPerSecond)
-	d.scenario.Discovery.Timeout = choose(d, scenario.Duration(2*time.Second), scenario.Duration(3*time.Second))
-	d.scenario.Discovery.ServeTimedOut = true
+	g.scenario.Discovery.CallsPerSecond = max(float64(callers)/g.share(2, 5), minCallsPerSecond)
+	g.scenario.Discovery.Timeout = choose(g, scenario.Duration(2*time.Second), scenario.Duration(3*time.Second))
+	g.scenario.Discovery.ServeTimedOut = true
 }
 
-// clientCrowd has many more clients come for some seconds.
-func (d *generator) addLoadSpike() {
-	begin := d.faultStart()
-	end := begin + d.duration(time.Second, 4*time.Second)
-	factor := d.share(1.5, 3)
-	d.scenario.Load.Shape = []scenario.Point{{At: 0, Factor: 1}, {At: begin, Factor: 1}, {At: begin + scenario.Duration(100*time.Millisecond), Factor: factor},
+// addLoadSpike adds a load spike of 1.5 to 3 times the base rate for some seconds.
+func (g *generator) addLoadSpike() {
+	begin := g.faultStart()
+	end := begin + g.duration(time.Second, 4*time.Second)
+	factor := g.share(1.5, 3)
+	g.scenario.Load.Shape = []scenario.Point{{At: 0, Factor: 1}, {At: begin, Factor: 1}, {At: begin + scenario.Duration(100*time.Millisecond), Factor: factor},
 		{At: end, Factor: factor}, {At: end + scenario.Duration(100*time.Millisecond), Factor: 1}}
 }
 
-// when draws when a fault begins: all of them fall into the middle of the run, so that they overlap.
-func (d *generator) faultStart() scenario.Duration {
-	last := d.scenario.Duration.D() - 8*time.Second
-	return d.duration(2*time.Second, max(last, 3*time.Second))
+// faultStart draws the start of a fault. Faults start in the middle of the run, so that they overlap.
+func (g *generator) faultStart() scenario.Duration {
+	last := g.scenario.Duration.D() - 8*time.Second
+	return g.duration(2*time.Second, max(last, 3*time.Second))
 }
 
-func (d *generator) add(t scenario.Fault) {
-	t.At = d.faultStart()
-	if t.At+t.Duration > d.scenario.Duration {
-		t.Duration = d.scenario.Duration - t.At
+// add draws the start of a fault and adds it. The fault ends with the run at the latest.
+func (g *generator) add(f scenario.Fault) {
+	f.At = g.faultStart()
+	if f.At+f.Duration > g.scenario.Duration {
+		f.Duration = g.scenario.Duration - f.At
 	}
-	d.scenario.Faults = append(d.scenario.Faults, t)
+	g.scenario.Faults = append(g.scenario.Faults, f)
 }
 
-// release replaces a part of the instances, as every soak does: what drains and what starts cold is what most rules are about.
-func (d *generator) addRelease() {
-	d.add(scenario.Fault{Kind: "deploy", Duration: d.duration(3*time.Second, 8*time.Second), Share: d.share(0.2, 0.5), BatchShare: d.share(0.1, 0.4),
-		DrainTime: d.duration(2*time.Second, 5*time.Second)})
+// addRelease adds a rolling release of some of the instances. Every soak has one, as most rules concern draining instances and
+// instances in slow start.
+func (g *generator) addRelease() {
+	g.add(scenario.Fault{Kind: "deploy", Duration: g.duration(3*time.Second, 8*time.Second), Share: g.share(0.2, 0.5), BatchShare: g.share(0.1, 0.4),
+		DrainTime: g.duration(2*time.Second, 5*time.Second)})
 }
 
-// faults draws some of each kind: of discovery, of sidecars, of instances and of the paths between them.
-func (d *generator) addFaults() {
+// addFaults adds some faults of each kind: of discovery, of sidecars, of instances and of the paths between them.
+func (g *generator) addFaults() {
 	for _, kind := range []struct {
-		draws []func()
-		most  int
+		adders   []func()
+		maxCount int
 	}{
-		{[]func(){d.discoveryMoves, d.discoveryDown, d.discoverySlow, d.watchesBroken, d.discoveryPath}, 3},
-		{[]func(){d.sidecarsEnded, d.sidecarsPaused}, 2},
-		{[]func(){d.machinesVanish, d.instancesSlow, d.instancesPaused, d.responsesCorrupted, d.instancesRejecting}, 3},
-		{[]func(){d.pathCut, d.pathDegraded, d.pathReset}, 2},
+		{[]func(){g.discoveryMoves, g.discoveryDown, g.discoverySlow, g.watchesBroken, g.discoveryPath}, 3},
+		{[]func(){g.sidecarsEnded, g.sidecarsPaused}, 2},
+		{[]func(){g.machinesVanish, g.instancesSlow, g.instancesPaused, g.responsesCorrupted, g.instancesRejecting}, 3},
+		{[]func(){g.pathCut, g.pathDegraded, g.pathReset}, 2},
 	} {
-		order := d.rng.Perm(len(kind.draws))
-		for _, i := range order[:1+d.rng.IntN(kind.most)] {
-			kind.draws[i]()
+		order := g.rng.Perm(len(kind.adders))
+		for _, i := range order[:1+g.rng.IntN(kind.maxCount)] {
+			kind.adders[i]()
 		}
 	}
-	slices.SortStableFunc(d.scenario.Faults, func(a, b scenario.Fault) int { return int(a.At - b.At) })
+	slices.SortStableFunc(g.scenario.Faults, func(a, b scenario.Fault) int { return int(a.At - b.At) })
 }
 
-func (d *generator) discoveryMoves() {
-	d.add(scenario.Fault{Kind: "move-discovery", Count: 1 + d.rng.IntN(5), Interval: d.duration(200*time.Millisecond, 900*time.Millisecond)})
+func (g *generator) discoveryMoves() {
+	g.add(scenario.Fault{Kind: "move-discovery", Count: 1 + g.rng.IntN(5), Interval: g.duration(200*time.Millisecond, 900*time.Millisecond)})
 }
 
-func (d *generator) discoveryDown() {
-	d.add(scenario.Fault{Kind: "discovery-down", Duration: d.duration(time.Second, 8*time.Second)})
+func (g *generator) discoveryDown() {
+	g.add(scenario.Fault{Kind: "discovery-down", Duration: g.duration(time.Second, 8*time.Second)})
 }
 
-func (d *generator) discoverySlow() {
-	d.add(scenario.Fault{Kind: "slow-discovery", Duration: d.duration(3*time.Second, 10*time.Second), Magnitude: float64(2 + d.rng.IntN(8))})
+func (g *generator) discoverySlow() {
+	g.add(scenario.Fault{Kind: "slow-discovery", Duration: g.duration(3*time.Second, 10*time.Second), Magnitude: float64(2 + g.rng.IntN(8))})
 }
 
-func (d *generator) watchesBroken() {
-	d.add(scenario.Fault{Kind: "watches", Mode: choose(d, scenario.WatchesEnd, scenario.WatchesReset, scenario.WatchesSilent), Share: d.share(0.3, 1)})
+func (g *generator) watchesBroken() {
+	g.add(scenario.Fault{Kind: "watches", Mode: choose(g, scenario.WatchesEnd, scenario.WatchesReset, scenario.WatchesSilent), Share: g.share(0.3, 1)})
 }
 
-func (d *generator) discoveryPath() {
-	d.add(scenario.Fault{Kind: "path", Path: scenario.PathDiscovery, Duration: d.duration(2*time.Second, 9*time.Second), Share: d.share(0.2, 0.6),
-		Mode: choose(d, "out", "back", "both")})
+func (g *generator) discoveryPath() {
+	g.add(scenario.Fault{Kind: "path", Path: scenario.PathDiscovery, Duration: g.duration(2*time.Second, 9*time.Second), Share: g.share(0.2, 0.6),
+		Mode: choose(g, "out", "back", "both")})
 }
 
-// sidecarsEnd has front sidecars end by SIGTERM or by SIGKILL, or kills those of other tiers: not two of them, as their
-// processes are started anew by whoever ended them.
-func (d *generator) sidecarsEnded() {
-	switch d.rng.IntN(3) {
+// sidecarsEnded restarts sidecars of the first tier by SIGTERM, or kills some of them, or kills some of another tier. It adds only
+// one of the three, as each fault restarts the processes that it has ended.
+func (g *generator) sidecarsEnded() {
+	switch g.rng.IntN(3) {
 	case 0:
-		d.add(scenario.Fault{Kind: "restart-sidecar", Count: 1 + d.rng.IntN(2), SignalSeries: d.rng.IntN(2) == 0})
+		g.add(scenario.Fault{Kind: "restart-sidecar", Count: 1 + g.rng.IntN(2), SignalSeries: g.rng.IntN(2) == 0})
 	case 1:
-		d.add(scenario.Fault{Kind: "kill-sidecar", Tier: d.scenario.Tiers[0].Name, Share: d.share(0.2, 0.5), Duration: d.duration(0, 3*time.Second),
-			DiscardList: d.rng.IntN(2) == 0})
+		g.add(scenario.Fault{Kind: "kill-sidecar", Tier: g.scenario.Tiers[0].Name, Share: g.share(0.2, 0.5), Duration: g.duration(0, 3*time.Second),
+			DiscardList: g.rng.IntN(2) == 0})
 	default:
-		d.add(scenario.Fault{Kind: "kill-sidecar", Tier: d.scenario.Tiers[1+d.rng.IntN(len(d.scenario.Tiers)-1)].Name, Share: d.share(0.2, 0.5),
-			Duration: d.duration(0, 3*time.Second), DiscardList: d.rng.IntN(2) == 0})
+		g.add(scenario.Fault{Kind: "kill-sidecar", Tier: g.scenario.Tiers[1+g.rng.IntN(len(g.scenario.Tiers)-1)].Name, Share: g.share(0.2, 0.5),
+			Duration: g.duration(0, 3*time.Second), DiscardList: g.rng.IntN(2) == 0})
 	}
 }
 
-func (d *generator) sidecarsPaused() {
-	d.add(scenario.Fault{Kind: "stop-sidecar", Tier: d.scenario.Tiers[0].Name, Count: 1 + d.rng.IntN(2), Duration: d.duration(200*time.Millisecond, 4*time.Second)})
+func (g *generator) sidecarsPaused() {
+	g.add(scenario.Fault{Kind: "stop-sidecar", Tier: g.scenario.Tiers[0].Name, Count: 1 + g.rng.IntN(2), Duration: g.duration(200*time.Millisecond, 4*time.Second)})
 }
 
-func (d *generator) machinesVanish() {
-	d.add(scenario.Fault{Kind: "vanish", Duration: d.duration(2*time.Second, 6*time.Second), Share: d.share(0.1, 0.3)})
+func (g *generator) machinesVanish() {
+	g.add(scenario.Fault{Kind: "vanish", Duration: g.duration(2*time.Second, 6*time.Second), Share: g.share(0.1, 0.3)})
 }
 
-func (d *generator) instancesSlow() {
-	d.add(scenario.Fault{Kind: "slow", Duration: d.duration(3*time.Second, 8*time.Second), Share: d.share(0.1, 0.4), Magnitude: float64(2 + d.rng.IntN(7))})
+func (g *generator) instancesSlow() {
+	g.add(scenario.Fault{Kind: "slow", Duration: g.duration(3*time.Second, 8*time.Second), Share: g.share(0.1, 0.4), Magnitude: float64(2 + g.rng.IntN(7))})
 }
 
-func (d *generator) instancesPaused() {
-	d.add(scenario.Fault{Kind: "pauses", Duration: d.duration(3*time.Second, 8*time.Second), Share: d.share(0.1, 0.5),
-		Interval: d.duration(time.Second, 3*time.Second), Span: d.duration(50*time.Millisecond, 700*time.Millisecond)})
+func (g *generator) instancesPaused() {
+	g.add(scenario.Fault{Kind: "pauses", Duration: g.duration(3*time.Second, 8*time.Second), Share: g.share(0.1, 0.5),
+		Interval: g.duration(time.Second, 3*time.Second), Span: g.duration(50*time.Millisecond, 700*time.Millisecond)})
 }
 
-func (d *generator) responsesCorrupted() {
-	d.add(scenario.Fault{Kind: "spoilt", Duration: d.duration(2*time.Second, 8*time.Second), Share: d.share(0.1, 0.5), Magnitude: d.share(0.05, 0.5)})
+func (g *generator) responsesCorrupted() {
+	g.add(scenario.Fault{Kind: "spoilt", Duration: g.duration(2*time.Second, 8*time.Second), Share: g.share(0.1, 0.5), Magnitude: g.share(0.05, 0.5)})
 }
 
-func (d *generator) instancesRejecting() {
-	d.add(scenario.Fault{Kind: "busy", Duration: d.duration(time.Second, 5*time.Second), Share: d.share(0.1, 0.5)})
+func (g *generator) instancesRejecting() {
+	g.add(scenario.Fault{Kind: "busy", Duration: g.duration(time.Second, 5*time.Second), Share: g.share(0.1, 0.5)})
 }
 
-func (d *generator) pathCut() {
-	d.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: d.duration(2*time.Second, 8*time.Second), Share: d.share(0.1, 0.4),
-		Mode: choose(d, "out", "back", "both"), TargetShare: d.share(0.2, 0.6)})
+func (g *generator) pathCut() {
+	g.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: g.duration(2*time.Second, 8*time.Second), Share: g.share(0.1, 0.4),
+		Mode: choose(g, "out", "back", "both"), TargetShare: g.share(0.2, 0.6)})
 }
 
-func (d *generator) pathDegraded() {
-	d.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: d.duration(2*time.Second, 8*time.Second), Share: d.share(0.1, 0.5),
-		Span: d.duration(20*time.Millisecond, 200*time.Millisecond), Magnitude: d.share(0, 0.1)})
+func (g *generator) pathDegraded() {
+	g.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: g.duration(2*time.Second, 8*time.Second), Share: g.share(0.1, 0.5),
+		Span: g.duration(20*time.Millisecond, 200*time.Millisecond), Magnitude: g.share(0, 0.1)})
 }
 
-func (d *generator) pathReset() {
-	d.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: scenario.Duration(time.Second), Share: d.share(0.3, 1), Reset: true})
+func (g *generator) pathReset() {
+	g.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: scenario.Duration(time.Second), Share: g.share(0.3, 1), Reset: true})
 }
