--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -93,7 +93,7 @@
 		{"paths", "paths between sidecars and instances lose, delay, are reset and cut, and two sidecars lose discovery", begin, begin + 12*time.Second, end,
 			combine(withFault(scenario.Fault{Kind: "path", At: faultStart, Duration: 12 * second, Path: scenario.PathInstances, Share: 0.25, Mode: "both", TargetShare: 0.5}),
 				withFault(scenario.Fault{Kind: "path", At: faultStart + 2*second, Duration: 6 * second, Path: scenario.PathInstances, Share: 0.25, Span: 150 * second / 1000, Magnitude: 0.05}),
-				withFault(scenario.Fault{Kind: "path", At: faultStart + 4*second, Duration: second, Path: scenario.PathInstances, Share: 0.5, Reset: true}),
+				withFault(scenario.Fault{Kind: "path", At: faultStart + 4*second, Duration: second, Path: scenario.PathInstances, Share: 0.5, ResetConnections: true}),
 				withFault(scenario.Fault{Kind: "path", At: faultStart, Duration: 10 * second, Path: scenario.PathDiscovery, Share: 0.25, Mode: "back"}))},
 	}
 }
--- a/internal/lab/fleet/soak.go
+++ b/internal/lab/fleet/soak.go
@@ -295,5 +295,5 @@
 }
 
 func (g *generator) pathReset() {
-	g.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: scenario.Duration(time.Second), Share: g.share(0.3, 1), Reset: true})
+	g.add(scenario.Fault{Kind: "path", Path: scenario.PathInstances, Duration: scenario.Duration(time.Second), Share: g.share(0.3, 1), ResetConnections: true})
 }
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// troubleKeys are the keys that a kind of trouble has beside kind and at. A ! marks one that it needs.
+// faultKeys are the keys of each kind of fault, besides kind and at. An exclamation mark marks a required key.
 var faultKeys = map[string][]string{
 	"vanish":          {"for!", "tier", "part", "count"},
 	"slow":            {"for!", "tier", "part", "count", "size"},
@@ -28,281 +28,286 @@
 	"discovery-down":  {"for!"},
 }
 
-// mostMoves is how many places discovery can have at a time; an old one stands for a while.
+// maxDiscoveryMoves bounds the address changes of one fault: discovery keeps serving at its old addresses for a while, and there
+// can be only so many at a time.
 const maxDiscoveryMoves = 6
 
-// wrong checks the figures, and names each that cannot be by the key where it stands.
-func (s *Scenario) validate(bad func(key, format string, args ...any)) {
-	above := func(key string, v float64) {
+// validate checks all values and reports each invalid one with its key.
+func (s *Scenario) validate(report func(key, format string, args ...any)) {
+	positive := func(key string, v float64) {
 		if !(v > 0) || math.IsInf(v, 0) {
-			bad(key, "must be above 0, not %g", v)
+			report(key, "must be above 0, not %g", v)
 		}
 	}
-	part := func(key string, v float64) {
+	share := func(key string, v float64) {
 		if !(v >= 0 && v <= 1) {
-			bad(key, "a share lies between 0 and 1, not %g", v)
+			report(key, "a share lies between 0 and 1, not %g", v)
 		}
 	}
-	span := func(key string, d Duration) {
+	positiveDuration := func(key string, d Duration) {
 		if d <= 0 {
-			bad(key, "must be above 0, not %s", d.D())
+			report(key, "must be above 0, not %s", d.D())
 		}
 	}
 	if s.Name == "" {
-		bad("name", "is missing")
+		report("name", "is missing")
 	}
-	span("duration", s.Duration)
+	positiveDuration("duration", s.Duration)
 	if s.Warmup < 0 || s.Warmup >= s.Duration {
-		bad("warmup", "must lie within the duration of %s", s.Duration.D())
+		report("warmup", "must lie within the duration of %s", s.Duration.D())
 	}
 	if len(s.Classes) == 0 {
-		bad("classes", "at least one is needed")
+		report("classes", "at least one is needed")
 	}
 	shares := 0.0
 	for i, c := range s.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
+		prefix := fmt.Sprintf("classes[%d].", i)
 		if c.Name == "" || strings.ContainsAny(c.Name, "/? \t") {
-			bad(at+"name", "a class has a name without spaces and slashes, not %q", c.Name)
+			report(prefix+"name", "a class has a name without spaces and slashes, not %q", c.Name)
 		}
 		if slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }) {
-			bad(at+"name", "%q stands twice", c.Name)
+			report(prefix+"name", "duplicate name %q", c.Name)
 		}
-		above(at+"share", c.Share)
-		above(at+"worth", c.Utility)
-		span(at+"work", c.Work)
-		span(at+"aim", c.LatencyTarget)
+		positive(prefix+"share", c.Share)
+		positive(prefix+"worth", c.Utility)
+		positiveDuration(prefix+"work", c.Work)
+		positiveDuration(prefix+"aim", c.LatencyTarget)
 		if c.TotalTimeout < c.LatencyTarget {
-			bad(at+"give_up", "%s is before the aim of %s", c.TotalTimeout.D(), c.LatencyTarget.D())
+			report(prefix+"give_up", "%s is before the aim of %s", c.TotalTimeout.D(), c.LatencyTarget.D())
 		}
 		if c.Effect != "safe" && c.Effect != "unsafe" {
-			bad(at+"effect", "safe or unsafe, not %q", c.Effect)
+			report(prefix+"effect", "safe or unsafe, not %q", c.Effect)
 		}
 		if c.WorkCV < 0 || c.AttemptNoise < 0 {
-			bad(at+"spread", "a spread is not negative")
+			report(prefix+"spread", "a spread is not negative")
 		}
 		shares += c.Share
 	}
 	if len(s.Classes) > 0 && math.Abs(shares-1) > 0.011 {
-		bad("classes", "the shares add up to %.2f, not 1", shares)
+		report("classes", "the shares add up to %.2f, not 1", shares)
 	}
-	s.validateLoad(bad)
+	s.validateLoad(report)
 	if s.Clients.MaxRetries < 0 || s.Clients.MaxRetries > 20 {
-		bad("clients.retries", "between 0 and 20, not %d", s.Clients.MaxRetries)
+		report("clients.retries", "between 0 and 20, not %d", s.Clients.MaxRetries)
 	}
-	above("clients.try_share", s.Clients.AttemptTimeoutShare)
-	part("clients.try_share", s.Clients.AttemptTimeoutShare)
-	part("clients.honour", s.Clients.HonorRetryAfter)
-	part("clients.leave", s.Clients.LeaveShare)
+	positive("clients.try_share", s.Clients.AttemptTimeoutShare)
+	share("clients.try_share", s.Clients.AttemptTimeoutShare)
+	share("clients.honour", s.Clients.HonorRetryAfter)
+	share("clients.leave", s.Clients.LeaveShare)
 	if !(s.Frontend.Skew >= 1 && s.Frontend.Skew <= 100) {
-		bad("front.skew", "between 1 and 100, not %g", s.Frontend.Skew)
+		report("front.skew", "between 1 and 100, not %g", s.Frontend.Skew)
 	}
 	if s.Clients.Backoff < 0 {
-		bad("clients.backoff", "is negative")
+		report("clients.backoff", "is negative")
 	}
 	if len(s.Tiers) == 0 {
-		bad("tiers", "at least one is needed")
+		report("tiers", "at least one is needed")
 	}
 	for i := range s.Tiers {
-		s.Tiers[i].validate(i, len(s.Tiers), bad, above, part, span)
+		s.Tiers[i].validate(i, len(s.Tiers), report, positive, share, positiveDuration)
 	}
 	d := s.Discovery
-	above("discovery.capacity", d.CallsPerSecond)
-	span("discovery.period", d.PublishPeriod)
-	span("discovery.timeout", d.Timeout)
-	span("discovery.beat", d.HeartbeatPeriod)
-	above("sidecar.cores", s.Sidecar.Cores)
+	positive("discovery.capacity", d.CallsPerSecond)
+	positiveDuration("discovery.period", d.PublishPeriod)
+	positiveDuration("discovery.timeout", d.Timeout)
+	positiveDuration("discovery.beat", d.HeartbeatPeriod)
+	positive("sidecar.cores", s.Sidecar.Cores)
 	if s.Sidecar.MemoryMB < 16 {
-		bad("sidecar.memory_mb", "at least 16, not %d", s.Sidecar.MemoryMB)
+		report("sidecar.memory_mb", "at least 16, not %d", s.Sidecar.MemoryMB)
 	}
 	if s.Sidecar.Sockets < 64 {
-		bad("sidecar.sockets", "at least 64, not %d", s.Sidecar.Sockets)
+		report("sidecar.sockets", "at least 64, not %d", s.Sidecar.Sockets)
 	}
 	switch c := s.Sidecar; {
 	case c.ConfigFormat != FormatPlatform && c.ConfigFormat != FormatPools:
-		bad("sidecar.form", "%s or %s, not %q", FormatPlatform, FormatPools, c.ConfigFormat)
+		report("sidecar.form", "%s or %s, not %q", FormatPlatform, FormatPools, c.ConfigFormat)
 	case c.ConfigFormat == FormatPlatform && (c.Chain || c.Origin || c.RetryDeclined || c.RetryShare != 0 || c.RetryBurst != 0):
-		bad("sidecar.form", "%s has no chain, origin and retries: they need form: %s", FormatPlatform, FormatPools)
+		report("sidecar.form", "%s has no chain, origin and retries: they need form: %s", FormatPlatform, FormatPools)
 	case c.MaxAttempts < 1 || c.MaxAttempts > 10:
-		bad("sidecar.attempts", "between 1 and 10, not %d", c.MaxAttempts)
+		report("sidecar.attempts", "between 1 and 10, not %d", c.MaxAttempts)
 	}
 	if g := s.Objective; math.Abs(g.WholeRun+g.WorstWindow+g.WorstClass-1) > 0.001 {
-		bad("goal", "whole, worst_window and worst_class add up to %.2f, not 1", g.WholeRun+g.WorstWindow+g.WorstClass)
+		report("goal", "whole, worst_window and worst_class add up to %.2f, not 1", g.WholeRun+g.WorstWindow+g.WorstClass)
 	}
 	if s.Objective.UtilityPer != "work" && s.Objective.UtilityPer != "request" {
-		bad("goal.worth_by", "work or request, not %q", s.Objective.UtilityPer)
+		report("goal.worth_by", "work or request, not %q", s.Objective.UtilityPer)
 	}
 	for i := range s.Faults {
-		s.validateFault(i, bad, part)
+		s.validateFault(i, report, share)
 	}
 }
 
-func (s *Scenario) validateLoad(bad func(string, string, ...any)) {
+// validateLoad checks the key load.
+func (s *Scenario) validateLoad(report func(string, string, ...any)) {
 	l := s.Load
 	switch {
 	case l.Utilisation == 0 && l.Rate == 0:
-		bad("load", "utilisation or rate is needed")
+		report("load", "utilisation or rate is needed")
 	case l.Utilisation != 0 && l.Rate != 0:
-		bad("load.rate", "utilisation is given, too: one of them is enough")
+		report("load.rate", "only one of utilisation and rate may be set")
 	case l.Utilisation < 0 || l.Utilisation > 5:
-		bad("load.utilisation", "between 0 and 5, not %g", l.Utilisation)
+		report("load.utilisation", "between 0 and 5, not %g", l.Utilisation)
 	case l.Rate < 0 || l.Rate > 5000:
-		bad("load.rate", "between 0 and 5000 requests a second, not %g", l.Rate)
+		report("load.rate", "between 0 and 5000 requests a second, not %g", l.Rate)
 	}
 	if l.Arrivals != "poisson" && l.Arrivals != "constant" {
-		bad("load.arrivals", "poisson or constant, not %q", l.Arrivals)
+		report("load.arrivals", "poisson or constant, not %q", l.Arrivals)
 	}
 	for i, p := range l.Shape {
 		if i > 0 && p.At < l.Shape[i-1].At {
-			bad(fmt.Sprintf("load.shape[%d].at", i), "%s comes after %s", p.At.D(), l.Shape[i-1].At.D())
+			report(fmt.Sprintf("load.shape[%d].at", i), "%s comes after %s", p.At.D(), l.Shape[i-1].At.D())
 		}
 		if p.Factor < 0 || p.Factor > 100 {
-			bad(fmt.Sprintf("load.shape[%d].factor", i), "between 0 and 100, not %g", p.Factor)
+			report(fmt.Sprintf("load.shape[%d].factor", i), "between 0 and 100, not %g", p.Factor)
 		}
 	}
 }
 
-func (t *Tier) validate(n, of int, bad func(string, string, ...any), above, part func(string, float64), span func(string, Duration)) {
-	at := fmt.Sprintf("tiers[%d].", n)
+// validate checks the n-th tier.
+func (t *Tier) validate(n, tiers int, report func(string, string, ...any), positive, share func(string, float64), positiveDuration func(string, Duration)) {
+	prefix := fmt.Sprintf("tiers[%d].", n)
 	if t.Name == "" || strings.ContainsAny(t.Name, "/ \t") {
-		bad(at+"name", "a tier has a name without spaces and slashes, not %q", t.Name)
+		report(prefix+"name", "a tier has a name without spaces and slashes, not %q", t.Name)
 	}
 	if t.Instances < 1 || t.Instances > 200 {
-		bad(at+"instances", "between 1 and 200, not %d", t.Instances)
+		report(prefix+"instances", "between 1 and 200, not %d", t.Instances)
 	}
 	switch {
 	case n == 0 && (t.Sidecars < 1 || t.Sidecars > 60):
-		bad(at+"sidecars", "between 1 and 60, not %d", t.Sidecars)
+		report(prefix+"sidecars", "between 1 and 60, not %d", t.Sidecars)
 	case n > 0 && t.Sidecars != 0:
-		bad(at+"sidecars", "only the first tier has a number of sidecars: later ones have one for each instance above")
+		report(prefix+"sidecars", "only the first tier has a number of sidecars: later ones have one for each instance above")
 	}
-	above(at+"work", t.WorkShare)
+	positive(prefix+"work", t.WorkShare)
 	if n > 0 && !(t.CallsPerRequest >= 1 && t.CallsPerRequest <= 10) {
-		bad(at+"calls", "between 1 and 10, not %g", t.CallsPerRequest)
+		report(prefix+"calls", "between 1 and 10, not %g", t.CallsPerRequest)
 	}
 	sum := 0.0
 	for i, k := range t.Kinds {
-		at := fmt.Sprintf("%skinds[%d].", at, i)
+		prefix := fmt.Sprintf("%skinds[%d].", prefix, i)
 		if k.Name == "" {
-			bad(at+"name", "is missing")
+			report(prefix+"name", "is missing")
 		}
 		sum += k.Share
-		above(at+"share", k.Share)
-		above(at+"speed", k.Speed.Low)
+		positive(prefix+"share", k.Share)
+		positive(prefix+"speed", k.Speed.Low)
 		if k.Speed.High < k.Speed.Low {
-			bad(at+"speed", "the range ends before it begins")
+			report(prefix+"speed", "the upper bound of the range is below the lower bound")
 		}
 		if k.Cores < 1 || k.Cores > 64 {
-			bad(at+"cores", "between 1 and 64, not %d", k.Cores)
+			report(prefix+"cores", "between 1 and 64, not %d", k.Cores)
 		}
 	}
 	if math.Abs(sum-1) > 0.011 {
-		bad(at+"kinds", "the shares add up to %.2f, not 1", sum)
+		report(prefix+"kinds", "the shares add up to %.2f, not 1", sum)
 	}
 	if t.Slots < 1 {
-		bad(at+"slots", "at least 1, not %d", t.Slots)
+		report(prefix+"slots", "at least 1, not %d", t.Slots)
 	}
 	if t.QueueLimit < 0 {
-		bad(at+"queue", "is negative")
-	}
-	part(at+"errors", t.ErrorShare)
-	part(at+"spoilt", t.CorruptShare)
-	above(at+"cold.share", t.ColdStart.InitialShare)
-	part(at+"cold.share", t.ColdStart.InitialShare)
-	span(at+"cold.time", t.ColdStart.Duration)
-	span(at+"cold.window", t.ColdStart.Window)
-	above(at+"cold.multiple", t.ColdStart.LoadFactor)
-	part(at+"connections.tax", t.Connections.FullTableLoss)
-	span(at+"reports.period", t.LoadReports.Period)
+		report(prefix+"queue", "is negative")
+	}
+	share(prefix+"errors", t.ErrorShare)
+	share(prefix+"spoilt", t.CorruptShare)
+	positive(prefix+"cold.share", t.ColdStart.InitialShare)
+	share(prefix+"cold.share", t.ColdStart.InitialShare)
+	positiveDuration(prefix+"cold.time", t.ColdStart.Duration)
+	positiveDuration(prefix+"cold.window", t.ColdStart.Window)
+	positive(prefix+"cold.multiple", t.ColdStart.LoadFactor)
+	share(prefix+"connections.tax", t.Connections.FullTableLoss)
+	positiveDuration(prefix+"reports.period", t.LoadReports.Period)
 	for i, f := range t.LoadReports.Fields {
 		if reportFieldNames[f] == "" {
-			bad(fmt.Sprintf("%sreports.fields[%d]", at, i), "queue, inflight, qps or util, not %q", f)
+			report(fmt.Sprintf("%sreports.fields[%d]", prefix, i), "queue, inflight, qps or util, not %q", f)
 		}
 	}
 }
 
-// set tells which keys of a trouble are given.
-func (t *Fault) givenKeys() map[string]bool {
-	return map[string]bool{"for": t.Duration != 0, "tier": t.Tier != "", "part": t.Share != 0, "count": t.Count != 0, "size": t.Magnitude != 0,
-		"every": t.Interval != 0, "span": t.Span != 0, "batch": t.BatchShare != 0, "drain": t.DrainTime != 0, "path": t.Path != "", "way": t.Mode != "",
-		"reset": t.Reset, "targets": t.TargetShare != 0, "forget": t.DiscardList}
+// givenKeys tells which keys of a fault are set.
+func (f *Fault) givenKeys() map[string]bool {
+	return map[string]bool{"for": f.Duration != 0, "tier": f.Tier != "", "part": f.Share != 0, "count": f.Count != 0, "size": f.Magnitude != 0,
+		"every": f.Interval != 0, "span": f.Span != 0, "batch": f.BatchShare != 0, "drain": f.DrainTime != 0, "path": f.Path != "", "way": f.Mode != "",
+		"reset": f.ResetConnections, "targets": f.TargetShare != 0, "forget": f.DiscardList}
 }
 
-func (s *Scenario) validateFault(i int, bad func(string, string, ...any), part func(string, float64)) {
-	t, at := &s.Faults[i], fmt.Sprintf("troubles[%d].", i)
-	keys, known := faultKeys[t.Kind]
+// validateFault checks the i-th fault.
+func (s *Scenario) validateFault(i int, report func(string, string, ...any), share func(string, float64)) {
+	f, prefix := &s.Faults[i], fmt.Sprintf("troubles[%d].", i)
+	keys, known := faultKeys[f.Kind]
 	if !known {
-		bad(at+"kind", "%q is none of %s", t.Kind, strings.Join(FaultKinds(), ", "))
+		report(prefix+"kind", "unknown kind %q, not one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
 		return
 	}
-	for key, given := range t.givenKeys() {
+	for key, given := range f.givenKeys() {
 		needed := slices.Contains(keys, key+"!")
 		if given && !needed && !slices.Contains(keys, key) {
-			bad(at+key, "%s has no such key", t.Kind)
+			report(prefix+key, "a fault of kind %s has no such key", f.Kind)
 		}
 		if !given && needed {
-			bad(at+key, "%s needs it", t.Kind)
+			report(prefix+key, "required for kind %s", f.Kind)
 		}
 	}
-	if t.At < 0 || t.At >= s.Duration {
-		bad(at+"at", "%s is not within the run of %s", t.At.D(), s.Duration.D())
+	if f.At < 0 || f.At >= s.Duration {
+		report(prefix+"at", "%s is not within the run of %s", f.At.D(), s.Duration.D())
 	}
-	if t.Duration < 0 {
-		bad(at+"for", "is negative")
+	if f.Duration < 0 {
+		report(prefix+"for", "is negative")
 	}
-	if t.Tier != "" && !slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Tier }) {
-		bad(at+"tier", "there is no tier %q", t.Tier)
+	if f.Tier != "" && !slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == f.Tier }) {
+		report(prefix+"tier", "there is no tier %q", f.Tier)
 	}
-	part(at+"part", t.Share)
-	part(at+"batch", t.BatchShare)
-	if t.Count < 0 || t.Count > 200 {
-		bad(at+"count", "between 0 and 200, not %d", t.Count)
+	share(prefix+"part", f.Share)
+	share(prefix+"batch", f.BatchShare)
+	if f.Count < 0 || f.Count > 200 {
+		report(prefix+"count", "between 0 and 200, not %d", f.Count)
 	}
-	if t.Share != 0 && t.Count != 0 {
-		bad(at+"count", "part is given, too: one of them is enough")
+	if f.Share != 0 && f.Count != 0 {
+		report(prefix+"count", "only one of part and count may be set")
 	}
-	if t.Kind == "slow" && t.Magnitude < 1 {
-		bad(at+"size", "how many times slower, at least 1, not %g", t.Magnitude)
+	if f.Kind == "slow" && f.Magnitude < 1 {
+		report(prefix+"size", "how many times slower, at least 1, not %g", f.Magnitude)
 	}
-	if t.Kind == "spoilt" || t.Kind == "path" {
-		part(at+"size", t.Magnitude)
+	if f.Kind == "spoilt" || f.Kind == "path" {
+		share(prefix+"size", f.Magnitude)
 	}
-	if t.Kind == "slow-discovery" && t.Magnitude < 1 {
-		bad(at+"size", "how many times slower, at least 1, not %g", t.Magnitude)
+	if f.Kind == "slow-discovery" && f.Magnitude < 1 {
+		report(prefix+"size", "how many times slower, at least 1, not %g", f.Magnitude)
 	}
-	if t.Kind == "move-discovery" && t.Count > maxDiscoveryMoves {
-		bad(at+"count", "at most %d in a row, not %d", maxDiscoveryMoves, t.Count)
+	if f.Kind == "move-discovery" && f.Count > maxDiscoveryMoves {
+		report(prefix+"count", "at most %d in a row, not %d", maxDiscoveryMoves, f.Count)
 	}
-	if ways := []string{WatchesEnd, WatchesReset, WatchesSilent}; t.Kind == "watches" && !slices.Contains(ways, t.Mode) {
-		bad(at+"way", "%s, not %q", strings.Join(ways, ", "), t.Mode)
+	if ways := []string{WatchesEnd, WatchesReset, WatchesSilent}; f.Kind == "watches" && !slices.Contains(ways, f.Mode) {
+		report(prefix+"way", "%s, not %q", strings.Join(ways, ", "), f.Mode)
 	}
-	if t.Kind == "path" {
-		s.validatePath(t, at, bad, part)
+	if f.Kind == "path" {
+		s.validatePath(f, prefix, report, share)
 	}
-	if t.Kind == "misroute" && len(s.Tiers) > 0 && t.Tier == s.Tiers[len(s.Tiers)-1].Name {
-		bad(at+"tier", "instances of the last tier make no calls")
+	if f.Kind == "misroute" && len(s.Tiers) > 0 && f.Tier == s.Tiers[len(s.Tiers)-1].Name {
+		report(prefix+"tier", "instances of the last tier make no calls")
 	}
-	if t.Kind == "pauses" && t.Interval <= t.Span {
-		bad(at+"every", "%s is no longer than the pause of %s", t.Interval.D(), t.Span.D())
+	if f.Kind == "pauses" && f.Interval <= f.Span {
+		report(prefix+"every", "%s is no longer than the pause of %s", f.Interval.D(), f.Span.D())
 	}
 }
 
-func (s *Scenario) validatePath(t *Fault, at string, bad func(string, string, ...any), part func(string, float64)) {
-	if t.Path != PathInstances && t.Path != PathDiscovery {
-		bad(at+"path", "%s or %s, not %q", PathInstances, PathDiscovery, t.Path)
+// validatePath checks the keys of a fault of kind path.
+func (s *Scenario) validatePath(f *Fault, prefix string, report func(string, string, ...any), share func(string, float64)) {
+	if f.Path != PathInstances && f.Path != PathDiscovery {
+		report(prefix+"path", "%s or %s, not %q", PathInstances, PathDiscovery, f.Path)
 	}
-	if t.Mode != "" && t.Mode != "out" && t.Mode != "back" && t.Mode != "both" {
-		bad(at+"way", "out, back or both, not %q", t.Mode)
+	if f.Mode != "" && f.Mode != "out" && f.Mode != "back" && f.Mode != "both" {
+		report(prefix+"way", "out, back or both, not %q", f.Mode)
 	}
-	if t.Mode == "" && t.Span == 0 && t.Magnitude == 0 && !t.Reset {
-		bad(at+"way", "one of way, span, size and reset is needed")
+	if f.Mode == "" && f.Span == 0 && f.Magnitude == 0 && !f.ResetConnections {
+		report(prefix+"way", "one of way, span, size and reset is needed")
 	}
-	if t.Span < 0 {
-		bad(at+"span", "is negative")
+	if f.Span < 0 {
+		report(prefix+"span", "is negative")
 	}
-	part(at+"targets", t.TargetShare)
+	share(prefix+"targets", f.TargetShare)
 }
 
-// TroubleKinds are the kinds of troubles, sorted.
+// FaultKinds returns the kinds of faults, sorted.
 func FaultKinds() []string {
 	var out []string
 	for k := range faultKeys {
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -2,7 +2,7 @@
 
 import "kitewood/internal/yamlfile"
 
-// fill puts in what a file leaves out. Figures are those of the platform's deployment, or the middle of their ranges.
+// setDefaults fills in the values that a file leaves out: those of the platform's deployment, or the middle of their ranges.
 func (s *Scenario) setDefaults() {
 	yamlfile.Default(&s.Duration, yamlfile.Milliseconds(20_000))
 	yamlfile.Default(&s.Seed, 1)
@@ -88,19 +88,19 @@
 	yamlfile.Default(&t.LoadReports.Delay, yamlfile.Milliseconds(100))
 }
 
-func (t *Fault) setDefaults() {
-	switch t.Kind {
+func (f *Fault) setDefaults() {
+	switch f.Kind {
 	case "deploy":
-		yamlfile.Default(&t.BatchShare, 0.16)
-		yamlfile.Default(&t.DrainTime, yamlfile.Milliseconds(3000))
+		yamlfile.Default(&f.BatchShare, 0.16)
+		yamlfile.Default(&f.DrainTime, yamlfile.Milliseconds(3000))
 	case "pauses":
-		yamlfile.Default(&t.Interval, yamlfile.Milliseconds(2000))
-		yamlfile.Default(&t.Span, yamlfile.Milliseconds(300))
+		yamlfile.Default(&f.Interval, yamlfile.Milliseconds(2000))
+		yamlfile.Default(&f.Span, yamlfile.Milliseconds(300))
 	case "slow":
-		yamlfile.Default(&t.Magnitude, 5)
+		yamlfile.Default(&f.Magnitude, 5)
 	case "path":
-		yamlfile.Default(&t.TargetShare, 1)
+		yamlfile.Default(&f.TargetShare, 1)
 	case "late-reports":
-		yamlfile.Default(&t.Span, yamlfile.Milliseconds(2000))
+		yamlfile.Default(&f.Span, yamlfile.Milliseconds(2000))
 	}
 }
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -10,7 +10,7 @@
 // Load reads a scenario file. Its errors are yamlfile.Problems, joined where there are several.
 func Load(path string) (*Scenario, error) { return yamlfile.Load(path, Read) }
 
-// Read reads the text of a scenario file, fills in what it leaves out, and checks it.
+// Read parses the text of a scenario file, sets defaults and checks the result.
 func Read(file string, text []byte) (*Scenario, error) {
 	var s Scenario
 	f, err := yamlfile.Read(file, text, &s)
@@ -18,15 +18,15 @@
 		return nil, err
 	}
 	s.setDefaults()
-	wrong := f.NewProblemList()
-	s.validate(wrong.Add)
-	if err := wrong.Err(); err != nil {
+	problems := f.NewProblemList()
+	s.validate(problems.Add)
+	if err := problems.Err(); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// Check fills in and checks a scenario that was changed in memory. Its errors name keys without a place.
+// Check sets defaults and checks a scenario that was changed in memory. Its errors name keys without file and line.
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	var all []error
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -32,8 +32,8 @@
   - {kind: slow, at: 1s, for: 2s, part: 0.5, size: 3}
 `
 
-// Whatever is wrong is told with the file, the line, the column and the key.
-func TestErrorsNameTheirPlace(t *testing.T) {
+// An error names the file, line, column and key of the invalid value.
+func TestErrorsNamePosition(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"duration: 10s", "duration: 10", `t.yaml:2:11: duration: a span with its unit is wanted, like 500ms or 2s, not "10"`},
 		{"duration: 10s", "duration: 10 parsecs", "t.yaml:2:11: duration: a span"},
@@ -42,19 +42,19 @@
 		{"work: 100ms", "work: 100ms, wrok: 1s", "t.yaml:4:43: wrok: unknown field"},
 		{"share: 0.6", "share: lots", "t.yaml:4:25: share: "},
 		{"share: 0.6", "share: 0.9", "t.yaml:4:3: classes: the shares add up to 1.30, not 1"},
-		{"name: pay", "name: look", `t.yaml:5:12: classes[1].name: "look" stands twice`},
+		{"name: pay", "name: look", `t.yaml:5:12: classes[1].name: duplicate name "look"`},
 		{"effect: unsafe", "effect: maybe", `t.yaml:5:50: classes[1].effect: safe or unsafe, not "maybe"`},
-		{"utilisation: 0.5", "utilisation: 0.5, rate: 3", "t.yaml:6:32: load.rate: utilisation is given, too"},
+		{"utilisation: 0.5", "utilisation: 0.5, rate: 3", "t.yaml:6:32: load.rate: only one of utilisation and rate may be set"},
 		{"{utilisation: 0.5}", "{arrivals: poisson}", "t.yaml:6:7: load: utilisation or rate is needed"},
 		{"instances: 4", "instances: 0", "t.yaml:9:16: tiers[0].instances: between 1 and 200, not 0"},
 		{"instances: 2", "instances: 2\n    sidecars: 3", "t.yaml:13:15: tiers[1].sidecars: only the first tier"},
 		{"calls: 1.5", "calls: 0.5", "t.yaml:14:12: tiers[1].calls: between 1 and 10, not 0.5"},
-		{"work: 0.5\n  - name: two", "work: 0.5\n    kinds: [{name: k, share: 1, speed: [1, 2, 3]}]\n  - name: two", "t.yaml:11:40: tiers[0].kinds[0].speed: a range has two figures"},
-		{"kind: slow", "kind: sloww", `t.yaml:16:12: troubles[0].kind: "sloww" is none of busy, deploy, `},
+		{"work: 0.5\n  - name: two", "work: 0.5\n    kinds: [{name: k, share: 1, speed: [1, 2, 3]}]\n  - name: two", "t.yaml:11:40: tiers[0].kinds[0].speed: a range has two numbers"},
+		{"kind: slow", "kind: sloww", `t.yaml:16:12: troubles[0].kind: unknown kind "sloww", not one of busy, deploy, `},
 		{"size: 3", "size: 0.5", "t.yaml:16:52: troubles[0].size: how many times slower"},
-		{"size: 3", "drain: 3s", "t.yaml:16:53: troubles[0].drain: slow has no such key"},
+		{"size: 3", "drain: 3s", "t.yaml:16:53: troubles[0].drain: a fault of kind slow has no such key"},
 		{"at: 1s", "at: 11s", "t.yaml:16:22: troubles[0].at: 11s is not within the run of 10s"},
-		{"for: 2s, ", "", "t.yaml:16:5: troubles[0].for: slow needs it"},
+		{"for: 2s, ", "", "t.yaml:16:5: troubles[0].for: required for kind slow"},
 		{"part: 0.5", "part: 0.5, tier: three", `troubles[0].tier: there is no tier "three"`},
 		{"name: t\n", "name: t\nname: u\n", "t.yaml:2:1: "},
 		{"tiers:", "tiers: [", "t.yaml:"},
@@ -62,20 +62,20 @@
 	} {
 		text := strings.Replace(validScenario, c.from, c.to, 1)
 		if text == validScenario {
-			t.Fatalf("%q is not in the text", c.from)
+			t.Fatalf("the valid scenario does not contain %q", c.from)
 		}
 		_, err := Read("t.yaml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q:\n got %v\nwant %s", c.to, c.from, err, c.want)
+			t.Errorf("%q instead of %q:\n got error %v\nwant %s", c.to, c.from, err, c.want)
 		}
 	}
 	if _, err := Read("t.yaml", []byte("")); err == nil {
-		t.Error("an empty file is read")
+		t.Error("Read accepts an empty file")
 	}
 }
 
-// What is kept of a run is read again as the same scenario.
-func TestWrittenScenarioIsRead(t *testing.T) {
+// A scenario that was written with a run's results reads back as the same scenario.
+func TestScenarioRoundTrip(t *testing.T) {
 	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
@@ -86,18 +86,19 @@
 	}
 	again, err := Read("again.yaml", text)
 	if err != nil || !reflect.DeepEqual(s, again) {
-		t.Errorf("%v\n%s", err, text)
+		t.Errorf("reading a written scenario: error %v, or another scenario; text:\n%s", err, text)
 	}
 	if a, b := s.Plan(3), again.Plan(3); !reflect.DeepEqual(a, b) {
-		t.Error("it is laid out otherwise")
+		t.Error("the scenario that was read back gives another plan for the same seed")
 	}
 	if a, b := s.Plan(3), s.Plan(4); reflect.DeepEqual(a, b) {
-		t.Error("two seeds give one plan")
+		t.Error("two seeds give the same plan")
 	}
 }
 
-// Utilisation is of the tier that runs out first; troubles meet as many as they say, and heal.
-func TestLay(t *testing.T) {
+// The utilisation is that of the tier with the least capacity, and a fault affects as many instances as configured and ends. A
+// deploy starts a successor at the address of each replaced instance.
+func TestPlan(t *testing.T) {
 	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
@@ -105,14 +106,14 @@
 	p := s.Plan(1)
 	// Mean work 0.14; tier two: 2 cores for 0.07 x 1.5 a request.
 	if want := 0.5 * 2 / (0.14 * 0.5 * 1.5); p.BaseRate < want*0.999 || p.BaseRate > want*1.001 {
-		t.Errorf("rate %.3f, want %.3f", p.BaseRate, want)
+		t.Errorf("base rate %.3f, want %.3f", p.BaseRate, want)
 	}
 	slow := map[string]int{}
 	for _, e := range p.Events {
 		slow[e.Instance]++
 	}
 	if len(slow) != 3 || len(p.Events) != 6 {
-		t.Errorf("2 of 4 and 1 of 2 are met: %v", p.Events)
+		t.Errorf("want a start and an end of the fault at 2 of 4 and 1 of 2 instances: %v", p.Events)
 	}
 	s.Faults = []Fault{{Kind: "deploy", At: Duration(time.Second), Duration: Duration(4 * time.Second), Share: 1, BatchShare: 0.25, DrainTime: Duration(time.Second)}}
 	p = s.Plan(1)
@@ -122,18 +123,18 @@
 			starts++
 			m := e.Machine
 			if other := numbers[[2]int{m.Tier, m.AddressNumber}]; other != "" || !strings.HasSuffix(m.Name, ".2") {
-				t.Errorf("%s follows at the address of %q", m.Name, other)
+				t.Errorf("%s starts at the address of successor %q, or has no second-generation name", m.Name, other)
 			}
 			numbers[[2]int{m.Tier, m.AddressNumber}] = m.Name
 		}
 	}
 	if starts != 6 {
-		t.Errorf("%d successors for 6", starts)
+		t.Errorf("%d successors for 6 replaced instances", starts)
 	}
 }
 
-// The settings written for a sidecar are taken by it.
-func TestSettingsAreTaken(t *testing.T) {
+// A sidecar accepts the settings that are written for it.
+func TestSettingsAreAccepted(t *testing.T) {
 	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -7,14 +7,15 @@
 	"kitewood/internal/lab/model"
 )
 
-// words are the settings' words for the values of a load report, by the protocol's.
+// reportFieldNames maps the names of load report values in the protocol to their names in the settings.
 var reportFieldNames = map[string]string{"queue": "q", "inflight": "rif", "qps": "rate", "util": "busy"}
 
-// Slack is what the protocol adds to every time limit.
+// Slack is the tolerance that the protocol adds to every time limit.
 const Slack = 50 * time.Millisecond
 
-// Settings is the settings object of a sidecar of a tier, with the keys and units of the platform.
-func (s *Scenario) Settings(tier, me, of int) map[string]any {
+// Settings returns the settings object of a sidecar of a tier, with the keys and units of the platform. The sidecar is number me
+// of peers.
+func (s *Scenario) Settings(tier, me, peers int) map[string]any {
 	t := &s.Tiers[tier]
 	var profiles []any
 	for _, c := range s.Classes {
@@ -43,7 +44,7 @@
 			"handshake": g.Connection},
 		"invariants": map[string]any{"askWithinS": 10.0, "coldS": t.ColdStart.Duration.D().Seconds(), "coldShare": t.ColdStart.InitialShare,
 			"graceToAnswerS": 0.02, "overloadFactor": t.ColdStart.LoadFactor, "stopSendingWithinS": 0.5, "tipAfterS": t.ColdStart.Window.D().Seconds()},
-		"locality": 0, "me": me, "peersTotal": of,
+		"locality": 0, "me": me, "peersTotal": peers,
 		"objectiveMix": map[string]any{"whole": g.WholeRun, "worstClass": g.WorstClass, "worstTenant": 0.0, "worstWindow": g.WorstWindow},
 		"permissions": map[string]any{"cancel": true, "connIdleS": t.Connections.IdleTimeout.D().Seconds(), "connectTimeoutS": 0.25,
 			"maxRetryAfterS": 2.0, "mostHeld": 10000, "parallelTries": false, "peers": false, "probes": true, "retryAfter": true,
@@ -54,26 +55,26 @@
 	}
 }
 
-// The header fields by which services of a run pass on a chain's word, and clients name themselves.
+// Header fields in which services pass on the chain header, and clients identify themselves.
 const (
 	ChainField  = "X-Chain"
 	OriginField = "X-Customer"
 )
 
-// Pool is the pool of a YAML configuration for a sidecar of a tier, without its members.
-func (s *Scenario) Pool(tier, me, of int) map[string]any {
+// Pool returns the pool of a YAML configuration for a sidecar of a tier, without its members. The sidecar is number me of peers.
+func (s *Scenario) Pool(tier, me, peers int) map[string]any {
 	type object = map[string]any
 	t, c := &s.Tiers[tier], &s.Sidecar
 	var classes []object
-	for _, x := range s.Classes {
-		classes = append(classes, object{"name": x.Name, "effect": x.Effect, "aim": x.LatencyTarget.D().String(), "deadline": x.TotalTimeout.D().String(), "worth": x.Utility})
+	for _, class := range s.Classes {
+		classes = append(classes, object{"name": class.Name, "effect": class.Effect, "aim": class.LatencyTarget.D().String(), "deadline": class.TotalTimeout.D().String(), "worth": class.Utility})
 	}
 	reports := object{"via": "none"}
 	if len(t.LoadReports.Fields) > 0 {
 		reports = object{"via": "answers", "fields": t.LoadReports.Fields}
 	}
 	p := object{"name": t.Name, "classes": classes, "inner": tier > 0, "zone": s.Zone, "zones": []string{s.Zone}, "reports": reports,
-		"attempts": c.MaxAttempts, "sidecars": object{"me": me, "of": of}, "connections": object{"idle": t.Connections.IdleTimeout.D().String()},
+		"attempts": c.MaxAttempts, "sidecars": object{"me": me, "of": peers}, "connections": object{"idle": t.Connections.IdleTimeout.D().String()},
 		"cold": object{"share": t.ColdStart.InitialShare, "time": t.ColdStart.Duration.D().String(), "multiple": t.ColdStart.LoadFactor, "window": t.ColdStart.Window.D().String()}}
 	if c.Chain {
 		p["chain"] = object{"header": ChainField, "repeat_declined": c.RetryDeclined}
@@ -87,23 +88,23 @@
 	return p
 }
 
-// Rules are the rules by which the ledger of a run is judged.
+// Rules returns the parameters of the rules that the ledger of a run is checked against.
 func (s *Scenario) Rules() ledger.Rules {
 	r := ledger.Rules{Slack: Slack, DrainGrace: 500 * time.Millisecond, NotifiedWithin: 6 * time.Second}
 	for _, c := range s.Classes {
 		r.RetrySafe = append(r.RetrySafe, c.Effect == "safe")
 	}
 	for _, t := range s.Tiers {
-		c := ledger.SlowStart{InitialShare: t.ColdStart.InitialShare, Duration: t.ColdStart.Duration.D(), Window: t.ColdStart.Window.D()}
+		slowStart := ledger.SlowStart{InitialShare: t.ColdStart.InitialShare, Duration: t.ColdStart.Duration.D(), Window: t.ColdStart.Window.D()}
 		if t.ColdStart.LoadFactor > 0 {
-			c.WorkBudget = s.coldStart(&t).Budget
+			slowStart.WorkBudget = s.coldStart(&t).Budget
 		}
-		r.SlowStart = append(r.SlowStart, c)
+		r.SlowStart = append(r.SlowStart, slowStart)
 	}
 	return r
 }
 
-// Served is how the ledger of a run counts service.
+// LedgerObjective returns the objective by which the service of a run is measured from its ledger.
 func (s *Scenario) LedgerObjective() ledger.Objective {
 	g := &s.Objective
 	out := ledger.Objective{WholeRun: g.WholeRun, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, LateFailure: g.LateFailure, Waste: g.Waste,
@@ -114,13 +115,13 @@
 	return out
 }
 
-// Model are the classes and habits as the model takes them.
+// ClientModel returns the request classes and the client behavior in the types of package model.
 func (s *Scenario) ClientModel() ([]model.Class, model.ClientBehavior) {
 	var classes []model.Class
 	for _, c := range s.Classes {
 		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), WorkCV: c.WorkCV, Utility: c.Utility,
 			LatencyTarget: c.LatencyTarget.D(), TotalTimeout: c.TotalTimeout.D(), Safe: c.Effect == "safe"})
 	}
-	h := s.Clients
-	return classes, model.ClientBehavior{MaxRetries: h.MaxRetries, AttemptTimeoutShare: h.AttemptTimeoutShare, Backoff: h.Backoff.D(), HonorRetryAfter: h.HonorRetryAfter}
+	b := s.Clients
+	return classes, model.ClientBehavior{MaxRetries: b.MaxRetries, AttemptTimeoutShare: b.AttemptTimeoutShare, Backoff: b.Backoff.D(), HonorRetryAfter: b.HonorRetryAfter}
 }
--- a/internal/lab/scenario/types.go
+++ b/internal/lab/scenario/types.go
@@ -1,8 +1,8 @@
-// Package scenario reads the lab's scenario files and lays out what happens in them: the machines, the clients and the
-// timeline of troubles. Nothing here knows a socket or a clock.
+// Package scenario reads the lab's scenario files and plans their runs: the machines, the clients and the timeline of faults.
+// It uses no sockets and no clock.
 package scenario
 
-// Scenario is a run of the lab. docs/lab.md documents it key by key.
+// Scenario describes a run of the lab. docs/lab.md documents its keys.
 type Scenario struct {
 	Name        string           `yaml:"name"`
 	Description string           `yaml:"about"`
@@ -21,7 +21,7 @@
 	Faults      []Fault          `yaml:"troubles,omitempty"`
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name          string   `yaml:"name"`
 	Share         float64  `yaml:"share"`
@@ -34,7 +34,7 @@
 	AttemptNoise  float64  `yaml:"attempt_noise"`
 }
 
-// Traffic says how many requests come. Utilisation is of the tier that runs out first.
+// Traffic sets the arrival rate of requests. Utilisation is that of the tier with the least capacity.
 type Traffic struct {
 	Utilisation float64 `yaml:"utilisation"`
 	Rate        float64 `yaml:"rate"`
@@ -42,13 +42,13 @@
 	Shape       []Point `yaml:"shape,omitempty"`
 }
 
-// Point is a corner of a piecewise linear curve.
+// Point is a point of a piecewise linear curve.
 type Point struct {
 	At     Duration `yaml:"at"`
 	Factor float64  `yaml:"factor"`
 }
 
-// Clients is how clients behave.
+// ClientBehavior describes how clients retry and when they disconnect.
 type ClientBehavior struct {
 	MaxRetries          int      `yaml:"retries"`
 	AttemptTimeoutShare float64  `yaml:"try_share"`
@@ -57,7 +57,7 @@
 	LeaveShare          float64  `yaml:"leave"`
 }
 
-// Front is the layer that spreads clients over sidecars.
+// FrontendBalancer is the layer that distributes clients over the sidecars of the first tier.
 type FrontendBalancer struct {
 	DetectionDelay Duration `yaml:"notice"`
 	Skew           float64  `yaml:"skew"`
@@ -92,7 +92,7 @@
 	Speed Range   `yaml:"speed"`
 }
 
-// Cold is how an instance starts.
+// ColdStart describes the reduced capacity of an instance after its start.
 type ColdStart struct {
 	InitialShare float64  `yaml:"share"`
 	Duration     Duration `yaml:"time"`
@@ -100,7 +100,7 @@
 	Window       Duration `yaml:"window"`
 }
 
-// Choke is when an overdriven instance gets slower.
+// Overload describes when an overloaded instance slows down, and when it recovers.
 type Overload struct {
 	QueuedPerCore float64  `yaml:"waiting"`
 	TriggerAfter  Duration `yaml:"over"`
@@ -110,7 +110,7 @@
 	MaxDuration   Duration `yaml:"most"`
 }
 
-// Conns is what connections cost.
+// ConnectionCosts is the cost of connections to an instance.
 type ConnectionCosts struct {
 	HandshakeWork     Duration `yaml:"cost"`
 	FirstRequestDelay Duration `yaml:"delay"`
@@ -119,7 +119,7 @@
 	IdleTimeout       Duration `yaml:"idle"`
 }
 
-// Reports is how load reports come.
+// LoadReports describes content and delay of the instances' load reports.
 type LoadReports struct {
 	Fields []string `yaml:"fields"`
 	Period Duration `yaml:"period"`
@@ -127,7 +127,7 @@
 	Noise  float64  `yaml:"noise"`
 }
 
-// Discovery is how slow and coarse discovery is.
+// Discovery sets the delays and the capacity of discovery.
 type Discovery struct {
 	DetectionDelay       Duration `yaml:"notice"`
 	SilentDetectionDelay Duration `yaml:"silent_notice"`
@@ -138,11 +138,11 @@
 	Timeout              Duration `yaml:"timeout"`
 	HeartbeatPeriod      Duration `yaml:"beat"`
 	RejectWhenFull       bool     `yaml:"refuse_full"`
-	// WorksOffFailed has calls that failed for waiting too long take their turn all the same.
+	// ServeTimedOut has discovery spend capacity on calls that have already timed out while they were queued.
 	ServeTimedOut bool `yaml:"works_off_failed"`
 }
 
-// Sidecar is what each sidecar may use.
+// Sidecar sets the resource limits and the configuration of each sidecar.
 type Sidecar struct {
 	Cores    float64 `yaml:"cores"`
 	MemoryMB int     `yaml:"memory_mb"`
@@ -158,13 +158,13 @@
 	Standalone    bool    `yaml:"alone"`
 }
 
-// The forms of a sidecar's configuration: the platform's, or the YAML file of other installations.
+// Formats of a sidecar's configuration: the platform's, or the YAML file of other installations.
 const (
 	FormatPlatform = "platform"
 	FormatPools    = "pools"
 )
 
-// Goal is how service is counted.
+// Objective sets how the service of a run is measured.
 type Objective struct {
 	WholeRun    float64  `yaml:"whole"`
 	WorstWindow float64  `yaml:"worst_window"`
@@ -177,7 +177,7 @@
 	UtilityPer  string   `yaml:"worth_by"`
 }
 
-// Trouble is one thing that happens. Which keys go with which kind is in troubleKeys.
+// Fault is a fault or another event that is injected into the run. faultKeys lists the keys of each kind.
 type Fault struct {
 	Kind       string   `yaml:"kind"`
 	At         Duration `yaml:"at"`
@@ -191,10 +191,10 @@
 	BatchShare float64  `yaml:"batch"`
 	DrainTime  Duration `yaml:"drain"`
 
-	Path         string  `yaml:"path"`
-	Mode         string  `yaml:"way"`
-	Reset        bool    `yaml:"reset"`
-	TargetShare  float64 `yaml:"targets"`
-	DiscardList  bool    `yaml:"forget"`
-	SignalSeries bool    `yaml:"series"` // signals come in a series
+	Path             string  `yaml:"path"`
+	Mode             string  `yaml:"way"`
+	ResetConnections bool    `yaml:"reset"`
+	TargetShare      float64 `yaml:"targets"`
+	DiscardList      bool    `yaml:"forget"`
+	SignalSeries     bool    `yaml:"series"` // send several signals in a row
 }
