--- a/internal/lab/services/play.go
+++ b/internal/lab/services/play.go
@@ -11,38 +11,38 @@
 	"kitewood/internal/lab/load"
 )
 
-// Options say how to play a scenario.
+// Options configure a run.
 type Options struct {
 	Scenario *Scenario
 	Seed     uint64
-	Binary   string // kitewood
-	Dir      string // for what the run leaves; it is there
+	Binary   string // path of kitewood
+	Dir      string // existing output directory
 }
 
-// Result is what a run saw.
+// Result is the outcome of a run.
 type Result struct {
 	Pools    []PoolResult
-	Clean    bool   // the process ended by itself, with status 0, and logged no panic and no refused configuration
-	Problems string // what was not clean
+	Clean    bool   // the process ended by itself, with status 0, and logged no panic and no rejected configuration
+	Problems string // why the run was not clean
 }
 
-// PoolResult is what the clients and destinations of a pool saw.
+// PoolResult is what the clients and endpoints of a pool recorded.
 type PoolResult struct {
 	Name       string         `json:"name"`
 	Unsafe     bool           `json:"unsafe"`
-	Summary    load.Summary   `json:"summary"` // of the clients, from the intended times
-	Statuses   map[string]int `json:"status"`  // answers by status, "none" for no answer
-	MaxLatency time.Duration  `json:"longest"` // of an answer, from its send
-	Retried    int            `json:"again"`   // operations that reached destinations more than once
-	Concurrent int            `json:"copies"`  // of them, while another copy was out
+	Summary    load.Summary   `json:"summary"` // of the clients; latencies count from the intended send times
+	Statuses   map[string]int `json:"status"`  // responses by status, "none" for no response
+	MaxLatency time.Duration  `json:"longest"` // from sending a request to its response
+	Retried    int            `json:"again"`   // requests that reached endpoints more than once
+	Concurrent int            `json:"copies"`  // of them, those that arrived while another attempt was in flight
 }
 
-// Share of the requests that were answered with 2xx within their time.
+// OKShare returns the share of requests that were answered with 2xx in time.
 func (p *PoolResult) OKShare() float64 {
 	return float64(p.Summary.OK) / float64(max(p.Summary.Intended, 1))
 }
 
-// Play runs a scenario to its end.
+// Run runs a scenario to its end.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	s := o.Scenario
 	p, err := start(ctx, o)
@@ -52,51 +52,51 @@
 	defer p.stop()
 	r := &Result{Pools: make([]PoolResult, len(s.Pools))}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	var failed error
+	var wg sync.WaitGroup
+	var loadErr error
 	for i, pool := range s.Pools {
 		out := &r.Pools[i]
 		out.Name, out.Unsafe, out.Statuses = pool.Name, pool.Effect == "unsafe", map[string]int{}
 		recorder := load.NewRecorder()
 		rng := rand.New(rand.NewPCG(o.Seed, uint64(i)))
 		source := &requestSource{pool: pool, arrivals: load.NewArrivals(pool.Rate, nil, rng, s.Duration.D())}
-		wait.Go(func() {
+		wg.Go(func() {
 			err := load.Run(ctx, source, load.Options{URL: "http://" + p.address, Timeout: 2 * pool.Deadline.D(), MaxInFlight: 4000,
-				Recorder: recorder, OnOutcome: func(_ load.Item, x load.Outcome) {
+				Recorder: recorder, OnOutcome: func(_ load.Item, outcome load.Outcome) {
 					mu.Lock()
 					defer mu.Unlock()
 					key := "none"
-					if x.Status > 0 {
-						key = strconv.Itoa(x.Status)
+					if outcome.Status > 0 {
+						key = strconv.Itoa(outcome.Status)
 					}
 					out.Statuses[key]++
-					out.MaxLatency = max(out.MaxLatency, x.Ended-x.Sent)
+					out.MaxLatency = max(out.MaxLatency, outcome.Ended-outcome.Sent)
 				}})
 			mu.Lock()
 			defer mu.Unlock()
 			out.Summary = recorder.Summary()
 			if err != nil {
-				failed = err
+				loadErr = err
 			}
 		})
 	}
-	for _, t := range s.Faults {
-		wait.Go(func() {
+	for _, f := range s.Faults {
+		wg.Go(func() {
 			select {
-			case <-time.After(t.At.D()):
-				during, stop := context.WithTimeout(ctx, t.Duration.D())
-				defer stop()
-				p.inject(during, t)
+			case <-time.After(f.At.D()):
+				faultCtx, cancel := context.WithTimeout(ctx, f.Duration.D())
+				defer cancel()
+				p.inject(faultCtx, f)
 			case <-ctx.Done():
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	if failed != nil {
-		return nil, failed
+	if loadErr != nil {
+		return nil, loadErr
 	}
 	for i, s := range p.services {
 		r.Pools[i].Retried, r.Pools[i].Concurrent = s.counts()
@@ -106,51 +106,51 @@
 	return r, nil
 }
 
-// numbered is a source of operations, each with an id of its own.
+// requestSource generates the requests to a pool, each with a correlation id of its own.
 type requestSource struct {
 	pool     Pool
 	count    int
 	arrivals *load.Arrivals
 }
 
-// Next is the next operation.
+// Next returns the next request and when to send it.
 func (s *requestSource) Next() (load.Item, time.Duration, bool) {
-	at, more := s.arrivals.Next()
+	at, ok := s.arrivals.Next()
 	s.count++
 	i := load.Item{Method: "GET", Target: "/" + s.pool.Name + "/x",
 		Headers: map[string]string{"X-Correlation-Id": s.pool.Name + "-" + strconv.Itoa(s.count)}}
 	if s.pool.Effect == "unsafe" {
 		i.Method, i.Body = "POST", []byte("amount=1")
 	}
-	return i, at, more
+	return i, at, ok
 }
 
-// cause causes a trouble until the context ends.
-func (p *process) inject(ctx context.Context, t Fault) {
+// inject causes a fault until the context ends.
+func (p *process) inject(ctx context.Context, f Fault) {
 	var s *service
-	for _, x := range p.services {
-		if x.pool.Name == t.Pool {
-			s = x
+	for _, candidate := range p.services {
+		if candidate.pool.Name == f.Pool {
+			s = candidate
 		}
 	}
-	switch t.Kind {
+	switch f.Kind {
 	case "freeze":
-		s.freeze(t.Duration.D())
+		s.freeze(f.Duration.D())
 	case "errors":
 		s.setStatus(500)
 		<-ctx.Done()
 		s.setStatus(200)
 	case "come-and-go":
-		p.removeAndRestore(ctx, t.Pool)
+		p.removeAndRestore(ctx, f.Pool)
 	case "crowd":
-		p.openIdleConnections(ctx, t.Connections)
+		p.openIdleConnections(ctx, f.Connections)
 	}
 }
 
-// comeAndGo removes a pool and adds it again, a second each.
+// removeAndRestore removes a pool from the configuration and adds it again, every second, and ends with the pool in place.
 func (p *process) removeAndRestore(ctx context.Context, pool string) {
-	for without := pool; ; {
-		if err := p.configure(without); err != nil {
+	for excluded := pool; ; {
+		if err := p.configure(excluded); err != nil {
 			return
 		}
 		p.reload()
@@ -159,20 +159,20 @@
 		}
 		select {
 		case <-time.After(time.Second):
-			if without == "" {
-				without = pool
+			if excluded == "" {
+				excluded = pool
 			} else {
-				without = ""
+				excluded = ""
 			}
 		case <-ctx.Done():
-			without = ""
+			excluded = ""
 		}
 	}
 }
 
-// crowd opens connections that say nothing.
-func (p *process) openIdleConnections(ctx context.Context, size int) {
-	for range size {
+// openIdleConnections opens connections that send nothing, and closes them when the context ends.
+func (p *process) openIdleConnections(ctx context.Context, count int) {
+	for range count {
 		c, err := net.DialTimeout("tcp", p.address, time.Second)
 		if err != nil {
 			continue
--- a/internal/lab/services/process.go
+++ b/internal/lab/services/process.go
@@ -15,7 +15,7 @@
 	"kitewood/internal/listfile"
 )
 
-// process is a kitewood process with the pools of a configuration file, and their services.
+// process is a kitewood process whose configuration file has the pools of a scenario, with the services behind the pools.
 type process struct {
 	dir         string
 	address     string
@@ -59,7 +59,7 @@
 	pool := httpc.NewPool(httpc.Options{Address: p.address, ConnectTimeout: time.Second})
 	defer pool.Close()
 	ready := httpc.FormatRequest("GET", "/health/ready", "drill", nil)
-	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if pool.Do("", "GET", ready, time.Now().Add(time.Second)).Status == 200 {
 			return p, nil
 		}
@@ -74,8 +74,8 @@
 	return nil, fmt.Errorf("the process was not ready within a minute: %s", p.child.Output())
 }
 
-// configure writes the configuration, without one of the pools unless that is "".
-func (p *process) configure(without string) error {
+// configure writes the configuration file. It leaves out the pool named excluded, if any.
+func (p *process) configure(excluded string) error {
 	var b, routes strings.Builder
 	fmt.Fprintf(&b, "name: lab\nlisteners: [{address: %q}]\n", p.address)
 	if p.sockets > 0 {
@@ -84,7 +84,7 @@
 	b.WriteString("pools:\n")
 	for _, s := range p.services {
 		pool := s.pool
-		if pool.Name == without {
+		if pool.Name == excluded {
 			continue
 		}
 		share := ""
@@ -98,9 +98,11 @@
 	return filewatch.Replace(filepath.Join(p.dir, "kitewood.yaml"), []byte(b.String()+"routes:\n"+routes.String()))
 }
 
+// reload makes the process read its configuration file again.
 func (p *process) reload() { p.child.Signal(syscall.SIGHUP) }
 
-// end stops the process and the services, and tells what was wrong with its end, if anything.
+// stop stops the process and the services, and returns why the process did not end cleanly, "" if it did. It looks in the log for
+// panics and rejected configurations.
 func (p *process) stop() string {
 	p.once.Do(func() {
 		if p.child != nil {
--- a/internal/lab/services/service.go
+++ b/internal/lab/services/service.go
@@ -10,26 +10,26 @@
 	"kitewood/internal/listfile"
 )
 
-// service is the destinations of a pool, and the ledger of what reached them.
+// service runs the endpoints of a pool and records the requests that reach them.
 type service struct {
 	pool    Pool
 	addrs   []string
 	servers []*http.Server
 
 	mu            sync.Mutex
-	status        int           // of every answer, 200 unless it fails
-	thawed        chan struct{} // closed when it thaws; nil while it answers
+	status        int           // of every response; 200 unless a fault changes it
+	unfrozen      chan struct{} // closed when the freeze ends; nil while the service is not frozen
 	attemptCounts map[string]int
 	inFlight      map[string]int
-	retried       int // operations that came more than once
-	concurrent    int // of them, while another copy was out
+	retried       int // requests that arrived more than once
+	concurrent    int // of them, those that arrived while another attempt was in flight
 }
 
-// overlap is for how long two attempts at an operation may seem to be out at once, as their two connections are seen by two
-// goroutines.
+// overlapTolerance is for how long two successive attempts at a request may seem to be in flight at once, as their two connections
+// are handled by two goroutines.
 const overlapTolerance = 20 * time.Millisecond
 
-// newService starts the destinations of a pool.
+// newService starts the endpoints of a pool.
 func newService(pool Pool) (*service, error) {
 	s := &service{pool: pool, status: 200, attemptCounts: map[string]int{}, inFlight: map[string]int{}}
 	for range pool.Endpoints {
@@ -45,6 +45,7 @@
 	return s, nil
 }
 
+// serve handles a request to any endpoint.
 func (s *service) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
@@ -52,7 +53,7 @@
 		s.retried++
 	}
 	if s.inFlight[id]++; s.inFlight[id] > 1 {
-		// The end of the first may be seen here after the start of the second: they come on two connections.
+		// The end of the first attempt may be handled after the start of the second, as they use two connections.
 		time.AfterFunc(overlapTolerance, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -61,52 +62,53 @@
 			}
 		})
 	}
-	status, frozen := s.status, s.thawed
+	status, unfrozen := s.status, s.unfrozen
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		s.inFlight[id]--
 		s.mu.Unlock()
 	}()
-	gone := r.Context().Done() // the connection was closed: the attempt is over
-	if frozen != nil {
+	closed := r.Context().Done() // the connection was closed, so the attempt is over
+	if unfrozen != nil {
 		select {
-		case <-frozen:
-		case <-gone:
+		case <-unfrozen:
+		case <-closed:
 			return
 		}
 	}
 	select {
 	case <-time.After(s.pool.ResponseDelay.D()):
-	case <-gone:
+	case <-closed:
 		return
 	}
 	w.WriteHeader(status)
 	fmt.Fprintf(w, "%s %s", s.pool.Name, id)
 }
 
-// freeze holds every answer back for a time.
+// freeze delays all responses until d has passed.
 func (s *service) freeze(d time.Duration) {
-	frozen := make(chan struct{})
+	unfrozen := make(chan struct{})
 	s.mu.Lock()
-	s.thawed = frozen
+	s.unfrozen = unfrozen
 	s.mu.Unlock()
 	time.AfterFunc(d, func() {
 		s.mu.Lock()
-		s.thawed = nil
+		s.unfrozen = nil
 		s.mu.Unlock()
-		close(frozen)
+		close(unfrozen)
 	})
 }
 
+// setStatus sets the status of all responses.
 func (s *service) setStatus(status int) {
 	s.mu.Lock()
 	s.status = status
 	s.mu.Unlock()
 }
 
-// broken tells how many operations came more than once, and how many copies were out at a time.
-func (s *service) counts() (again, copies int) {
+// counts returns how many requests arrived more than once, and how many of these arrived while another attempt was in flight.
+func (s *service) counts() (retried, concurrent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.retried, s.concurrent
@@ -118,7 +120,7 @@
 	}
 }
 
-// list is the list of a service's destinations.
+// endpoints returns the endpoint list of the pool.
 func (s *service) endpoints() (out []listfile.Endpoint) {
 	for i, a := range s.addrs {
 		out = append(out, listfile.Endpoint{Name: fmt.Sprintf("%s-%d", s.pool.Name, i), Address: a})
