--- a/internal/lab/child/child.go
+++ b/internal/lab/child/child.go
@@ -13,19 +13,19 @@
 
 // Child is a process whose output goes to a file.
 type Child struct {
-	Done    chan struct{} // closed at its end
+	Done    chan struct{} // closed when the process has ended
 	cmd     *exec.Cmd
 	logPath string
 }
 
-// Start starts a program with more variables in its environment and its output in a file.
-func Start(log string, env []string, program string, args ...string) (*Child, error) {
-	out, err := os.Create(log)
+// Start starts a program with env added to its environment and its output written to the file logPath.
+func Start(logPath string, env []string, program string, args ...string) (*Child, error) {
+	out, err := os.Create(logPath)
 	if err != nil {
 		return nil, err
 	}
 	defer out.Close()
-	c := &Child{Done: make(chan struct{}), cmd: exec.Command(program, args...), logPath: log}
+	c := &Child{Done: make(chan struct{}), cmd: exec.Command(program, args...), logPath: logPath}
 	c.cmd.Env = append(os.Environ(), env...)
 	c.cmd.Stdout, c.cmd.Stderr = out, out
 	starter := NewStarter()
@@ -41,25 +41,26 @@
 	return c, nil
 }
 
-// Control is a kitewood-control process.
+// ControlProcess is a kitewood-control process.
 type ControlProcess struct {
 	*Child
-	Address string // that proxies connect to
+	Address string // listener for proxies
 }
 
-// StartControl starts a control service in plain text, with its files in a folder. rest is the configuration's pools and routes.
+// StartControl starts a control service without TLS, with its configuration and log in the directory dir. rest is the part of the
+// configuration that has the pools and routes.
 func StartControl(program, dir, name, rest string, env ...string) (c *ControlProcess, err error) {
-	at, err := Reserve()
+	address, err := Reserve()
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			at.Release()
+			address.Release()
 		}
 	}()
 	path := filepath.Join(dir, name+"-config.yaml")
-	text := fmt.Sprintf("name: %s\nplaintext: true\nlisteners: [{address: %q}]\n%s", name, at, rest)
+	text := fmt.Sprintf("name: %s\nplaintext: true\nlisteners: [{address: %q}]\n%s", name, address, rest)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return nil, err
 	}
@@ -69,38 +70,38 @@
 	}
 	go func() {
 		<-started.Done
-		at.Release()
+		address.Release()
 	}()
-	return &ControlProcess{Child: started, Address: at.String()}, nil
+	return &ControlProcess{Child: started, Address: address.String()}, nil
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (c *Child) Signal(s syscall.Signal) { c.cmd.Process.Signal(s) }
 
-// Kill ends it at once.
+// Kill kills the process and waits for its end.
 func (c *Child) Kill() {
 	c.cmd.Process.Kill()
 	<-c.Done
 }
 
-// Stop asks it to end and kills it if it takes longer than a time. It tells what was wrong with its end, "" for nothing:
-// a status other than 0, or that it had to be killed.
-func (c *Child) Stop(within time.Duration) string {
+// Stop sends SIGTERM and kills the process if it has not ended within the timeout. It returns a problem if the process had to be
+// killed or ended with a status other than 0, and "" otherwise.
+func (c *Child) Stop(timeout time.Duration) string {
 	c.Signal(syscall.SIGTERM)
-	late := ""
+	problem := ""
 	select {
 	case <-c.Done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 		c.Kill()
-		late = fmt.Sprintf("it did not end within %s; ", within)
+		problem = fmt.Sprintf("the process did not end within %s; ", timeout)
 	}
 	if !c.cmd.ProcessState.Success() {
-		return late + "it ended with " + c.cmd.ProcessState.String()
+		return problem + "the process ended with " + c.cmd.ProcessState.String()
 	}
-	return late
+	return problem
 }
 
-// Said is what it has written.
+// Output returns what the process has written to its output, or the error of reading it.
 func (c *Child) Output() string {
 	text, err := os.ReadFile(c.logPath)
 	if err != nil {
@@ -109,10 +110,10 @@
 	return string(text)
 }
 
-// Memory is a figure of its memory: see the function of this name.
-func (c *Child) Memory(figure string) int64 { return Memory(c.cmd.Process.Pid, figure) }
+// Memory returns a memory metric of the process; see the function Memory.
+func (c *Child) Memory(metric string) int64 { return Memory(c.cmd.Process.Pid, metric) }
 
-// CPU is the processor time that it has used, 0 if that cannot be read.
+// CPU returns the processor time that the process has used, 0 if it cannot be read.
 func (c *Child) CPU() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -122,5 +123,5 @@
 	}
 	user, _ := strconv.Atoi(f[11])
 	system, _ := strconv.Atoi(f[12])
-	return time.Duration(user+system) * time.Second / 100 // the kernel's unit for programs
+	return time.Duration(user+system) * time.Second / 100 // the kernel reports it in ticks of 10 ms
 }
--- a/internal/lab/child/starter.go
+++ b/internal/lab/child/starter.go
@@ -1,4 +1,4 @@
-// Package child starts the lab's processes, sees what they use, and ends them.
+// Package child starts the lab's child processes, measures their resource use, and ends them.
 package child
 
 import (
@@ -11,18 +11,18 @@
 	"syscall"
 )
 
-// Starter starts children from one thread that never ends: the system ends a child with the thread that started it
-// (Pdeathsig), so that none is left when the lab itself is killed.
+// Starter starts child processes from one thread that lives until Close. The system kills a child when the thread that started it
+// ends (Pdeathsig), so no child is left when the lab itself is killed.
 type Starter struct {
-	work chan func()
+	tasks chan func()
 }
 
 // NewStarter returns a Starter; Close ends its thread.
 func NewStarter() *Starter {
-	s := &Starter{work: make(chan func())}
+	s := &Starter{tasks: make(chan func())}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine, when no child is left
-		for f := range s.work {
+		runtime.LockOSThread() // never unlocked, so the thread ends with the goroutine, after Close
+		for f := range s.tasks {
 			f()
 		}
 	}()
@@ -31,25 +31,25 @@
 
 // Start starts a command.
 func (s *Starter) Start(cmd *exec.Cmd) error {
-	// A group of their own keeps a terminal's Ctrl-C from reaching children before the lab has said so.
+	// In a process group of its own, a child does not receive a terminal's Ctrl-C; the lab decides when to stop it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	done := make(chan error)
-	s.work <- func() { done <- cmd.Start() }
+	s.tasks <- func() { done <- cmd.Start() }
 	return <-done
 }
 
-// Close ends the thread, and with it what it has started.
-func (s *Starter) Close() { close(s.work) }
+// Close ends the thread, which kills the children that are still running.
+func (s *Starter) Close() { close(s.tasks) }
 
-// Memory is a figure of a process's memory in bytes, by its name in /proc (VmRSS, VmHWM); 0 if it cannot be read. The
-// peak that the system tells of an ended child will not do: it counts the parent's memory from before the child's start.
-func Memory(pid int, figure string) int64 {
+// Memory returns a memory metric of a process in bytes, by its name in /proc (VmRSS, VmHWM); 0 if it cannot be read. The peak that
+// the system reports for an ended child is no substitute, as it includes the parent's memory from before the child's exec.
+func Memory(pid int, metric string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
 	for line := range strings.Lines(string(text)) {
-		if f := strings.Fields(line); len(f) == 3 && f[0] == figure+":" {
+		if f := strings.Fields(line); len(f) == 3 && f[0] == metric+":" {
 			kb, _ := strconv.ParseInt(f[1], 10, 64)
 			return kb << 10
 		}
--- a/internal/lab/dataplane/dataplane.go
+++ b/internal/lab/dataplane/dataplane.go
@@ -1,6 +1,5 @@
-// Package dataplane is a proxy as other installations have them, in place of a kitewood sidecar of the lab: it stands on the
-// platform's protocol, tries again only what never ran, and chooses its destinations by a policy that it is started
-// with. The lab compares kitewood with it.
+// Package dataplane is a conventional proxy that the lab runs in place of kitewood sidecars for comparison. It speaks the
+// platform's protocol, retries only requests that were not processed, and selects endpoints by a policy given at its start.
 package dataplane
 
 import (
@@ -17,17 +16,17 @@
 	"time"
 )
 
-// The policies.
+// Endpoint selection policies.
 const (
 	RoundRobin   = "round-robin"
-	LeastRequest = "least-request" // of two drawn at random, the one with fewer own requests out, as Envoy's default has it
-	Weighted     = "weighted"      // what a control service says over xDS
+	LeastRequest = "least-request" // of two chosen at random, the one with fewer own requests in flight, like Envoy's default
+	Weighted     = "weighted"      // by the weights that a control service sends over xDS
 )
 
-// Policies are all of them.
+// Policies lists all policies.
 var Policies = []string{RoundRobin, LeastRequest, Weighted}
 
-// Options say how a proxy chooses.
+// Options configure endpoint selection.
 type Options struct {
 	Policy  string
 	Control string // Weighted: address of the control service
@@ -35,24 +34,24 @@
 	Log     *slog.Logger
 }
 
-// config is what a proxy reads of the sidecar's configuration file.
+// config has the keys that a proxy reads from a sidecar's configuration file.
 type config struct {
 	Name, Listen, Discovery string
 	Seed                    string
 	Known                   endpointList
 }
 
-// list is an endpoint list as discovery writes it.
+// endpointList is an endpoint list, or the changes to one, in the encoding of discovery.
 type endpointList struct {
 	Index     int64
 	Snapshot  bool
 	Endpoints []endpoint
 }
 
-// member is an entry of it.
+// endpoint is an entry of an endpoint list.
 type endpoint struct{ Name, Address, Status string }
 
-// Serve runs a proxy by the configuration file of a sidecar until the context ends.
+// Serve runs a proxy with the configuration file of a sidecar until the context ends.
 func Serve(ctx context.Context, file string, o Options) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -69,9 +68,9 @@
 	var p picker
 	switch o.Policy {
 	case RoundRobin, LeastRequest:
-		m := newDiscoveryPicker(c.Known, o.Policy, rand.New(rand.NewPCG(seed, 7)))
-		go m.run(ctx, c.Discovery, o.Log)
-		p = m
+		d := newDiscoveryPicker(c.Known, o.Policy, rand.New(rand.NewPCG(seed, 7)))
+		go d.run(ctx, c.Discovery, o.Log)
+		p = d
 	case Weighted:
 		if p, err = newXDSPicker(ctx, c, o); err != nil {
 			return err
--- a/internal/lab/dataplane/forward.go
+++ b/internal/lab/dataplane/forward.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxAttempts    = 4                      // of one request at the most, as the platform's settings have it
-	deadlineMargin = 20 * time.Millisecond  // an answer leaves so long before the client stops waiting
-	connectTimeout = 250 * time.Millisecond // as the platform's settings have it
-	maxBodyBytes   = 64 << 10               // the protocol's largest
+	maxAttempts    = 4                      // at one request, as in the platform's settings
+	deadlineMargin = 20 * time.Millisecond  // reserved for sending the response before the client's timeout
+	connectTimeout = 250 * time.Millisecond // as in the platform's settings
+	maxBodyBytes   = 64 << 10               // the protocol's limit
 )
 
 // forwarder is the handler of a proxy.
@@ -30,7 +30,7 @@
 		DisableCompression: true, DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}}
 }
 
-// answer is an instance's.
+// response is the response of an endpoint.
 type response struct {
 	status int
 	body   []byte
@@ -63,52 +63,52 @@
 	}
 	var tried []string
 	for len(tried) < maxAttempts && ctx.Err() == nil {
-		at, end := f.picker.pick(tried)
-		if at == "" {
+		address, done := f.picker.pick(tried)
+		if address == "" {
 			break
 		}
-		tried = append(tried, at)
-		a, never, err := f.send(ctx, r, payload, at)
-		end(err == nil && a.status == http.StatusOK, a.load)
+		tried = append(tried, address)
+		resp, unprocessed, err := f.send(ctx, r, payload, address)
+		done(err == nil && resp.status == http.StatusOK, resp.load)
 		switch {
-		case never:
+		case unprocessed:
 			continue
 		case errors.Is(err, context.DeadlineExceeded):
 			out.WriteHeader(http.StatusGatewayTimeout)
 		case err != nil:
 			out.WriteHeader(http.StatusBadGateway)
 		default:
-			out.WriteHeader(a.status)
-			out.Write(a.body)
+			out.WriteHeader(resp.status)
+			out.Write(resp.body)
 		}
 		return
 	}
 	out.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// try sends a request to a destination. never tells that it surely has not run there.
-func (f *forwarder) send(ctx context.Context, r *http.Request, payload []byte, at string) (a response, never bool, err error) {
-	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+at+r.URL.RequestURI(), bytes.NewReader(payload))
+// send sends a request to an endpoint. unprocessed reports that the endpoint certainly has not run it.
+func (f *forwarder) send(ctx context.Context, r *http.Request, payload []byte, address string) (resp response, unprocessed bool, err error) {
+	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URL.RequestURI(), bytes.NewReader(payload))
 	if err != nil {
-		return a, true, err
+		return resp, true, err
 	}
 	for _, name := range []string{"X-Correlation-Id", "X-Service-Class", "X-Weight-Hint"} {
 		q.Header.Set(name, r.Header.Get(name))
 	}
-	until, _ := ctx.Deadline()
-	q.Header.Set("X-Time-Left-Ms", strconv.FormatInt(time.Until(until).Milliseconds(), 10))
+	deadline, _ := ctx.Deadline()
+	q.Header.Set("X-Time-Left-Ms", strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	got, err := f.client.Do(q)
 	if err != nil {
 		var op *net.OpError
-		return a, errors.As(err, &op) && op.Op == "dial", err
+		return resp, errors.As(err, &op) && op.Op == "dial", err
 	}
 	defer got.Body.Close()
-	a = response{status: got.StatusCode, load: parseLoadReport(got.Header.Get("X-Backend-Load"))}
-	a.body, err = io.ReadAll(got.Body)
-	return a, got.Header.Get("X-Unprocessed") != "", err
+	resp = response{status: got.StatusCode, load: parseLoadReport(got.Header.Get("X-Backend-Load"))}
+	resp.body, err = io.ReadAll(got.Body)
+	return resp, got.Header.Get("X-Unprocessed") != "", err
 }
 
-// loadOf reads a load report of the protocol. What cannot be read is left out.
+// parseLoadReport parses a load report of the protocol and skips invalid values.
 func parseLoadReport(text string) map[string]float64 {
 	out := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/lab/dataplane/members.go
+++ b/internal/lab/dataplane/members.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// picker chooses destinations.
+// picker selects endpoints.
 type picker interface {
-	// ready tells whether there is anything to choose from.
+	// ready reports whether there is an endpoint to select.
 	ready() bool
-	// drops tells whether the next request is to be refused.
+	// shouldDrop reports whether to reject the next request.
 	shouldDrop() bool
-	// pick finds a destination that is not among those tried, "" if there is none. end is told how it went.
-	pick(tried []string) (address string, end func(ok bool, load map[string]float64))
+	// pick returns the address of an endpoint that is not among those tried, "" if there is none. The caller calls done with the
+	// outcome of the attempt and the load report of its response.
+	pick(tried []string) (address string, done func(ok bool, load map[string]float64))
 }
 
-// members are the destinations that the platform's discovery names, chosen by a policy without knowledge of load.
+// discoveryPicker selects among the endpoints in the platform's discovery, by a policy that uses no load reports.
 type discoveryPicker struct {
 	policy string
 
@@ -31,53 +32,53 @@
 	rng            *rand.Rand
 	index          int64
 	endpoints      map[string]endpoint
-	readyAddresses []string       // addresses that take new requests, in the order of names
-	inFlight       map[string]int // own requests, by address
+	readyAddresses []string       // addresses of ready endpoints, sorted by name
+	inFlight       map[string]int // own requests in flight, by address
 	next           int
 }
 
 func newDiscoveryPicker(known endpointList, policy string, rng *rand.Rand) *discoveryPicker {
-	m := &discoveryPicker{policy: policy, rng: rng, endpoints: map[string]endpoint{}, inFlight: map[string]int{}, next: rng.IntN(1000)}
+	d := &discoveryPicker{policy: policy, rng: rng, endpoints: map[string]endpoint{}, inFlight: map[string]int{}, next: rng.IntN(1000)}
 	known.Snapshot = true
-	m.update(known)
-	return m
+	d.update(known)
+	return d
 }
 
-// take takes a list or what changed.
-func (m *discoveryPicker) update(l endpointList) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// update applies an endpoint list or changes to it.
+func (d *discoveryPicker) update(l endpointList) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if l.Snapshot {
-		clear(m.endpoints)
+		clear(d.endpoints)
 	}
 	for _, e := range l.Endpoints {
-		m.endpoints[e.Name] = e
+		d.endpoints[e.Name] = e
 	}
-	m.index = l.Index
+	d.index = l.Index
 	var names []string
-	for name, e := range m.endpoints {
+	for name, e := range d.endpoints {
 		if e.Status == "Ready" {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	m.readyAddresses = m.readyAddresses[:0:0]
+	d.readyAddresses = d.readyAddresses[:0:0]
 	for _, name := range names {
-		m.readyAddresses = append(m.readyAddresses, m.endpoints[name].Address)
+		d.readyAddresses = append(d.readyAddresses, d.endpoints[name].Address)
 	}
 }
 
-// silence is after how long without a line a watch is dead: discovery sends one every 2 s.
+// watchTimeout ends a watch on which no line arrives; discovery sends one every 2 s.
 const watchTimeout = 5 * time.Second
 
-// follow watches discovery until the context ends.
-func (m *discoveryPicker) run(ctx context.Context, address string, log *slog.Logger) {
+// run watches discovery until the context ends. It opens a new watch 0.2 to 1 s after one has ended.
+func (d *discoveryPicker) run(ctx context.Context, address string, log *slog.Logger) {
 	for ctx.Err() == nil {
-		err := m.watch(ctx, address)
+		err := d.watch(ctx, address)
 		log.Debug("the watch of discovery has ended", "error", err)
-		m.mu.Lock()
-		wait := time.Duration(200+m.rng.IntN(800)) * time.Millisecond
-		m.mu.Unlock()
+		d.mu.Lock()
+		wait := time.Duration(200+d.rng.IntN(800)) * time.Millisecond
+		d.mu.Unlock()
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -85,14 +86,15 @@
 	}
 }
 
-func (m *discoveryPicker) watch(ctx context.Context, address string) error {
+// watch applies the updates of one watch of discovery until it ends.
+func (d *discoveryPicker) watch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dead := time.AfterFunc(watchTimeout, cancel)
-	defer dead.Stop()
-	m.mu.Lock()
-	since := m.index
-	m.mu.Unlock()
+	timeout := time.AfterFunc(watchTimeout, cancel)
+	defer timeout.Stop()
+	d.mu.Lock()
+	since := d.index
+	d.mu.Unlock()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/registry/instances?follow=1&since=%d", address, since), nil)
 	if err != nil {
 		return err
@@ -103,12 +105,12 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answers %s", r.Status)
+		return fmt.Errorf("discovery responded with %s", r.Status)
 	}
 	in := bufio.NewScanner(r.Body)
 	in.Buffer(nil, 4<<20)
 	for in.Scan() {
-		dead.Reset(watchTimeout)
+		timeout.Reset(watchTimeout)
 		if len(in.Bytes()) == 0 {
 			continue
 		}
@@ -116,40 +118,40 @@
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			return err
 		}
-		m.update(l)
+		d.update(l)
 	}
 	return in.Err()
 }
 
-func (m *discoveryPicker) ready() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.readyAddresses) > 0
+func (d *discoveryPicker) ready() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.readyAddresses) > 0
 }
 
-func (m *discoveryPicker) shouldDrop() bool { return false }
+func (d *discoveryPicker) shouldDrop() bool { return false }
 
-func (m *discoveryPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	left := slices.DeleteFunc(slices.Clone(m.readyAddresses), func(a string) bool { return slices.Contains(tried, a) })
-	if len(left) == 0 {
+func (d *discoveryPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	untried := slices.DeleteFunc(slices.Clone(d.readyAddresses), func(a string) bool { return slices.Contains(tried, a) })
+	if len(untried) == 0 {
 		return "", nil
 	}
-	m.next++
-	at := left[m.next%len(left)]
-	if m.policy == LeastRequest {
-		a, b := left[m.rng.IntN(len(left))], left[m.rng.IntN(len(left))]
-		if at = a; m.inFlight[b] < m.inFlight[a] {
-			at = b
+	d.next++
+	address := untried[d.next%len(untried)]
+	if d.policy == LeastRequest {
+		a, b := untried[d.rng.IntN(len(untried))], untried[d.rng.IntN(len(untried))]
+		if address = a; d.inFlight[b] < d.inFlight[a] {
+			address = b
 		}
 	}
-	m.inFlight[at]++
-	return at, func(bool, map[string]float64) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if m.inFlight[at]--; m.inFlight[at] == 0 {
-			delete(m.inFlight, at)
+	d.inFlight[address]++
+	return address, func(bool, map[string]float64) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		if d.inFlight[address]--; d.inFlight[address] == 0 {
+			delete(d.inFlight, address)
 		}
 	}
 }
--- a/internal/lab/dataplane/weighted.go
+++ b/internal/lab/dataplane/weighted.go
@@ -9,10 +9,10 @@
 	"kitewood/internal/lab/proxy"
 )
 
-// Host is what a proxy of a pool asks the control service's routes for.
+// RouteHost returns the host by which the control service's routes select a pool.
 func RouteHost(pool string) string { return pool + ".lab" }
 
-// weighted are the destinations that a control service hands out over xDS.
+// xdsPicker selects among the endpoints that a control service sends over xDS.
 type xdsPicker struct {
 	pool  string
 	table *proxy.Table
@@ -20,40 +20,41 @@
 	port  string // at which this proxy reaches instances
 }
 
-// newWeighted follows a control service.
+// newXDSPicker returns an xdsPicker that is updated by a control service until the context ends.
 func newXDSPicker(ctx context.Context, c config, o Options) (*xdsPicker, error) {
 	if len(c.Known.Endpoints) == 0 {
-		return nil, errors.New("the known list is empty: it tells the port at which this proxy reaches instances")
+		return nil, errors.New("the known endpoint list is empty, so the port at which this proxy reaches instances is unknown")
 	}
-	// The lab knows proxies by the ports that they send to, one for each. The control service's list has its own.
+	// The lab tells proxies apart by the port that they send to, one for each proxy. The addresses in the control service's list
+	// have another port.
 	_, port, err := net.SplitHostPort(c.Known.Endpoints[0].Address)
 	if err != nil {
 		return nil, err
 	}
-	w := &xdsPicker{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewTracker(), port: port}
-	w.table.Busy = w.loads.Busy
-	client := &proxy.Client{Node: c.Name, Servers: []string{o.Control}, Delta: true, Table: w.table, Loads: w.loads, Log: o.Log}
+	x := &xdsPicker{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewTracker(), port: port}
+	x.table.Busy = x.loads.Busy
+	client := &proxy.Client{Node: c.Name, Servers: []string{o.Control}, Delta: true, Table: x.table, Loads: x.loads, Log: o.Log}
 	go client.Run(ctx)
-	return w, nil
+	return x, nil
 }
 
-func (w *xdsPicker) ready() bool { return w.table.Ready(w.pool) }
+func (x *xdsPicker) ready() bool { return x.table.Ready(x.pool) }
 
-func (w *xdsPicker) shouldDrop() bool { return w.table.Drops(w.pool) }
+func (x *xdsPicker) shouldDrop() bool { return x.table.Drops(x.pool) }
 
-func (w *xdsPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
-	none := func(string) string { return "" }
-	for range 2 * (len(tried) + 1) { // the rotation moves on: another comes, if there is one
-		named, err := w.table.Pick(RouteHost(w.pool), "/", none)
+func (x *xdsPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
+	noHeader := func(string) string { return "" }
+	for range 2 * (len(tried) + 1) { // each pick advances the rotation, so an untried endpoint comes up if there is one
+		listed, err := x.table.Pick(RouteHost(x.pool), "/", noHeader)
 		if err != nil {
 			return "", nil
 		}
-		host, _, err := net.SplitHostPort(named)
+		host, _, err := net.SplitHostPort(listed)
 		if err != nil {
 			return "", nil
 		}
-		if at := net.JoinHostPort(host, w.port); !slices.Contains(tried, at) {
-			return at, w.loads.Begin(w.pool, named)
+		if address := net.JoinHostPort(host, x.port); !slices.Contains(tried, address) {
+			return address, x.loads.Begin(x.pool, listed)
 		}
 	}
 	return "", nil
--- a/internal/lab/wrong/wrong.go
+++ b/internal/lab/wrong/wrong.go
@@ -1,5 +1,5 @@
-// Package wrong is a little sidecar that breaks one rule on purpose, so that it can be shown that each check of the lab can
-// fail. It speaks the platform's protocol and knows nothing of balancing.
+// Package wrong is a small sidecar that deliberately breaks one rule, to show that each check of the lab can fail. It speaks the
+// platform's protocol and does no load balancing.
 package wrong
 
 import (
@@ -20,13 +20,13 @@
 	"kitewood/internal/lab/ledger"
 )
 
-// Variable is the environment variable that names the mode to a process that is to be a wrong sidecar.
+// ModeVariable is the environment variable with the mode; a process that has it serves as a faulty sidecar.
 const ModeVariable = "KITEWOOD_LAB_WRONG"
 
-// Honest is the mode without a fault.
+// ModeHonest is the mode without a defect.
 const ModeHonest = "honest"
 
-// Rules are the rules that the modes break, by mode.
+// RulesByMode maps each mode with a defect to the rule that it breaks.
 var RulesByMode = map[string]string{
 	"twice":         ledger.RuleNoUnsafeRetry,
 	"refuses":       ledger.RuleNoUnsafeRetry,
@@ -42,7 +42,7 @@
 	"own":           ledger.RuleOwnCheck,
 }
 
-// Modes are the names of Rules, sorted.
+// Modes returns the modes of RulesByMode, sorted.
 func Modes() []string {
 	var out []string
 	for mode := range RulesByMode {
@@ -52,26 +52,27 @@
 	return out
 }
 
-// endpoint is an entry of an endpoint list, and endpointList the list.
+// endpoint is an entry of an endpoint list.
 type endpoint struct {
 	Name, Address, Status string
 }
 
+// endpointList is an endpoint list, or the changes to one, in the encoding of discovery.
 type endpointList struct {
 	Endpoints []endpoint
 }
 
-// wrong is a little proxy that spreads operations over a list as it was at the start, and is wrong in one way.
+// faultyProxy is a proxy that distributes requests round-robin over the initial endpoint list, with the defect of its mode.
 type faultyProxy struct {
 	mode     string
 	mu       sync.Mutex
-	initial  []endpoint // as first known
-	latest   []endpoint // as discovery told last
+	initial  []endpoint // at the start
+	latest   []endpoint // with endpoints that became ready since, latest first
 	client   http.Client
 	requests atomic.Int64
 }
 
-// Serve runs a sidecar of a mode by the configuration that the environment names, until it fails.
+// Serve runs a sidecar of a mode with the configuration file that the environment names, until it fails.
 func Serve(mode string) error {
 	text, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err != nil {
@@ -84,9 +85,9 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return err
 	}
-	w := &faultyProxy{mode: mode, initial: c.Known.Endpoints, latest: c.Known.Endpoints}
-	w.client.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
-	go w.watch(c.Discovery)
+	p := &faultyProxy{mode: mode, initial: c.Known.Endpoints, latest: c.Known.Endpoints}
+	p.client.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
+	go p.watch(c.Discovery)
 	switch mode {
 	case "crash":
 		time.AfterFunc(1200*time.Millisecond, func() { os.Exit(3) })
@@ -99,11 +100,11 @@
 	if err != nil {
 		return err
 	}
-	return (&http.Server{Handler: http.HandlerFunc(w.serve)}).Serve(ln)
+	return (&http.Server{Handler: http.HandlerFunc(p.serve)}).Serve(ln)
 }
 
-// watch learns of what starts; what drains stays on the list.
-func (w *faultyProxy) watch(discovery string) {
+// watch adds endpoints that become ready. Draining endpoints stay in the list.
+func (p *faultyProxy) watch(discovery string) {
 	r, err := http.Get("http://" + discovery + "/registry/instances?follow=1&since=1")
 	if err != nil {
 		return
@@ -113,24 +114,24 @@
 		if json.Unmarshal(in.Bytes(), &list) != nil {
 			continue
 		}
-		w.mu.Lock()
+		p.mu.Lock()
 		for _, e := range list.Endpoints {
 			if e.Status == "Ready" {
-				w.latest = append([]endpoint{e}, w.latest...)
+				p.latest = append([]endpoint{e}, p.latest...)
 			}
 		}
-		w.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-// try sends a request to the n-th destination and gives its answer; nil if there was none.
-func (w *faultyProxy) forward(r *http.Request, body []byte, n int64) (*http.Response, []byte) {
-	w.mu.Lock()
-	to := w.initial[int(n)%len(w.initial)]
-	if w.mode == "cold" {
-		to = w.latest[0]
-	}
-	w.mu.Unlock()
+// forward sends a request to the n-th endpoint, modulo the length of the list, and returns the response; nil if there was none.
+func (p *faultyProxy) forward(r *http.Request, body []byte, n int64) (*http.Response, []byte) {
+	p.mu.Lock()
+	to := p.initial[int(n)%len(p.initial)]
+	if p.mode == "cold" {
+		to = p.latest[0]
+	}
+	p.mu.Unlock()
 	q, err := http.NewRequest(r.Method, "http://"+to.Address+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return nil, nil
@@ -138,59 +139,60 @@
 	for _, name := range []string{"X-Correlation-Id", "X-Time-Left-Ms", "X-Service-Class"} {
 		q.Header.Set(name, r.Header.Get(name))
 	}
-	if left, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms")); err == nil && w.mode == "more-time" {
+	if left, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms")); err == nil && p.mode == "more-time" {
 		q.Header.Set("X-Time-Left-Ms", strconv.Itoa(left+1000))
 	}
-	a, err := w.client.Do(q)
+	resp, err := p.client.Do(q)
 	if err != nil {
 		return nil, nil
 	}
-	defer a.Body.Close()
-	text, _ := io.ReadAll(a.Body)
-	return a, text
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body)
+	return resp, text
 }
 
-func (w *faultyProxy) serve(out http.ResponseWriter, r *http.Request) {
+// serve handles a client request.
+func (p *faultyProxy) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health/ready" {
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	n := w.requests.Add(1)
-	now := n%7 == 3 // wrong now and then, as faults are
-	if now {
-		switch w.mode {
+	n := p.requests.Add(1)
+	faulty := n%7 == 3 // the defect shows in some requests only, as real ones do
+	if faulty {
+		switch p.mode {
 		case "never":
 			<-r.Context().Done()
 			return
-		case "gone": // it notices that its client has left, and sends the request all the same
+		case "gone": // sends the request although the client has disconnected
 			<-r.Context().Done()
 			time.Sleep(400 * time.Millisecond)
-			w.forward(r, body, n)
+			p.forward(r, body, n)
 			return
 		case "invents":
 			fmt.Fprintf(out, "%s", body)
 			return
 		case "copies":
-			go w.forward(r, body, n+1)
+			go p.forward(r, body, n+1)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	a, text := w.forward(r, body, n)
-	for k := n + 1; a != nil && a.StatusCode == 503 && k < n+4; k++ { // turned away: it never ran
-		a, text = w.forward(r, body, k)
+	resp, text := p.forward(r, body, n)
+	for k := n + 1; resp != nil && resp.StatusCode == 503 && k < n+4; k++ { // rejected without being processed, so a retry is safe
+		resp, text = p.forward(r, body, k)
 	}
-	if a == nil {
+	if resp == nil {
 		out.WriteHeader(502)
 		return
 	}
-	if now && w.mode == "twice" {
-		a, text = w.forward(r, body, n+1)
+	if faulty && p.mode == "twice" {
+		resp, text = p.forward(r, body, n+1)
 	}
-	if now && w.mode == "refuses" {
+	if faulty && p.mode == "refuses" {
 		out.WriteHeader(503)
 		return
 	}
-	if now && w.mode == "answers-twice" {
+	if faulty && p.mode == "answers-twice" {
 		conn, buf, err := out.(http.Hijacker).Hijack()
 		if err == nil {
 			for range 2 {
@@ -201,6 +203,6 @@
 		}
 		return
 	}
-	out.WriteHeader(a.StatusCode)
+	out.WriteHeader(resp.StatusCode)
 	out.Write(text)
 }
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the scenarios that ship with the lab.
+// Package scenarios embeds the scenarios that ship with the lab.
 package scenarios
 
 import (
@@ -13,17 +13,18 @@
 //go:embed *.yaml pools/*.yaml
 var files embed.FS
 
-// Names are the scenarios that ship, sorted.
+// Names returns the names of the embedded scenarios, sorted.
 func Names() []string {
 	return namesIn(".")
 }
 
-// PoolNames are those of processes with several pools, sorted. Find knows them as pools/NAME.
+// PoolNames returns the names of the embedded scenarios with several pools, sorted. Find expects them as pools/NAME.
 func PoolNames() []string { return namesIn("pools") }
 
-func namesIn(folder string) []string {
+// namesIn returns the names of the scenarios in an embedded directory, sorted.
+func namesIn(dir string) []string {
 	var out []string
-	entries, _ := fs.ReadDir(files, folder)
+	entries, _ := fs.ReadDir(files, dir)
 	for _, e := range entries {
 		if !e.IsDir() {
 			out = append(out, strings.TrimSuffix(e.Name(), path.Ext(e.Name())))
@@ -33,14 +34,14 @@
 	return out
 }
 
-// Find reads a scenario by its path, or by the name of one that ships. file is what its errors name.
+// Find reads a scenario by its path, or an embedded one by its name. file is the file name for error messages.
 func Find(name string) (file string, text []byte, err error) {
 	text, err = os.ReadFile(name)
 	if err == nil {
 		return name, text, nil
 	}
-	if shipped, ferr := files.ReadFile(name + ".yaml"); ferr == nil {
-		return "scenarios/" + name + ".yaml", shipped, nil
+	if embedded, ferr := files.ReadFile(name + ".yaml"); ferr == nil {
+		return "scenarios/" + name + ".yaml", embedded, nil
 	}
 	return name, nil, err
 }
