--- a/internal/lab/fleet/soak.go
+++ b/internal/lab/fleet/soak.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	g := &generator{rng: model.NewRand(seed, 0x736f616b), scenario: s}
-	s.Name, s.Description = fmt.Sprintf("soak-%d", seed), "faults that overlap in time, drawn from a seed"
+	s.Name, s.Description = fmt.Sprintf("soak-%d", seed), "overlapping faults, generated from a seed"
 	s.Duration, s.Warmup = scenario.Duration(duration), 0
 	if err := Scale(s, sidecars); err != nil {
 		return nil, err
