--- a/balance/api.go
+++ b/balance/api.go
@@ -17,25 +17,25 @@
 type RequestID uint32
 
 // ServerID names a server. It tells nothing of the server's zone, kind or age.
-type ServerID uint32
+type EndpointID uint32
 
 // Settings are what a Balancer knows from the start.
 type Settings struct {
-	Seed           uint64        // source of all random choices
-	Me, Balancers  int           // this balancer's number, from 0, and how many there are in its tier
-	Tier           int           // the tier it sends to; 0 is the one that clients reach
-	Zone           int           // the zone it stands in
-	Tick           time.Duration // least time between batches of events; 0 if events come at any time
-	Classes        []Class       // request classes; at least one
-	Tenants        []Tenant      // tenants; may be empty
-	OverShareWorth float64       // part of its worth that a request keeps beyond its tenant's share
-	Goal           Goal          // weights of the parts of the result
-	Prices         Prices        // points off the result
-	Report         Report        // load reports
-	Limits         Limits        // what is allowed
-	Rules          Rules         // figures of the rules
-	Ask            bool          // news of servers comes only after Watch or Fetch, not by itself
-	UnitsMeanSize  bool          // Units of a server tell its size; otherwise they are ignored
+	Seed             uint64        // source of all random choices
+	Index, Balancers int           // this balancer's number, from 0, and how many there are in its tier
+	Tier             int           // the tier it sends to; 0 is the one that clients reach
+	Zone             int           // the zone it stands in
+	Tick             time.Duration // least time between batches of events; 0 if events come at any time
+	Classes          []Class       // request classes; at least one
+	Tenants          []Tenant      // tenants; may be empty
+	OverShareUtility float64       // part of its worth that a request keeps beyond its tenant's share
+	Objective        Objective     // weights of the parts of the result
+	Penalties        Penalties     // points off the result
+	Report           Report        // load reports
+	Limits           Limits        // what is allowed
+	Rules            Rules         // figures of the rules
+	PollDiscovery    bool          // news of servers comes only after Watch or Fetch, not by itself
+	UnitsAreCapacity bool          // Units of a server tell its size; otherwise they are ignored
 }
 
 // Effect tells whether a request may run more than once.
@@ -49,25 +49,25 @@
 )
 
 // Group is the set of servers that drop each other's repeats of a keyed request.
-type Group uint8
+type DedupScope uint8
 
 // The groups.
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	ScopeAll  DedupScope = iota // all servers
+	ScopeZone                   // those of one zone
+	ScopeCell                   // those of one cell
 )
 
 // Class is a class of requests.
 type Class struct {
-	Aim       time.Duration // an answer within this time earns the full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	Worth     float64       // worth of an answer
-	LateWorth float64       // share of the worth that an answer after the aim still earns
-	Effect    Effect
-	Group     Group         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are dropped
-	Stream    bool          // answers are streams
+	LatencyTarget time.Duration // an answer within this time earns the full worth
+	Deadline      time.Duration // how long a client waits over all its tries
+	Utility       float64       // worth of an answer
+	LateUtility   float64       // share of the worth that an answer after the aim still earns
+	Effect        Effect
+	DedupScope    DedupScope    // for Keyed
+	DedupWindow   time.Duration // for Keyed: how long repeats are dropped
+	Stream        bool          // answers are streams
 }
 
 // Tenant is one of the parties whose requests share the servers.
@@ -77,10 +77,10 @@
 }
 
 // Goal holds the weights of the parts of the result.
-type Goal struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
+type Objective struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
 
 // Prices are points off the result for each unit.
-type Prices struct{ CrossZone, Waste, LateFail, Probe, Peer float64 }
+type Penalties struct{ CrossZone, Waste, LateFailure, Probe, Peer float64 }
 
 // Field is one value of a load report.
 type Field uint8
@@ -97,38 +97,38 @@
 )
 
 // Via tells how load reports come.
-type Via uint8
+type ReportSource uint8
 
 // The ways of load reports.
 const (
-	NoReports Via = iota
-	OnAnswers     // in outcomes and probe results
-	OnProbes      // in probe results only
+	NoReports   ReportSource = iota
+	OnResponses              // in outcomes and probe results
+	OnProbes                 // in probe results only
 )
 
 // Report describes the load reports.
 type Report struct {
-	Via    Via
+	Source ReportSource
 	Fields []Field // the order of their values
 }
 
 // Limits tell what is allowed.
 type Limits struct {
-	Probes, Peers, Cancel, SecondCopies, RetryAfter bool
-	MaxAttempts                                     int // attempts for one request; at least 1
-	MaxRetryAfter                                   time.Duration
-	RetryShare                                      float64 // repeats of what may have run, as a share of first sends; 0 for the module's own
-	RetryBurst                                      float64 // and how many of them all balancers together can save up; 0 for the module's own
+	Probes, Peers, Cancel, Hedging, RetryAfter bool
+	MaxAttempts                                int // attempts for one request; at least 1
+	MaxRetryAfter                              time.Duration
+	RetryShare                                 float64 // repeats of what may have run, as a share of first sends; 0 for the module's own
+	RetryBurst                                 float64 // and how many of them all balancers together can save up; 0 for the module's own
 }
 
 // Rules are the figures of the rules that are kept without fail.
 type Rules struct {
-	DrainGrace   time.Duration // no send to a draining or gone server later than this after the news
-	AskWithin    time.Duration // with Ask: how often discovery must be asked while there is no subscription
-	ColdShare    float64       // a server that has just started can do at least this part of its work
-	ColdTime     time.Duration // and all of it after this time
-	FallMultiple float64       // sent more than this many times what it can do
-	FallTime     time.Duration // for this long, a cold server falls over
+	DrainGrace        time.Duration // no send to a draining or gone server later than this after the news
+	DiscoveryInterval time.Duration // with Ask: how often discovery must be asked while there is no subscription
+	SlowStartShare    float64       // a server that has just started can do at least this part of its work
+	SlowStartTime     time.Duration // and all of it after this time
+	OverloadMultiple  float64       // sent more than this many times what it can do
+	OverloadWindow    time.Duration // for this long, a cold server falls over
 }
 
 // State is what discovery says of a server.
@@ -142,8 +142,8 @@
 )
 
 // Server is an entry of the list of servers.
-type Server struct {
-	ID      ServerID
+type Endpoint struct {
+	ID      EndpointID
 	Zone    int
 	Kind    int
 	Cell    int
@@ -172,12 +172,12 @@
 const (
 	OK            Status = iota + 1
 	Error                // answered with an error; it may have run
-	FullUp               // turned away unseen; it never ran
+	Rejected             // turned away unseen; it never ran
 	Timeout              // no answer in time; it may have run or still run
 	ConnectFailed        // no connection in time; it never ran
 	Reset                // the connection broke; it may have run
 	Cancelled            // withdrawn; it may have run
-	Moot                 // not sent; it never ran
+	NotSent              // not sent; it never ran
 	Declined             // refused for good by what lies below, and passed on as the final answer
 )
 
@@ -196,7 +196,7 @@
 	AttemptsSpent               // it has had as many attempts as are allowed
 	NoEndpoint                  // no server may take it, and it may not wait for one
 	QueueTimeout                // it has waited in the queue for as long as it may
-	NotRepeatable               // an attempt may have run, and its class may not run again
+	NotRetriable                // an attempt may have run, and its class may not run again
 	NoRetryBudget               // an attempt may have run, and the retry budget is spent
 
 	ReasonCount = iota // how many there are
@@ -209,25 +209,25 @@
 
 // Outcome tells how an attempt ended.
 type Outcome struct {
-	ID      RequestID
-	Closed  bool // the request is over, by this outcome or earlier
-	Attempt int
-	Server  ServerID
-	Latency time.Duration
-	Status  Status
-	Load    []float32 // a load report in the order of Report.Fields, or empty; read during the call only
+	ID       RequestID
+	Final    bool // the request is over, by this outcome or earlier
+	Attempt  int
+	Endpoint EndpointID
+	Latency  time.Duration
+	Status   Status
+	Load     []float32 // a load report in the order of Report.Fields, or empty; read during the call only
 }
 
 // Request is a client's request.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // 0 for none
-	Deadline time.Duration // when this try is given up
-	Hint     float64       // guess of its cost in seconds of a core; 0 for none
-	Repeat   bool          // marked by the client as a repeat
-	Origin   uint64        // hash of whom it comes from, the same at all balancers and for a client's repeats; 0 for not known
+	ID          RequestID
+	Class       int
+	Tenant      int
+	Key         uint64        // 0 for none
+	Deadline    time.Duration // when this try is given up
+	CostHint    float64       // guess of its cost in seconds of a core; 0 for none
+	ClientRetry bool          // marked by the client as a repeat
+	Origin      uint64        // hash of whom it comes from, the same at all balancers and for a client's repeats; 0 for not known
 }
 
 // AllPeers addresses a message to every other balancer of the tier.
@@ -236,23 +236,23 @@
 // Host performs a Balancer's actions, in order and without calling back.
 type Host interface {
 	// Send passes a request to a server. The first Send of a request is its attempt 0, the next is 1, and so on.
-	Send(id RequestID, server ServerID, timeout time.Duration)
+	Send(id RequestID, server EndpointID, timeout time.Duration)
 	// Refuse ends a request unserved; trying again is harmless, after retryAfter if that is above 0.
-	Refuse(id RequestID, retryAfter time.Duration, why Reason)
+	Reject(id RequestID, retryAfter time.Duration, why Reason)
 	// Fail ends a request unserved and promises nothing.
 	Fail(id RequestID, why Reason)
 	// Cancel stops waiting for an attempt; its outcome still comes.
 	Cancel(id RequestID, attempt int)
 	// Probe asks a server for its health and load; one Probed event answers.
-	Probe(server ServerID)
+	Probe(server EndpointID)
 	// Close closes the idle connections to a server.
-	Close(server ServerID)
+	CloseIdle(server EndpointID)
 	// Watch asks for changes of the list of servers from now on.
 	Watch()
 	// Tell sends at most 256 bytes to a peer or to AllPeers. The data are valid during the call only.
-	Tell(peer int, data []byte)
+	SendToPeer(peer int, data []byte)
 	// Timer asks for one Timer event with this token after the delay.
-	Timer(delay time.Duration, token uint64)
+	StartTimer(delay time.Duration, token uint64)
 	// Log notes a line for the people on call.
 	Log(text string)
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -26,21 +26,21 @@
 )
 
 // Request takes a request: it is sent, held or refused at once, and is answered before its deadline.
-func (b *Balancer) Request(now time.Duration, q Request) {
+func (b *Balancer) RequestArrived(now time.Duration, q Request) {
 	if _, known := b.requests[q.ID]; known {
 		return
 	}
 	if q.Class < 0 || q.Class >= len(b.classes) {
-		b.host.Refuse(q.ID, 0, UnknownClass)
+		b.host.Reject(q.ID, 0, UnknownClass)
 		return
 	}
 	r := &request{Request: q, arrived: now}
 	b.classes[q.Class].add(now, 4*b.meanAim)
-	if !q.Repeat {
+	if !q.ClientRetry {
 		b.classes[q.Class].tries.add(q.Deadline - now)
 	}
 	if wait, refuse := b.shedding(r, now); refuse {
-		b.host.Refuse(q.ID, wait, Shed)
+		b.host.Reject(q.ID, wait, Shed)
 		return
 	}
 	b.arrivals++ // what is refused is no load that servers see
@@ -54,14 +54,14 @@
 func (b *Balancer) left(r *request, now time.Duration) time.Duration {
 	until := r.Deadline
 	c := &b.set.Classes[r.Class]
-	if c.LateWorth == 0 && !c.Stream {
-		until = min(until, r.arrived+c.Aim)
+	if c.LateUtility == 0 && !c.Stream {
+		until = min(until, r.arrived+c.LatencyTarget)
 	}
 	// A repeat's client has waited since its first try. Where its time is none that clients give a first try,
 	// it is the rest of the deadline and tells since when: after that first try's aim nothing is worth anything.
 	given := r.Deadline - r.arrived
-	if r.Repeat && c.LateWorth == 0 && !c.Stream && b.classes[r.Class].tries.outside(given, tryNoise) {
-		until = min(until, r.Deadline-c.Deadline+c.Aim)
+	if r.ClientRetry && c.LateUtility == 0 && !c.Stream && b.classes[r.Class].tries.outside(given, tryNoise) {
+		until = min(until, r.Deadline-c.Deadline+c.LatencyTarget)
 	}
 	return until - now
 }
@@ -102,7 +102,7 @@
 	b.earnRetry()
 	b.host.Send(r.ID, s.ID, left)
 	if a.due < now+left {
-		b.host.Timer(a.due-now, timerOverdue|uint64(len(r.attempts)-1)<<32|uint64(r.ID))
+		b.host.StartTimer(a.due-now, timerOverdue|uint64(len(r.attempts)-1)<<32|uint64(r.ID))
 	}
 }
 
@@ -119,11 +119,11 @@
 	r.parked, b.parked = true, append(b.parked, r)
 	if !r.waited { // once: parked again it has the time that it had
 		r.waited = true
-		b.host.Timer(min(left-b.set.Tick, most), timerExpire|uint64(r.ID))
+		b.host.StartTimer(min(left-b.set.Tick, most), timerExpire|uint64(r.ID))
 	}
 	if !b.looks { // they look for a server again soon: a cold one may take more by then
 		b.looks = true
-		b.host.Timer(b.lookAgain(), timerParked)
+		b.host.StartTimer(b.lookAgain(), timerParked)
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	b.end(r)
 	if r.out == 0 && b.mayRefuse(r) {
-		b.host.Refuse(r.ID, b.retryAfter(), why)
+		b.host.Reject(r.ID, b.retryAfter(), why)
 	} else {
 		b.host.Fail(r.ID, why)
 	}
@@ -175,20 +175,20 @@
 // mayRefuse keeps the second rule: a refusal says that nothing has run, or that a repeat would be dropped.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c := &b.set.Classes[r.Class]
-	return r.mayRun == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll
+	return r.mayRun == nil || c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll
 }
 
 // mayRepeat keeps the second rule: r may be sent again, to a server that pick finds in its group.
 func (b *Balancer) mayRepeat(r *request, now time.Duration) bool {
 	c := &b.set.Classes[r.Class]
-	if r.ended || len(r.attempts) >= b.set.Limits.MaxAttempts || r.out > 0 && !b.set.Limits.SecondCopies {
+	if r.ended || len(r.attempts) >= b.set.Limits.MaxAttempts || r.out > 0 && !b.set.Limits.Hedging {
 		return false
 	}
 	// An attempt that is out may have run, whatever it turns out to be.
 	if r.out == 0 && r.mayRun == nil {
 		return true
 	}
-	return c.Effect == Safe || c.Effect == Keyed && r.mayRun != nil && now < r.mayRunAt+c.Window-2*b.set.Tick
+	return c.Effect == Safe || c.Effect == Keyed && r.mayRun != nil && now < r.mayRunAt+c.DedupWindow-2*b.set.Tick
 }
 
 // end marks the final answer. Nothing is sent for r from here on.
@@ -207,7 +207,7 @@
 }
 
 // Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+func (b *Balancer) AttemptDone(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].over {
 		return
@@ -218,11 +218,11 @@
 	a.server.arrived(a)
 	b.learn(r, a, o, now)
 	defer b.next(now)
-	free := o.Status == FullUp || o.Status == ConnectFailed || o.Status == Moot // it never ran
+	free := o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent // it never ran
 	if o.Status != OK && !free && (r.mayRun == nil || a.sent < r.mayRunAt) {
 		r.mayRun, r.mayRunAt = a.server, a.sent
 	}
-	if o.Closed || o.Status == OK {
+	if o.Final || o.Status == OK {
 		if !r.ended && o.Status != Declined {
 			b.done(r, now)
 		}
@@ -243,7 +243,7 @@
 	case len(r.attempts) >= b.set.Limits.MaxAttempts:
 		b.giveUp(r, now, AttemptsSpent)
 	case !b.mayRepeat(r, now):
-		b.giveUp(r, now, NotRepeatable)
+		b.giveUp(r, now, NotRetriable)
 	case !free && !b.spendRetry():
 		b.giveUp(r, now, NoRetryBudget)
 	default:
@@ -261,7 +261,7 @@
 }
 
 // First takes the start of a stream: the attempt is the client's from here on.
-func (b *Balancer) First(now time.Duration, id RequestID, server ServerID, attempt int, lag time.Duration) {
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, server EndpointID, attempt int, lag time.Duration) {
 	r := b.requests[id]
 	if r == nil || attempt < 0 || attempt >= len(r.attempts) {
 		return
@@ -271,7 +271,7 @@
 }
 
 // GoneClient takes the news that the client has left; nothing is owed to it any more.
-func (b *Balancer) GoneClient(now time.Duration, id RequestID) {
+func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.ended {
 		b.end(r)
 		b.cancelOut(r)
@@ -280,13 +280,13 @@
 }
 
 // Timer takes a timer that the Balancer asked for.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	r := b.requests[RequestID(token)]
 	switch token & timerKind {
 	case timerPhase:
 		b.phase(now)
 	case timerWatch:
-		if b.set.Ask && !b.watching {
+		if b.set.PollDiscovery && !b.watching {
 			b.host.Watch()
 		}
 	case timerParked:
--- a/balance/coldfleet_test.go
+++ b/balance/coldfleet_test.go
@@ -28,21 +28,21 @@
 const coldBorn = 20 * time.Second
 
 // play runs a day and gives for each cold server when it was sent to, and the figures that it can do.
-func (c coldDay) play(t *testing.T, seed uint64) (sends map[ServerID][]time.Duration, able float64, rules Rules) {
+func (c coldDay) play(t *testing.T, seed uint64) (sends map[EndpointID][]time.Duration, able float64, rules Rules) {
 	const step = 10 * ms
 	rng := rand.New(rand.NewPCG(seed, 5))
 	set := settings()
 	set.Seed, set.Balancers = seed, c.balancers
 	set.Classes = set.Classes[:1]
 	set.Report.Fields = c.fields
-	set.Rules = Rules{DrainGrace: 500 * ms, AskWithin: 10 * time.Second, ColdShare: 0.2, ColdTime: 12 * time.Second,
-		FallMultiple: 2.5, FallTime: 1500 * ms}
+	set.Rules = Rules{DrainGrace: 500 * ms, DiscoveryInterval: 10 * time.Second, SlowStartShare: 0.2, SlowStartTime: 12 * time.Second,
+		OverloadMultiple: 2.5, OverloadWindow: 1500 * ms}
 	if len(c.fields) == 0 {
-		set.Report.Via = NoReports
+		set.Report.Source = NoReports
 	}
-	if c.rules.ColdShare > 0 {
-		set.Rules.ColdShare, set.Rules.ColdTime = c.rules.ColdShare, c.rules.ColdTime
-		set.Rules.FallMultiple, set.Rules.FallTime = c.rules.FallMultiple, c.rules.FallTime
+	if c.rules.SlowStartShare > 0 {
+		set.Rules.SlowStartShare, set.Rules.SlowStartTime = c.rules.SlowStartShare, c.rules.SlowStartTime
+		set.Rules.OverloadMultiple, set.Rules.OverloadWindow = c.rules.OverloadMultiple, c.rules.OverloadWindow
 	}
 	rules = set.Rules
 	able = cmp.Or(c.able, 10)
@@ -50,7 +50,7 @@
 		at time.Duration
 		do func()
 	}
-	sends = map[ServerID][]time.Duration{}
+	sends = map[EndpointID][]time.Duration{}
 	type caller struct {
 		b      *Balancer
 		h      *recorder
@@ -74,18 +74,18 @@
 	later := slices.Clone(list)
 	for i := range c.cold {
 		at := i * c.servers / c.cold
-		later[at].ID, later[at].ReadyAt = ServerID(200+i), coldBorn
+		later[at].ID, later[at].ReadyAt = EndpointID(200+i), coldBorn
 	}
 	all, sum := make([]*caller, c.balancers), 0.0
-	begin := func(me int, list []Server, now time.Duration) {
+	begin := func(me int, list []Endpoint, now time.Duration) {
 		mine := set
-		mine.Me, mine.Seed, mine.Zone = me, seed*1000+uint64(me)+uint64(now), place(me, c.zones)
+		mine.Index, mine.Seed, mine.Zone = me, seed*1000+uint64(me)+uint64(now), place(me, c.zones)
 		h := &recorder{}
 		b, err := New(mine, h, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Members(now, Cached, list)
+		b.UpdateEndpoints(now, Cached, list)
 		part := 1.0
 		if old := all[me]; old != nil {
 			part = old.part
@@ -100,10 +100,10 @@
 	for me := range all {
 		begin(me, list, 0)
 	}
-	free := map[ServerID]time.Duration{}     // when a server has done what it holds
-	counts := map[ServerID][]time.Duration{} // recent answers, for reports
+	free := map[EndpointID]time.Duration{}     // when a server has done what it holds
+	counts := map[EndpointID][]time.Duration{} // recent answers, for reports
 	clock := time.Duration(0)
-	for now := time.Duration(0); now < coldBorn+rules.ColdTime; now += step {
+	for now := time.Duration(0); now < coldBorn+rules.SlowStartTime; now += step {
 		clock = now
 		rate := c.load * able * float64(c.servers)
 		if now >= coldBorn && c.burst > 0 {
@@ -115,7 +115,7 @@
 					begin(me, list, now)
 					x = all[me]
 				}
-				x.b.Members(now, Full, later)
+				x.b.UpdateEndpoints(now, Full, later)
 			}
 			run := func(q []due) []due {
 				var ready, rest []due
@@ -136,11 +136,11 @@
 			for n := rate * x.part / sum * step.Seconds(); n > 0; n-- {
 				if n >= 1 || rng.Float64() < n {
 					x.id++
-					x.b.Request(now, Request{ID: x.id, Deadline: now + 3*time.Second})
+					x.b.RequestArrived(now, Request{ID: x.id, Deadline: now + 3*time.Second})
 				}
 			}
 			for _, a := range x.h.timers {
-				x.timers = append(x.timers, due{now + a.delay, func() { x.b.Timer(clock, a.token) }})
+				x.timers = append(x.timers, due{now + a.delay, func() { x.b.TimerFired(clock, a.token) }})
 			}
 			x.h.timers = nil
 			for _, s := range x.h.sends {
@@ -150,11 +150,11 @@
 				// One request after the other at a server, at its pace of the moment; a long queue turns away.
 				speed := able
 				if s.server >= 200 {
-					speed *= min(rules.ColdShare+(1-rules.ColdShare)*float64(now-coldBorn)/float64(rules.ColdTime), 1)
+					speed *= min(rules.SlowStartShare+(1-rules.SlowStartShare)*float64(now-coldBorn)/float64(rules.SlowStartTime), 1)
 				}
 				status, took := OK, 10*ms
 				if wait := free[s.server] - now; wait > 2*time.Second {
-					status = FullUp
+					status = Rejected
 				} else {
 					work := time.Duration(rng.ExpFloat64() / speed * float64(time.Second))
 					free[s.server] = now + max(wait, 0) + work
@@ -186,7 +186,7 @@
 							load = append(load, 1)
 						}
 					}
-					x.b.Outcome(clock, Outcome{ID: s.id, Closed: status == OK, Attempt: s.attempt, Server: s.server, Status: status,
+					x.b.AttemptDone(clock, Outcome{ID: s.id, Final: status == OK, Attempt: s.attempt, Endpoint: s.server, Status: status,
 						Latency: took, Load: load})
 				}})
 			}
@@ -203,12 +203,12 @@
 	for i, from := range at {
 		n := 0
 		for _, x := range at[i:] {
-			if x < from+r.FallTime {
+			if x < from+r.OverloadWindow {
 				n++
 			}
 		}
-		ramp := min(r.ColdShare+(1-r.ColdShare)*float64(from-coldBorn)/float64(r.ColdTime), 1)
-		budget := r.FallMultiple * able * ramp * r.FallTime.Seconds()
+		ramp := min(r.SlowStartShare+(1-r.SlowStartShare)*float64(from-coldBorn)/float64(r.SlowStartTime), 1)
+		budget := r.OverloadMultiple * able * ramp * r.OverloadWindow.Seconds()
 		over, part = max(over, float64(n)-budget-2*math.Sqrt(budget)-2), max(part, float64(n)/budget)
 	}
 	return over, part
@@ -217,8 +217,8 @@
 // What twenty, thirty or sixty balancers send together stays within what a cold server can take, whatever they meet; beyond
 // it there is only chance.
 func TestColdBudgetOfTheFleet(t *testing.T) {
-	short := Rules{ColdShare: 0.2, ColdTime: 8 * time.Second, FallMultiple: 2, FallTime: 1500 * ms}
-	tight := Rules{ColdShare: 0.12, ColdTime: 8 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second}
+	short := Rules{SlowStartShare: 0.2, SlowStartTime: 8 * time.Second, OverloadMultiple: 2, OverloadWindow: 1500 * ms}
+	tight := Rules{SlowStartShare: 0.12, SlowStartTime: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 	reports, used := []Field{QPS, Util}, []Field{Util}
 	for name, c := range map[string]coldDay{
 		"one of sixteen":          {servers: 16, cold: 1, load: 0.7, fields: reports},
--- a/balance/feed.go
+++ b/balance/feed.go
@@ -9,7 +9,7 @@
 // Refusal is the share of first tries that is to be refused where others carry the requests: by the same pressure as that of an
 // owner's own, the latency foretold for what comes now as a share of the mean aim, from the requests open in all and those
 // served a second.
-func (s *Settings) Refusal(open, served float64) float64 {
+func (s *Settings) RejectShare(open, served float64) float64 {
 	if s.Tier != 0 || open < matureCount/2 {
 		return 0
 	}
@@ -19,12 +19,12 @@
 // Observed takes what others saw of a server over some time: the share of failures among its outcomes, below 0 where there
 // were none, and a load report in the order of Report.Fields, or empty. It is the way in for an owner that sends nothing
 // itself; the readings go the way of those from outcomes and probes.
-func (b *Balancer) Observed(now time.Duration, id ServerID, failed float64, load []float32) {
+func (b *Balancer) EndpointObserved(now time.Duration, id EndpointID, failed float64, load []float32) {
 	s := b.servers[id]
 	if s == nil {
 		return
 	}
-	if b.set.Report.Via != NoReports {
+	if b.set.Report.Source != NoReports {
 		b.readReport(s, load, now)
 	}
 	if failed >= 0 {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,9 +18,9 @@
 	b, h := start(t, set, fleet(servers))
 	for i := range RequestID(2 * matureCount) {
 		now := time.Duration(i) * 2 * latency
-		b.Request(now, Request{ID: 1 + i, Deadline: now + 3*time.Second})
+		b.RequestArrived(now, Request{ID: 1 + i, Deadline: now + 3*time.Second})
 		x := h.sends[len(h.sends)-1]
-		b.Outcome(now+latency, Outcome{ID: x.id, Closed: true, Server: x.server, Status: OK, Latency: latency})
+		b.AttemptDone(now+latency, Outcome{ID: x.id, Final: true, Endpoint: x.server, Status: OK, Latency: latency})
 	}
 	return b, h
 }
@@ -28,7 +28,7 @@
 // member is the settings of one of several balancers.
 func member(me, balancers int) Settings {
 	set := settings()
-	set.Seed, set.Me, set.Balancers = uint64(me), me, balancers
+	set.Seed, set.Index, set.Balancers = uint64(me), me, balancers
 	return set
 }
 
@@ -41,12 +41,12 @@
 		{balancers: 14, servers: 16, most: 14, all: 128},
 		{balancers: 40, servers: 8, most: 40, all: 320}, // one each, at the least
 	} {
-		held, all := map[ServerID]int{}, 0
+		held, all := map[EndpointID]int{}, 0
 		for me := range c.balancers {
 			b, h := learned(t, member(me, c.balancers), c.servers, 10*ms)
 			before := len(h.sends)
 			for i := range RequestID(60) {
-				b.Request(time.Second, Request{ID: 1000 + i, Deadline: 4 * time.Second})
+				b.RequestArrived(time.Second, Request{ID: 1000 + i, Deadline: 4 * time.Second})
 			}
 			for _, s := range h.sends[before:] {
 				held[s.server]++
@@ -73,11 +73,11 @@
 	for after, passed := range map[time.Duration]bool{440 * ms: false, 520 * ms: true} {
 		b, h := learned(t, settings(), 4, 200*ms)
 		now := 15 * time.Second
-		b.Request(now, Request{ID: 900, Deadline: now + 3*time.Second})
+		b.RequestArrived(now, Request{ID: 900, Deadline: now + 3*time.Second})
 		slow, got := h.sends[len(h.sends)-1].server, 0
 		now += after
 		for i := range RequestID(12) {
-			b.Request(now, Request{ID: 1000 + i, Deadline: now + 3*time.Second})
+			b.RequestArrived(now, Request{ID: 1000 + i, Deadline: now + 3*time.Second})
 			if h.sends[len(h.sends)-1].server == slow {
 				got++
 			}
@@ -118,9 +118,9 @@
 	for left, repeats := range map[time.Duration]bool{20 * ms: false, 400 * ms: true} {
 		b, h := learned(t, settings(), 4, 200*ms)
 		now := 15 * time.Second
-		b.Request(now, Request{ID: 900, Deadline: now + 3*time.Second})
+		b.RequestArrived(now, Request{ID: 900, Deadline: now + 3*time.Second})
 		before := len(h.sends)
-		h.outcome(b, now+b.set.Classes[0].Aim-left, 900, Error)
+		h.outcome(b, now+b.set.Classes[0].LatencyTarget-left, 900, Error)
 		if again := len(h.sends) > before; again != repeats {
 			t.Errorf("with %v left: sent again %v, want %v", left, again, repeats)
 		}
@@ -135,13 +135,13 @@
 	var waits []time.Duration
 	for seed := range uint64(60) {
 		set := settings()
-		set.Seed, set.Ask = seed, true
+		set.Seed, set.PollDiscovery = seed, true
 		b, h := start(t, set, fleet(4))
 		for range 5 {
 			before := len(h.timers)
-			b.Members(0, Failed, nil)
+			b.UpdateEndpoints(0, Failed, nil)
 			wait := h.timers[before].delay
-			if wait <= 0 || wait > set.Rules.AskWithin/5 {
+			if wait <= 0 || wait > set.Rules.DiscoveryInterval/5 {
 				t.Fatalf("seed %d: asked again after %v", seed, wait)
 			}
 			waits = append(waits, wait)
@@ -171,14 +171,14 @@
 		set.Report.Fields = []Field{Inflight, QPS, Util}
 		b, h := learned(t, set, 3, 10*ms)
 		now := time.Second
-		b.Request(now, Request{ID: 900, Deadline: now + 3*time.Second})
+		b.RequestArrived(now, Request{ID: 900, Deadline: now + 3*time.Second})
 		x := h.sends[len(h.sends)-1]
-		b.Outcome(now+ms, Outcome{ID: 900, Closed: true, Server: x.server, Status: OK, Latency: ms,
+		b.AttemptDone(now+ms, Outcome{ID: 900, Final: true, Endpoint: x.server, Status: OK, Latency: ms,
 			Load: []float32{c.inflight, c.qps, 0.5}})
 		gets := false
 		for i := range RequestID(9) {
 			at := now + 2*ms + c.age
-			b.Request(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
+			b.RequestArrived(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
 			gets = gets || h.sends[len(h.sends)-1].server == x.server
 			h.outcome(b, at+ms, 1000+i, OK)
 		}
@@ -193,7 +193,7 @@
 	b, h := learned(t, settings(), 2, 10*ms)
 	for i := range RequestID(40) {
 		at := time.Second + time.Duration(i)*ms/10
-		b.Request(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
+		b.RequestArrived(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
 	}
 	b.burstAt = -time.Hour
 	sent := len(h.sends)
@@ -210,7 +210,7 @@
 	b.doneRate.v = 5000
 	for i := range RequestID(40) {
 		at := time.Second + time.Duration(i)*ms/10
-		b.Request(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
+		b.RequestArrived(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
 	}
 	sent, waits := len(h.sends), slices.Clone(b.parked)
 	if len(waits) < 20 {
@@ -230,7 +230,7 @@
 	now := 30 * time.Second
 	for i := range RequestID(2000) { // fifty at a time, each answered after 10 ms
 		at := now + time.Duration(i/50)*10*ms
-		b.Request(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
+		b.RequestArrived(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
 		if i >= 50 {
 			h.outcome(b, at, 1000+i-50, OK)
 		}
@@ -247,7 +247,7 @@
 	b, h := learned(t, settings(), 2, 10*ms)
 	for i := range RequestID(40) {
 		at := time.Second + time.Duration(i)*ms/10
-		b.Request(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
+		b.RequestArrived(at, Request{ID: 1000 + i, Deadline: at + 3*time.Second})
 	}
 	b.classes[1].protected = true
 	b.parked[5].Class, b.parked[9].Class, b.burstAt = 1, 1, -time.Hour
@@ -268,7 +268,7 @@
 		set.Tier = tier
 		b, h := learned(t, set, 5, 100*ms)
 		before := len(h.sends)
-		b.Request(20*time.Second, Request{ID: 1000, Deadline: 20*time.Second + 40*ms})
+		b.RequestArrived(20*time.Second, Request{ID: 1000, Deadline: 20*time.Second + 40*ms})
 		if got := len(h.sends) - before; got != sent || sent == 0 && !strings.HasPrefix(h.final[1000], "refuse") {
 			t.Errorf("tier %d: %d sends, answer %q", tier, got, h.final[1000])
 		}
@@ -286,7 +286,7 @@
 		}
 		for i := range RequestID(400) {
 			at := time.Duration(i) * ms
-			b.Request(at, Request{ID: i + 1, Deadline: at + 3*time.Second})
+			b.RequestArrived(at, Request{ID: i + 1, Deadline: at + 3*time.Second})
 			h.outcome(b, at, i+1, OK)
 		}
 		if most := max(retryBurst, float64(of)); b.retries < 1 || b.retries*float64(of) > most {
@@ -299,7 +299,7 @@
 func TestOneLevelRefusesTheSameOrigins(t *testing.T) {
 	set := settings()
 	a, _ := start(t, set, fleet(9))
-	set.Seed, set.Me = 99, 3
+	set.Seed, set.Index = 99, 3
 	b, _ := start(t, set, fleet(9))
 	same, later, refused := 0, 0, 0
 	for i := range uint64(2000) {
@@ -328,7 +328,7 @@
 		b.doneRate = rate{rapid.Float64Range(1, 100).Draw(r, "rate"), now}
 		b.classes[1].protected = true
 		ask := func(class int, repeat bool, origin uint64) bool {
-			_, no := b.shedding(&request{Request: Request{Class: class, Repeat: repeat, Origin: origin}}, now)
+			_, no := b.shedding(&request{Request: Request{Class: class, ClientRetry: repeat, Origin: origin}}, now)
 			return no
 		}
 		repeat, origin := rapid.Bool().Draw(r, "repeat"), rapid.Uint64Min(1).Draw(r, "origin")
@@ -342,8 +342,8 @@
 func TestDeclinedEndsARequest(t *testing.T) {
 	b, h := start(t, settings(), fleet(5))
 	b.retries = 8
-	b.Request(0, Request{ID: 1, Deadline: 2 * time.Second})
-	b.Outcome(10*ms, Outcome{ID: 1, Closed: true, Server: h.sends[0].server, Status: Declined})
+	b.RequestArrived(0, Request{ID: 1, Deadline: 2 * time.Second})
+	b.AttemptDone(10*ms, Outcome{ID: 1, Final: true, Endpoint: h.sends[0].server, Status: Declined})
 	if s := b.servers[h.sends[0].server]; len(h.sends) != 1 || len(h.final) != 0 || s.failed != 0 || s.outUntil != 0 || b.doneAll != 0 || len(b.requests) != 0 {
 		t.Errorf("sends %v, answers %v, %+v, %d done, %d kept", h.sends, h.final, s, b.doneAll, len(b.requests))
 	}
@@ -368,14 +368,14 @@
 		b, h := start(t, settings(), fleet(4))
 		if c.first == 0 {
 			c.first = 1300 * ms
-			b.Request(0, Request{ID: 3, Deadline: 24 * time.Hour})
+			b.RequestArrived(0, Request{ID: 3, Deadline: 24 * time.Hour})
 			h.outcome(b, 10*ms, 3, OK)
 		}
 		h.sends = nil
-		b.Request(0, Request{ID: 1, Deadline: c.first})
+		b.RequestArrived(0, Request{ID: 1, Deadline: c.first})
 		h.outcome(b, 10*ms, 1, OK)
 		now := 5 * time.Second
-		b.Request(now, Request{ID: 2, Deadline: now + c.left, Repeat: true})
+		b.RequestArrived(now, Request{ID: 2, Deadline: now + c.left, ClientRetry: true})
 		out := len(h.sends) == 2
 		if out != c.out || !out && h.final[2] != "refuse" || out && h.sends[1].timeout != c.sentWithin {
 			t.Errorf("%s: sends %v, answer %q; want it out: %v, within %v", c.name, h.sends[1:], h.final[2], c.out, c.sentWithin)
@@ -387,10 +387,10 @@
 func TestOddSettingsAreSurvived(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"one balancer":         func(s *Settings) { s.Balancers = 1 },
-		"a million balancers":  func(s *Settings) { s.Me, s.Balancers = 999_999, 1_000_000 },
+		"a million balancers":  func(s *Settings) { s.Index, s.Balancers = 999_999, 1_000_000 },
 		"a zone of its own":    func(s *Settings) { s.Zone = 77 },
-		"absurd prices":        func(s *Settings) { s.Prices = Prices{1e12, 1e12, 1e12, 1e12, 1e12} },
-		"no cold start":        func(s *Settings) { s.Rules.ColdTime, s.Rules.ColdShare, s.Rules.FallMultiple = 0, 0, 0 },
+		"absurd prices":        func(s *Settings) { s.Penalties = Penalties{1e12, 1e12, 1e12, 1e12, 1e12} },
+		"no cold start":        func(s *Settings) { s.Rules.SlowStartTime, s.Rules.SlowStartShare, s.Rules.OverloadMultiple = 0, 0, 0 },
 		"no reports":           func(s *Settings) { s.Report = Report{} },
 		"reports of one value": func(s *Settings) { s.Report.Fields = []Field{Inflight} },
 	} {
@@ -433,7 +433,7 @@
 		b, h := learned(t, settings(), 3, 10*ms)
 		now := 2 * time.Second
 		send := func(id RequestID) send {
-			b.Request(now, Request{ID: id, Deadline: now + 3*time.Second})
+			b.RequestArrived(now, Request{ID: id, Deadline: now + 3*time.Second})
 			return h.sends[len(h.sends)-1]
 		}
 		silent := send(900)
@@ -444,7 +444,7 @@
 				break
 			}
 		}
-		b.Outcome(now, Outcome{ID: 900, Server: silent.server, Status: Timeout, Latency: now})
+		b.AttemptDone(now, Outcome{ID: 900, Endpoint: silent.server, Status: Timeout, Latency: now})
 		now += c.after
 		gets := false
 		for id := range RequestID(12) {
@@ -463,20 +463,20 @@
 	list := fleet(1)
 	list[0].State = Draining
 	b, h := start(t, settings(), list)
-	b.Request(0, Request{ID: 1, Class: 2, Deadline: 3 * time.Second})
+	b.RequestArrived(0, Request{ID: 1, Class: 2, Deadline: 3 * time.Second})
 	expire := h.timers[len(h.timers)-2] // behind it, the one at which what waits looks again
 	list[0].State = Ready
-	b.Members(ms, Delta, list)
+	b.UpdateEndpoints(ms, Delta, list)
 	if len(h.sends) != 1 {
 		t.Fatalf("%d sends", len(h.sends))
 	}
-	b.Timer(expire.delay, expire.token)
+	b.TimerFired(expire.delay, expire.token)
 	if len(h.final) > 0 {
 		t.Fatalf("answered while its attempt was out: %v", h.final)
 	}
 	list[0].State = Draining
-	b.Members(2*time.Second, Delta, list)
-	h.outcome(b, 2*time.Second, 1, Moot)
+	b.UpdateEndpoints(2*time.Second, Delta, list)
+	h.outcome(b, 2*time.Second, 1, NotSent)
 	if h.final[1] != "refuse" {
 		t.Errorf("the answer is %q; it is looked at again only later", h.final[1])
 	}
--- a/balance/hold.go
+++ b/balance/hold.go
@@ -13,7 +13,7 @@
 }
 
 // Hold takes from when on nothing is sent unless the list is renewed; it replaces the last such word.
-func (b *Balancer) Hold(now, from time.Duration) {
+func (b *Balancer) SetLeaseExpiry(now, from time.Duration) {
 	was := b.pause
 	b.pause = sendPause{from: from, noted: was.noted}
 	if !was.noted || now >= from {
--- a/balance/horizon_test.go
+++ b/balance/horizon_test.go
@@ -10,7 +10,7 @@
 func lateEarning(part float64) Settings {
 	set := settings()
 	for i := range set.Classes {
-		set.Classes[i].LateWorth = part
+		set.Classes[i].LateUtility = part
 	}
 	return set
 }
@@ -22,9 +22,9 @@
 		b, h := learned(t, lateEarning(part), 8, 10*ms)
 		before := len(h.sends)
 		for i := range RequestID(200) {
-			b.Request(time.Second, Request{ID: 1000 + i, Deadline: 4 * time.Second})
+			b.RequestArrived(time.Second, Request{ID: 1000 + i, Deadline: 4 * time.Second})
 		}
-		held := map[ServerID]int{}
+		held := map[EndpointID]int{}
 		for _, s := range h.sends[before:] {
 			held[s.server]++
 		}
@@ -39,7 +39,7 @@
 		}
 	}
 	s := lateEarning(0.5)
-	if s.Classes[1].LateWorth = 0; s.horizon().Round(ms) != time.Second { // all classes share the servers
+	if s.Classes[1].LateUtility = 0; s.horizon().Round(ms) != time.Second { // all classes share the servers
 		t.Errorf("a class whose late answers earn nothing, and a horizon of %v", s.horizon())
 	}
 }
@@ -53,17 +53,17 @@
 		want    float64 // for each request
 	}{{0, true, probeShare}, {0.01, true, probeShare}, {0.05, true, 0.08}, {0.5, true, 0.008}, {0.05, false, 0}} {
 		set := settings()
-		set.Report.Via, set.Limits.Probes, set.Prices.Probe = OnProbes, c.allowed, c.price
+		set.Report.Source, set.Limits.Probes, set.Penalties.Probe = OnProbes, c.allowed, c.price
 		b, h := start(t, set, fleet(8))
 		const requests = 3000
 		for i := range RequestID(requests) {
 			now := time.Duration(i) * 100 * ms
-			b.Request(now, Request{ID: 1 + i, Deadline: now + 3*time.Second})
+			b.RequestArrived(now, Request{ID: 1 + i, Deadline: now + 3*time.Second})
 			for _, id := range h.probes[max(len(h.probes)-1, 0):] {
-				b.Probed(now, id, ms, OK, []float32{1, 0.5})
+				b.ProbeDone(now, id, ms, OK, []float32{1, 0.5})
 			}
 			x := h.sends[len(h.sends)-1]
-			b.Outcome(now+10*ms, Outcome{ID: x.id, Closed: true, Server: x.server, Status: OK, Latency: 10 * ms})
+			b.AttemptDone(now+10*ms, Outcome{ID: x.id, Final: true, Endpoint: x.server, Status: OK, Latency: 10 * ms})
 		}
 		if got := float64(len(h.probes)) / requests; got > c.want*1.02+0.001 || got < c.want*0.9-0.001 {
 			t.Errorf("price %g, allowed %v: %.4f probes a request, want %.4f", c.price, c.allowed, got, c.want)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -26,11 +26,11 @@
 	b.out--
 	away := 0.0
 	b.below.Ended(now, b.meanAim/2, o.Status == Declined)
-	if o.Status == FullUp || o.Status == ConnectFailed {
+	if o.Status == Rejected || o.Status == ConnectFailed {
 		away = 1
 	}
 	b.turned += slowSmoothed / 2 * (away - b.turned)
-	reported := b.set.Report.Via == OnAnswers && b.readReport(s, o.Load, now)
+	reported := b.set.Report.Source == OnResponses && b.readReport(s, o.Load, now)
 	switch o.Status {
 	case OK:
 		s.served = now
@@ -56,7 +56,7 @@
 		if o.Status == Timeout && s.served <= a.sent {
 			s.outUntil = max(s.outUntil, now+silentFor*b.meanAim+b.turnAt(s))
 		}
-	case FullUp:
+	case Rejected:
 		b.read(s, 1, now)
 		s.outUntil = max(s.outUntil, now+b.meanAim/16)
 	}
@@ -93,28 +93,28 @@
 // turnAt spreads the balancers that try a server again, as all who track it have left it for one cause at one
 // time. The order follows from the server and from their numbers; if one is dead the next comes anyway.
 func (b *Balancer) turnAt(s *server) time.Duration {
-	place := float64(mix(s.spot^uint64(b.set.Me))>>11) / (1 << 53)
+	place := float64(mix(s.spot^uint64(b.set.Index))>>11) / (1 << 53)
 	return time.Duration(place * (b.sharers() - 1) * float64(b.lookAgain()))
 }
 
 // Probed takes the answer to a probe.
-func (b *Balancer) Probed(now time.Duration, id ServerID, lag time.Duration, status Status, load []float32) {
+func (b *Balancer) ProbeDone(now time.Duration, id EndpointID, lag time.Duration, status Status, load []float32) {
 	if s := b.servers[id]; s != nil {
 		s.probing = false
 	}
 	failed := -1.0 // an answer tells of its load alone
-	if status != OK && status != Moot {
+	if status != OK && status != NotSent {
 		failed = 1
 	}
-	b.Observed(now, id, failed, load)
+	b.EndpointObserved(now, id, failed, load)
 }
 
 // probeOnBudget asks for reports where only probes bring them: a small share of the requests, in turn.
 func (b *Balancer) probeOnBudget(now time.Duration) {
-	if b.set.Report.Via != OnProbes || !b.set.Limits.Probes || len(b.tracked) == 0 {
+	if b.set.Report.Source != OnProbes || !b.set.Limits.Probes || len(b.tracked) == 0 {
 		return
 	}
-	b.probes = min(b.probes+min(probeShare, probeCost/max(b.set.Prices.Probe, 1e-9)), minTracked)
+	b.probes = min(b.probes+min(probeShare, probeCost/max(b.set.Penalties.Probe, 1e-9)), minTracked)
 	if b.probes < 1 {
 		return
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -18,8 +18,8 @@
 // the turns were unfit the look of things is no longer trusted, and any will do that is not cold.
 func (b *Balancer) pick(r *request, now time.Duration) *server {
 	c := &b.set.Classes[r.Class]
-	if c.Effect == Keyed && c.Group != GroupAll && r.mayRun != nil {
-		return b.pickInGroup(r, c.Group, now)
+	if c.Effect == Keyed && c.DedupScope != ScopeAll && r.mayRun != nil {
+		return b.pickInGroup(r, c.DedupScope, now)
 	}
 	if b.doneAll >= matureCount && float64(b.out) >= b.room(now) {
 		return nil // it waits: all that is out would take longer still
@@ -71,9 +71,9 @@
 		held > overloadedFrom*b.meanAim.Seconds()*b.said(s, QPS)
 }
 
-func (b *Balancer) pickInGroup(r *request, group Group, now time.Duration) *server {
+func (b *Balancer) pickInGroup(r *request, group DedupScope, now time.Duration) *server {
 	key := 2 * r.mayRun.Cell
-	if group == GroupZone {
+	if group == ScopeZone {
 		key = 2*r.mayRun.Zone + 1
 	}
 	var best *server
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -16,14 +16,14 @@
 	sends   []send
 	timers  []timer
 	final   map[RequestID]string
-	probes  []ServerID
+	probes  []EndpointID
 	watches int
 	cancels []send
 }
 
 type send struct {
 	id      RequestID
-	server  ServerID
+	server  EndpointID
 	attempt int
 	timeout time.Duration
 }
@@ -35,7 +35,7 @@
 
 func (h *recorder) note(format string, a ...any) { h.log = append(h.log, fmt.Sprintf(format, a...)) }
 
-func (h *recorder) Send(id RequestID, s ServerID, d time.Duration) {
+func (h *recorder) Send(id RequestID, s EndpointID, d time.Duration) {
 	h.note("send %d %d %v", id, s, d)
 	n := 0
 	for _, x := range h.sends {
@@ -53,17 +53,17 @@
 	}
 	h.final[id] += how
 }
-func (h *recorder) Refuse(id RequestID, d time.Duration, _ Reason) { h.end(id, "refuse") }
+func (h *recorder) Reject(id RequestID, d time.Duration, _ Reason) { h.end(id, "refuse") }
 func (h *recorder) Fail(id RequestID, _ Reason)                    { h.end(id, "fail") }
 func (h *recorder) Cancel(id RequestID, n int) {
 	h.note("cancel %d %d", id, n)
 	h.cancels = append(h.cancels, send{id: id, attempt: n})
 }
-func (h *recorder) Probe(s ServerID)           { h.note("probe %d", s); h.probes = append(h.probes, s) }
-func (h *recorder) Close(s ServerID)           { h.note("close %d", s) }
-func (h *recorder) Watch()                     { h.note("watch"); h.watches++ }
-func (h *recorder) Tell(peer int, data []byte) { h.note("tell %d %x", peer, data) }
-func (h *recorder) Timer(d time.Duration, t uint64) {
+func (h *recorder) Probe(s EndpointID)               { h.note("probe %d", s); h.probes = append(h.probes, s) }
+func (h *recorder) CloseIdle(s EndpointID)           { h.note("close %d", s) }
+func (h *recorder) Watch()                           { h.note("watch"); h.watches++ }
+func (h *recorder) SendToPeer(peer int, data []byte) { h.note("tell %d %x", peer, data) }
+func (h *recorder) StartTimer(d time.Duration, t uint64) {
 	h.note("timer %v %d", d, t)
 	h.timers = append(h.timers, timer{d, t})
 }
@@ -73,35 +73,35 @@
 	return Settings{
 		Seed: 7, Balancers: 1, Tick: ms,
 		Classes: []Class{
-			{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
-			{Aim: time.Second, Deadline: 3 * time.Second, Worth: 9, Effect: Unsafe},
-			{Aim: time.Second, Deadline: 3 * time.Second, Worth: 9, Effect: Keyed, Group: GroupCell, Window: 2 * time.Second,
-				LateWorth: 0.5},
+			{LatencyTarget: time.Second, Deadline: 3 * time.Second, Utility: 1},
+			{LatencyTarget: time.Second, Deadline: 3 * time.Second, Utility: 9, Effect: Unsafe},
+			{LatencyTarget: time.Second, Deadline: 3 * time.Second, Utility: 9, Effect: Keyed, DedupScope: ScopeCell, DedupWindow: 2 * time.Second,
+				LateUtility: 0.5},
 		},
-		Goal:   Goal{Whole: 1},
-		Report: Report{Via: OnAnswers, Fields: []Field{LatencyMS, Util}},
-		Limits: Limits{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: Rules{DrainGrace: 250 * ms, AskWithin: 10 * time.Second, ColdShare: 0.3, ColdTime: 8 * time.Second,
-			FallMultiple: 3, FallTime: time.Second},
+		Objective: Objective{Overall: 1},
+		Report:    Report{Source: OnResponses, Fields: []Field{LatencyMS, Util}},
+		Limits:    Limits{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: Rules{DrainGrace: 250 * ms, DiscoveryInterval: 10 * time.Second, SlowStartShare: 0.3, SlowStartTime: 8 * time.Second,
+			OverloadMultiple: 3, OverloadWindow: time.Second},
 	}
 }
 
-func fleet(n int) []Server {
-	var list []Server
+func fleet(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Server{ID: ServerID(100 + i), State: Ready, Cell: i % 3, Units: 1})
+		list = append(list, Endpoint{ID: EndpointID(100 + i), State: Ready, Cell: i % 3, Units: 1})
 	}
 	return list
 }
 
-func start(t *testing.T, set Settings, list []Server) (*Balancer, *recorder) {
+func start(t *testing.T, set Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(set, h, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Members(0, Cached, list)
+	b.UpdateEndpoints(0, Cached, list)
 	return b, h
 }
 
@@ -109,7 +109,7 @@
 func (h *recorder) outcome(b *Balancer, now time.Duration, id RequestID, status Status) {
 	for i := len(h.sends) - 1; i >= 0; i-- {
 		if x := h.sends[i]; x.id == id {
-			b.Outcome(now, Outcome{ID: id, Closed: status == OK, Attempt: x.attempt, Server: x.server, Status: status,
+			b.AttemptDone(now, Outcome{ID: id, Final: status == OK, Attempt: x.attempt, Endpoint: x.server, Status: status,
 				Latency: 10 * ms})
 			return
 		}
@@ -119,7 +119,7 @@
 func TestUnsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun(t *testing.T) {
 	for status, want := range map[Status]string{Error: "fail", Reset: "fail", Timeout: "fail"} {
 		b, h := start(t, settings(), fleet(5))
-		b.Request(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
+		b.RequestArrived(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
 		h.outcome(b, 100*ms, 1, status)
 		if len(h.sends) != 1 || h.final[1] != want {
 			t.Errorf("status %d: %d sends and answer %q, want 1 and %q", status, len(h.sends), h.final[1], want)
@@ -128,9 +128,9 @@
 }
 
 func TestWhatNeverRanGoesOutAgain(t *testing.T) {
-	for _, status := range []Status{FullUp, ConnectFailed} {
+	for _, status := range []Status{Rejected, ConnectFailed} {
 		b, h := start(t, settings(), fleet(5))
-		b.Request(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
+		b.RequestArrived(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
 		h.outcome(b, 10*ms, 1, status)
 		if len(h.sends) != 2 || h.sends[0].server == h.sends[1].server {
 			t.Errorf("status %d: sends %v, want a second one elsewhere", status, h.sends)
@@ -140,10 +140,10 @@
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	list := fleet(9)
-	cell := func(id ServerID) int { return list[id-100].Cell }
+	cell := func(id EndpointID) int { return list[id-100].Cell }
 	b, h := start(t, settings(), list)
 	b.retries = 2 // as after enough sends
-	b.Request(0, Request{ID: 1, Class: 2, Deadline: 5 * time.Second})
+	b.RequestArrived(0, Request{ID: 1, Class: 2, Deadline: 5 * time.Second})
 	h.outcome(b, 100*ms, 1, Error)
 	if len(h.sends) != 2 || cell(h.sends[0].server) != cell(h.sends[1].server) {
 		t.Fatalf("sends %v, want a second one in the cell of the first", h.sends)
@@ -156,9 +156,9 @@
 
 func TestDrainingServerGetsNothing(t *testing.T) {
 	b, h := start(t, settings(), fleet(3))
-	b.Members(0, Delta, []Server{{ID: 100, State: Draining}, {ID: 101, State: Gone}})
+	b.UpdateEndpoints(0, Delta, []Endpoint{{ID: 100, State: Draining}, {ID: 101, State: Gone}})
 	for id := range RequestID(20) {
-		b.Request(ms, Request{ID: id + 1, Deadline: time.Second})
+		b.RequestArrived(ms, Request{ID: id + 1, Deadline: time.Second})
 	}
 	for _, s := range h.sends {
 		if s.server != 102 {
@@ -172,8 +172,8 @@
 
 func TestNoServersMeansHoldThenRefuseInTime(t *testing.T) {
 	b, h := start(t, settings(), nil)
-	b.Request(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
-	b.Request(0, Request{ID: 2, Class: 1, Deadline: 2 * time.Second})
+	b.RequestArrived(0, Request{ID: 1, Class: 1, Deadline: 2 * time.Second})
+	b.RequestArrived(0, Request{ID: 2, Class: 1, Deadline: 2 * time.Second})
 	if len(h.final) != 0 {
 		t.Fatalf("answered at once: %v", h.final)
 	}
@@ -183,11 +183,11 @@
 			expire = x.delay
 		}
 	}
-	b.Timer(expire, timerExpire|1)
+	b.TimerFired(expire, timerExpire|1)
 	if h.final[1] != "refuse" || expire >= time.Second { // later a refusal leaves its client no time for another try
 		t.Errorf("answer %q at %v, want a refusal before half of the time", h.final[1], expire)
 	}
-	b.Members(ms, Delta, fleet(1)) // request 2 goes out as soon as a server is there
+	b.UpdateEndpoints(ms, Delta, fleet(1)) // request 2 goes out as soon as a server is there
 	if len(h.sends) != 1 || h.sends[0].id != 2 {
 		t.Errorf("sends %v, want request 2", h.sends)
 	}
@@ -195,7 +195,7 @@
 
 func TestColdServerGetsNoBurst(t *testing.T) {
 	set := settings()
-	set.Rules.ColdShare = 0.2
+	set.Rules.SlowStartShare = 0.2
 	list := fleet(10)
 	b, h := start(t, set, list)
 	now := time.Duration(0)
@@ -203,15 +203,15 @@
 	feed := func(until time.Duration) {
 		for ; now < until; now += 5 * ms {
 			id++
-			b.Request(now, Request{ID: id, Deadline: now + time.Second})
+			b.RequestArrived(now, Request{ID: id, Deadline: now + time.Second})
 			h.outcome(b, now, id, OK)
 		}
 	}
 	feed(2 * time.Second)
-	b.Members(now, Delta, []Server{{ID: 100, State: Ready, ReadyAt: now, Units: 1}})
+	b.UpdateEndpoints(now, Delta, []Endpoint{{ID: 100, State: Ready, ReadyAt: now, Units: 1}})
 	h.sends = nil
 	from := now
-	feed(now + set.Rules.FallTime)
+	feed(now + set.Rules.OverloadWindow)
 	cold := 0
 	for _, s := range h.sends {
 		if s.server == 100 {
@@ -219,7 +219,7 @@
 		}
 	}
 	// An even part is 20 requests a second, of which it can do a fifth or little more.
-	if most := 20 * 0.3 * set.Rules.FallMultiple; float64(cold) > most || cold == 0 {
+	if most := 20 * 0.3 * set.Rules.OverloadMultiple; float64(cold) > most || cold == 0 {
 		t.Errorf("%d sends to the cold server in %v, want some and at most %.0f", cold, now-from, most)
 	}
 }
@@ -227,22 +227,22 @@
 func TestUnknownThingsAreIgnored(t *testing.T) {
 	b, h := start(t, settings(), fleet(2))
 	n := len(h.log)
-	b.Outcome(0, Outcome{ID: 9, Status: OK})
-	b.GoneClient(0, 9)
-	b.First(0, 9, 100, 0, 0)
-	b.Probed(0, 999, 0, OK, nil)
-	b.Timer(0, timerOverdue|9)
-	b.Timer(0, timerExpire|9)
-	b.Timer(0, 1<<63)
-	b.Peer(0, 3, []byte{1, 2})
+	b.AttemptDone(0, Outcome{ID: 9, Status: OK})
+	b.ClientGone(0, 9)
+	b.StreamStarted(0, 9, 100, 0, 0)
+	b.ProbeDone(0, 999, 0, OK, nil)
+	b.TimerFired(0, timerOverdue|9)
+	b.TimerFired(0, timerExpire|9)
+	b.TimerFired(0, 1<<63)
+	b.PeerMessage(0, 3, []byte{1, 2})
 	if len(h.log) != n {
 		t.Errorf("actions %v", h.log[n:])
 	}
-	b.Request(0, Request{ID: 1, Class: 77, Deadline: time.Second})
+	b.RequestArrived(0, Request{ID: 1, Class: 77, Deadline: time.Second})
 	if h.final[1] != "refuse" {
 		t.Errorf("a request of no known class got %q, want a refusal", h.final[1])
 	}
-	b.Request(time.Second, Request{ID: 2, Deadline: 500 * ms})
+	b.RequestArrived(time.Second, Request{ID: 2, Deadline: 500 * ms})
 	if h.final[2] == "" || len(h.sends) != 0 {
 		t.Errorf("a request past its deadline got %q and sends %v", h.final[2], h.sends)
 	}
@@ -252,11 +252,11 @@
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":    func(s *Settings) { s.Classes = nil },
 		"no attempts":   func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"no aim":        func(s *Settings) { s.Classes[0].Aim = 0 },
-		"negative time": func(s *Settings) { s.Rules.ColdTime = -1 },
-		"cold share":    func(s *Settings) { s.Rules.ColdShare = 2 },
+		"no aim":        func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
+		"negative time": func(s *Settings) { s.Rules.SlowStartTime = -1 },
+		"cold share":    func(s *Settings) { s.Rules.SlowStartShare = 2 },
 		"tenant":        func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
-		"number":        func(s *Settings) { s.Me = -1 },
+		"number":        func(s *Settings) { s.Index = -1 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -276,8 +276,8 @@
 	set   Settings
 	now   time.Duration
 	open  map[RequestID]*held
-	told  map[ServerID]time.Duration // when a server was told to drain or be gone
-	where map[ServerID]Server
+	told  map[EndpointID]time.Duration // when a server was told to drain or be gone
+	where map[EndpointID]Endpoint
 	due   []due
 }
 
@@ -289,7 +289,7 @@
 }
 
 type tried struct {
-	server Server
+	server Endpoint
 	at     time.Duration
 	status Status // 0 while out
 }
@@ -299,14 +299,14 @@
 	token uint64
 }
 
-func mayHaveRun(s Status) bool { return s != FullUp && s != ConnectFailed && s != Moot }
+func mayHaveRun(s Status) bool { return s != Rejected && s != ConnectFailed && s != NotSent }
 
-func (c *checker) Timer(d time.Duration, token uint64) {
-	c.recorder.Timer(d, token)
+func (c *checker) StartTimer(d time.Duration, token uint64) {
+	c.recorder.StartTimer(d, token)
 	c.due = append(c.due, due{c.now + max(d, ms), token})
 }
 
-func (c *checker) Send(id RequestID, s ServerID, d time.Duration) {
+func (c *checker) Send(id RequestID, s EndpointID, d time.Duration) {
 	c.recorder.Send(id, s, d)
 	q := c.open[id]
 	if q == nil || q.ended {
@@ -318,15 +318,15 @@
 	}
 	class := c.set.Classes[q.Class]
 	for _, a := range q.sends {
-		if a.status == 0 && !c.set.Limits.SecondCopies {
+		if a.status == 0 && !c.set.Limits.Hedging {
 			c.t.Fatalf("%v: two attempts of request %d out", c.now, id)
 		}
 		if a.status != 0 && !mayHaveRun(a.status) || class.Effect == Safe {
 			continue
 		}
-		same := class.Group == GroupAll || class.Group == GroupZone && a.server.Zone == server.Zone ||
-			class.Group == GroupCell && a.server.Cell == server.Cell
-		if class.Effect == Unsafe || !same || c.now > a.at+class.Window {
+		same := class.DedupScope == ScopeAll || class.DedupScope == ScopeZone && a.server.Zone == server.Zone ||
+			class.DedupScope == ScopeCell && a.server.Cell == server.Cell
+		if class.Effect == Unsafe || !same || c.now > a.at+class.DedupWindow {
 			c.t.Fatalf("%v: request %d may have run at %d and goes out again to %d", c.now, id, a.server.ID, s)
 		}
 	}
@@ -347,15 +347,15 @@
 	class := c.set.Classes[q.Class]
 	for _, a := range q.sends {
 		ran := a.status == 0 || mayHaveRun(a.status)
-		if refused && ran && (class.Effect == Unsafe || class.Effect == Keyed && class.Group != GroupAll) {
+		if refused && ran && (class.Effect == Unsafe || class.Effect == Keyed && class.DedupScope != ScopeAll) {
 			c.t.Fatalf("%v: request %d refused though it may have run", c.now, id)
 		}
 	}
 	q.ended = true
 }
 
-func (c *checker) Refuse(id RequestID, d time.Duration, why Reason) {
-	c.recorder.Refuse(id, d, why)
+func (c *checker) Reject(id RequestID, d time.Duration, why Reason) {
+	c.recorder.Reject(id, d, why)
 	c.final(id, true)
 }
 func (c *checker) Fail(id RequestID, why Reason) { c.recorder.Fail(id, why); c.final(id, false) }
@@ -365,7 +365,7 @@
 		c.t.Fatalf("%v: cancel of attempt %d of request %d, which was not made or is not allowed", c.now, n, id)
 	}
 }
-func (c *checker) Probe(s ServerID) {
+func (c *checker) Probe(s EndpointID) {
 	c.recorder.Probe(s)
 	if _, known := c.where[s]; !known || !c.set.Limits.Probes {
 		c.t.Fatalf("%v: probe of %d", c.now, s)
@@ -385,18 +385,18 @@
 func randomDay(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := settings()
-	set.Seed, set.Tier, set.Ask = seed, rng.IntN(2), rng.IntN(2) == 0
-	set.Classes[2].Group = Group(rng.IntN(3))
-	set.Limits.SecondCopies, set.Limits.Cancel, set.Limits.Probes = rng.IntN(2) == 0, rng.IntN(3) > 0, rng.IntN(2) == 0
-	set.Report.Via = Via(rng.IntN(3))
+	set.Seed, set.Tier, set.PollDiscovery = seed, rng.IntN(2), rng.IntN(2) == 0
+	set.Classes[2].DedupScope = DedupScope(rng.IntN(3))
+	set.Limits.Hedging, set.Limits.Cancel, set.Limits.Probes = rng.IntN(2) == 0, rng.IntN(3) > 0, rng.IntN(2) == 0
+	set.Report.Source = ReportSource(rng.IntN(3))
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5}}[:rng.IntN(3)]
-	c := &checker{t: t, set: set, open: map[RequestID]*held{}, told: map[ServerID]time.Duration{},
-		where: map[ServerID]Server{}}
+	c := &checker{t: t, set: set, open: map[RequestID]*held{}, told: map[EndpointID]time.Duration{},
+		where: map[EndpointID]Endpoint{}}
 	b, err := New(set, c, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := func(kind ListKind, list []Server) {
+	news := func(kind ListKind, list []Endpoint) {
 		for _, s := range list {
 			c.where[s.ID] = s
 			if delete(c.told, s.ID); s.State != Ready {
@@ -414,7 +414,7 @@
 				}
 			}
 		}
-		b.Members(c.now, kind, list)
+		b.UpdateEndpoints(c.now, kind, list)
 	}
 	list := fleet(12)
 	for i := range list {
@@ -436,7 +436,7 @@
 		if rng.IntN(2) == 0 {
 			load = []float32{float32(rng.NormFloat64()), float32(rng.NormFloat64())}
 		}
-		b.Outcome(c.now, Outcome{ID: x.id, Closed: closed, Attempt: x.attempt, Server: x.server, Status: status,
+		b.AttemptDone(c.now, Outcome{ID: x.id, Final: closed, Attempt: x.attempt, Endpoint: x.server, Status: status,
 			Latency: c.now - q.sends[x.attempt].at, Load: load})
 	}
 	taken := func() {
@@ -458,7 +458,7 @@
 		for i := 0; i < len(c.due); i++ {
 			if d := c.due[i]; d.at <= c.now {
 				c.due = append(c.due[:i], c.due[i+1:]...)
-				b.Timer(c.now, d.token)
+				b.TimerFired(c.now, d.token)
 				i--
 			}
 		}
@@ -488,28 +488,28 @@
 			if rng.IntN(2) == 0 {
 				s.ReadyAt = c.now
 			}
-			news(Delta, []Server{s})
+			news(Delta, []Endpoint{s})
 		case 1:
 			if rng.IntN(10) == 0 {
 				news(Full, list[:rng.IntN(len(list)+1)])
-			} else if set.Ask {
-				b.Members(c.now, Failed, nil)
+			} else if set.PollDiscovery {
+				b.UpdateEndpoints(c.now, Failed, nil)
 			}
 		case 2:
-			b.Probed(c.now, list[rng.IntN(len(list))].ID, ms, Status(1+rng.IntN(8)), []float32{1, float32(rng.Float64())})
+			b.ProbeDone(c.now, list[rng.IntN(len(list))].ID, ms, Status(1+rng.IntN(8)), []float32{1, float32(rng.Float64())})
 		case 3:
 			if id := RequestID(1 + rng.IntN(int(next))); c.open[id] != nil && rng.IntN(10) == 0 {
 				if !c.open[id].ended {
 					c.open[id].ended = true
 				}
-				b.GoneClient(c.now, id)
+				b.ClientGone(c.now, id)
 			}
 		case 4, 5, 6, 7:
 			q := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3),
-				Deadline: c.now + time.Duration(rng.IntN(3000)-10)*ms, Repeat: rng.IntN(4) == 0}
+				Deadline: c.now + time.Duration(rng.IntN(3000)-10)*ms, ClientRetry: rng.IntN(4) == 0}
 			next++
 			c.open[q.ID] = &held{Request: q}
-			b.Request(c.now, q)
+			b.RequestArrived(c.now, q)
 		default:
 			if len(out) > 0 {
 				status := OK
@@ -540,7 +540,7 @@
 		{1, 1000, 100, 0, 0},
 	} {
 		set.Tier = c.tier
-		if got := set.Refusal(c.open, c.served); got < c.least || got > c.most {
+		if got := set.RejectShare(c.open, c.served); got < c.least || got > c.most {
 			t.Errorf("%+v: %g", c, got)
 		}
 	}
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -41,7 +41,7 @@
 	worst := 0.0
 	for i := range b.classes {
 		if c := &b.classes[i]; c.n > 0 {
-			worst = max(worst, c.high*next/b.set.Classes[i].Aim.Seconds())
+			worst = max(worst, c.high*next/b.set.Classes[i].LatencyTarget.Seconds())
 		}
 	}
 	return worst + shedTo*b.turned // what is turned away finds every place taken: that is pressure too
@@ -57,7 +57,7 @@
 	over := false
 	if r.Tenant >= 0 && r.Tenant < len(b.tenants) {
 		t := &b.tenants[r.Tenant]
-		if !r.Repeat { // else retries of what was refused would put every tenant over its share
+		if !r.ClientRetry { // else retries of what was refused would put every tenant over its share
 			t.add(now, 4*b.meanAim)
 		}
 		quota := b.set.Tenants[r.Tenant].Quota
@@ -67,7 +67,7 @@
 	if b.classes[r.Class].protected {
 		from += band
 	}
-	if over || r.Repeat {
+	if over || r.ClientRetry {
 		from -= band
 		band /= 2
 	}
@@ -91,14 +91,14 @@
 	worth, work := 0.0, 0.0
 	for i := range b.classes {
 		c := &b.classes[i]
-		worth += c.get(now, 4*b.meanAim) * b.set.Classes[i].Worth
+		worth += c.get(now, 4*b.meanAim) * b.set.Classes[i].Utility
 		work += c.v * c.lat
 	}
-	g := &b.set.Goal
-	even := 1 + g.WorstClass/max(g.Whole+g.WorstWindow, lowest)
+	g := &b.set.Objective
+	even := 1 + g.WorstClass/max(g.Overall+g.WorstWindow, lowest)
 	for i := range b.classes {
 		c := &b.classes[i]
-		c.protected = b.set.Classes[i].Worth*work > even*worth*c.lat
+		c.protected = b.set.Classes[i].Utility*work > even*worth*c.lat
 	}
 }
 
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -16,11 +16,11 @@
 // ramp is the part of its work that a server can do at the least, by its age.
 func (b *Balancer) ramp(s *server, now time.Duration) float64 {
 	r := &b.set.Rules
-	if s.ReadyAt <= 0 || now-s.ReadyAt >= r.ColdTime {
+	if s.ReadyAt <= 0 || now-s.ReadyAt >= r.SlowStartTime {
 		return 1
 	}
-	age := max(0, float64(now-s.ReadyAt)/float64(r.ColdTime))
-	return max(r.ColdShare+(1-r.ColdShare)*age, lowest)
+	age := max(0, float64(now-s.ReadyAt)/float64(r.SlowStartTime))
+	return max(r.SlowStartShare+(1-r.SlowStartShare)*age, lowest)
 }
 
 // coldGap guards the fourth rule: the least time between two sends to a cold server, even if all others look
@@ -33,8 +33,8 @@
 		return 0
 	}
 	even := cmp.Or(b.rate, float64(b.arrivals)/b.length.Seconds()) * b.near(s) / float64(len(b.tracked)+1)
-	few := coldHarmless / cmp.Or(b.set.Rules.FallTime, b.set.Rules.ColdTime).Seconds()
-	rate := even * ramp * math.Sqrt(max(b.set.Rules.FallMultiple, 1))
+	few := coldHarmless / cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime).Seconds()
+	rate := even * ramp * math.Sqrt(max(b.set.Rules.OverloadMultiple, 1))
 	rate = max(rate, max(coldShareOfReport*b.able(s)*ramp, few)/b.sharers())
 	return time.Duration(float64(time.Second) / rate)
 }
@@ -43,7 +43,7 @@
 // saved up by all balancers they came together. One that is far off is drawn anew when there are more.
 func (b *Balancer) coldTurn(s *server, now time.Duration) bool {
 	gap := b.coldGap(s, now)
-	lapsed := now > s.coldNext+cmp.Or(b.set.Rules.FallTime, b.set.Rules.ColdTime)
+	lapsed := now > s.coldNext+cmp.Or(b.set.Rules.OverloadWindow, b.set.Rules.SlowStartTime)
 	if gap > 0 && (lapsed || s.coldNext > now+gap) {
 		s.coldNext = now + b.spread(gap)
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -55,7 +55,7 @@
 
 // server is a listed server as this balancer sees it.
 type server struct {
-	Server
+	Endpoint
 	reading
 	out      []*attempt // own attempts that have no outcome, oldest first
 	spot     uint64     // its place in the ring: a hash of its id
@@ -102,7 +102,7 @@
 
 // guard is what the exceptions keep.
 type guard struct {
-	servers   map[ServerID]*server
+	servers   map[EndpointID]*server
 	ring      []*server // ready servers by spot
 	away      []*server // those of other zones
 	width     int       // servers of a ring that are tracked
@@ -222,7 +222,7 @@
 // mean is the mean latency of a class; before any answer, a guess of the aim's order.
 func (c *classStat) mean(set *Class) time.Duration {
 	if c.n == 0 {
-		return set.Aim / 4
+		return set.LatencyTarget / 4
 	}
 	return time.Duration(c.lat * float64(time.Second))
 }
@@ -276,7 +276,7 @@
 
 // Level tells how much is refused here because answers are foretold late: 0 nothing, 1 all that is not worth much for its
 // work, 2 everything; and the share that is refused because what lies below declines it. Repeats go a step before.
-func (b *Balancer) Level(now time.Duration) (level, below float64) {
+func (b *Balancer) AdmissionLevel(now time.Duration) (level, below float64) {
 	if b.set.Tier != 0 {
 		return 0, 0
 	}
@@ -285,7 +285,7 @@
 
 // tellLevel notes a change of the level by a quarter for the people on call.
 func (b *Balancer) tellLevel(now time.Duration) {
-	level, below := b.Level(now)
+	level, below := b.AdmissionLevel(now)
 	if step := int(4*level) + 100*int(4*below); step != b.level {
 		b.level = step
 		b.host.Log(fmt.Sprintf("admission level %.2f of 2: answers foretold at %.2f of the aim, %.2f refused as declined below", level,
@@ -378,7 +378,7 @@
 
 // utilReported tells whether reports hold utilisation.
 func (b *Balancer) utilReported() bool {
-	return b.set.Report.Via != NoReports && slices.Contains(b.set.Report.Fields, Util)
+	return b.set.Report.Source != NoReports && slices.Contains(b.set.Report.Fields, Util)
 }
 
 // New returns a Balancer, or an error that says which setting is not valid.
@@ -401,12 +401,12 @@
 }
 
 // Peer takes a message of another balancer. This version sends none and passes over what comes.
-func (b *Balancer) Peer(now time.Duration, from int, data []byte) {}
+func (b *Balancer) PeerMessage(now time.Duration, from int, data []byte) {}
 
 // meanAim is the mean aim of the classes.
 func (s *Settings) meanAim() (mean time.Duration) {
 	for _, c := range s.Classes {
-		mean += c.Aim / time.Duration(len(s.Classes))
+		mean += c.LatencyTarget / time.Duration(len(s.Classes))
 	}
 	return mean
 }
@@ -416,7 +416,7 @@
 func (s *Settings) horizon() time.Duration {
 	longer := math.Inf(1)
 	for _, c := range s.Classes {
-		longer = min(longer, 1+c.LateWorth*max(float64(c.Deadline)/float64(c.Aim)-1, 0))
+		longer = min(longer, 1+c.LateUtility*max(float64(c.Deadline)/float64(c.LatencyTarget)-1, 0))
 	}
 	return time.Duration(longer * float64(s.meanAim()))
 }
@@ -431,15 +431,15 @@
 		return errors.New("balance: Limits.MaxAttempts must be at least 1")
 	case !positive(s.Limits.RetryShare) || !positive(s.Limits.RetryBurst):
 		return errors.New("balance: Limits.RetryShare and RetryBurst must not be negative")
-	case s.Balancers < 1 || s.Me < 0:
+	case s.Balancers < 1 || s.Index < 0:
 		return errors.New("balance: Balancers must be at least 1 and Me at least 0")
-	case s.Rules.DrainGrace < 0 || s.Rules.ColdTime < 0 || s.Rules.FallTime < 0 || s.Rules.AskWithin < 0 || s.Tick < 0:
+	case s.Rules.DrainGrace < 0 || s.Rules.SlowStartTime < 0 || s.Rules.OverloadWindow < 0 || s.Rules.DiscoveryInterval < 0 || s.Tick < 0:
 		return errors.New("balance: times must not be negative")
-	case !positive(s.Rules.ColdShare) || s.Rules.ColdShare > 1 || !positive(s.Rules.FallMultiple):
+	case !positive(s.Rules.SlowStartShare) || s.Rules.SlowStartShare > 1 || !positive(s.Rules.OverloadMultiple):
 		return errors.New("balance: Rules.ColdShare must lie in 0..1 and Rules.FallMultiple must not be negative")
 	}
 	for i, c := range s.Classes {
-		if c.Deadline <= 0 || c.Aim <= 0 || !positive(c.Worth) || c.Effect > Unsafe || c.Group > GroupCell {
+		if c.Deadline <= 0 || c.LatencyTarget <= 0 || !positive(c.Utility) || c.Effect > Unsafe || c.DedupScope > ScopeCell {
 			return fmt.Errorf("balance: class %d is not valid: Aim and Deadline must be positive, Worth at least 0", i)
 		}
 	}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -19,13 +19,13 @@
 )
 
 // Members takes news of the list of servers.
-func (b *Balancer) Members(now time.Duration, kind ListKind, list []Server) {
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
 	if kind == Failed {
 		// Asked again ever more slowly, but inside the time after which it counts as told; spread, for discovery
 		// answers in turn and all balancers lose it together.
 		b.watching, b.asked = false, min(b.asked+1, 2)
-		wait := min(max(b.set.Rules.AskWithin/32, askLeast)<<b.asked, askMost)
-		b.host.Timer(wait/2+b.spread(wait), timerWatch)
+		wait := min(max(b.set.Rules.DiscoveryInterval/32, askLeast)<<b.asked, askMost)
+		b.host.StartTimer(wait/2+b.spread(wait), timerWatch)
 		return
 	}
 	if kind != Cached {
@@ -45,7 +45,7 @@
 			s.reading = reading{index: -1, cs: s.cs, step: lowest}
 			s.failed, s.outUntil, s.trial = 0, 0, false
 		}
-		s.Server, s.listed = e, e.State != Gone
+		s.Endpoint, s.listed = e, e.State != Gone
 	}
 	b.ring, b.away, b.groups = b.ring[:0], b.away[:0], map[int][]*server{}
 	for id, s := range b.servers {
@@ -93,14 +93,14 @@
 	for _, s := range slices.Clone(b.tracked) {
 		if !s.wanted || s.State != Ready {
 			b.untrack(s)
-			b.host.Close(s.ID)
+			b.host.CloseIdle(s.ID)
 		}
 	}
 	for _, s := range b.ring {
 		if !s.wanted || s.tracked {
 			continue
 		}
-		if s.count == 0 && b.set.UnitsMeanSize && b.meanUnits > 0 {
+		if s.count == 0 && b.set.UnitsAreCapacity && b.meanUnits > 0 {
 			// Exception: where units tell the size they scale the starting signal, which is equal otherwise.
 			s.cs = min(max(s.Units/b.meanUnits, lowest), highest)
 		}
@@ -129,7 +129,7 @@
 	if len(b.away) > 0 {
 		step = goldenRatio
 	}
-	_, at := math.Modf(float64(b.set.Me) * step)
+	_, at := math.Modf(float64(b.set.Index) * step)
 	for i := range min(k, len(ring)) {
 		ring[(int(at*float64(len(ring)))+i)%len(ring)].wanted = true
 	}
@@ -137,11 +137,11 @@
 
 // startGuard makes what the exceptions to the mechanism keep.
 func (b *Balancer) startGuard(now time.Duration) {
-	b.servers, b.tenants = map[ServerID]*server{}, make([]rate, len(b.set.Tenants))
+	b.servers, b.tenants = map[EndpointID]*server{}, make([]rate, len(b.set.Tenants))
 	b.start, b.spill = now, lowest
 	b.meanAim, b.horizon = b.set.meanAim(), b.set.horizon()
-	if b.set.Ask {
+	if b.set.PollDiscovery {
 		// Many balancers can start at once; discovery answers in turn, so calls are spread.
-		b.host.Timer(b.spread(min(b.set.Rules.AskWithin/8, askMost)), timerWatch)
+		b.host.StartTimer(b.spread(min(b.set.Rules.DiscoveryInterval/8, askMost)), timerWatch)
 	}
 }
--- a/balance/trend.go
+++ b/balance/trend.go
@@ -23,7 +23,7 @@
 	b.phaseAt = now
 	b.setLength()
 	// Phases start at a random point, or balancers that read the same late report would step together.
-	b.host.Timer(time.Duration(float64(b.length)*(0.5+b.rng.Float64())), timerPhase)
+	b.host.StartTimer(time.Duration(float64(b.length)*(0.5+b.rng.Float64())), timerPhase)
 }
 
 // setLength makes a phase outlast what the balancer has seen of the lag between fresh readings.
@@ -91,7 +91,7 @@
 	b.endPhase(now)
 	b.phaseAt = now
 	b.setLength()
-	b.host.Timer(b.length, timerPhase)
+	b.host.StartTimer(b.length, timerPhase)
 }
 
 // control moves one signal by its step, towards the mean.
--- a/balance/trend_test.go
+++ b/balance/trend_test.go
@@ -104,7 +104,7 @@
 func TestFailuresReadAsFullUtilisation(t *testing.T) {
 	for _, status := range []Status{Error, Timeout, ConnectFailed, Reset} {
 		b, h := start(t, settings(), fleet(2))
-		b.Request(0, Request{ID: 1, Class: 1, Deadline: time.Second})
+		b.RequestArrived(0, Request{ID: 1, Class: 1, Deadline: time.Second})
 		s := b.servers[h.sends[0].server]
 		h.outcome(b, ms, 1, status)
 		if s.avg != 1 || s.count != 1 {
@@ -170,9 +170,9 @@
 func TestOverdueServerIsPassedOver(t *testing.T) {
 	b, h := start(t, settings(), fleet(8))
 	id := RequestID(0)
-	ask := func(now time.Duration) ServerID {
+	ask := func(now time.Duration) EndpointID {
 		id++
-		b.Request(now, Request{ID: id, Class: 1, Deadline: now + 10*time.Second})
+		b.RequestArrived(now, Request{ID: id, Class: 1, Deadline: now + 10*time.Second})
 		return h.sends[len(h.sends)-1].server
 	}
 	now := time.Duration(0)
@@ -195,12 +195,12 @@
 func TestCrawlingServerIsEjectedAndTriedWithSafeRequests(t *testing.T) {
 	b, h := start(t, settings(), fleet(8))
 	now, id := time.Duration(0), RequestID(0)
-	ask := func(class int) ServerID {
+	ask := func(class int) EndpointID {
 		id++
-		b.Request(now, Request{ID: id, Class: class, Deadline: now + 10*time.Second})
+		b.RequestArrived(now, Request{ID: id, Class: class, Deadline: now + 10*time.Second})
 		return h.sends[len(h.sends)-1].server
 	}
-	const slow = ServerID(103)
+	const slow = EndpointID(103)
 	for range 400 {
 		now += 10 * ms
 		s := ask(1)
@@ -209,7 +209,7 @@
 			continue
 		}
 		now += 500 * ms // far more than its class takes
-		b.Timer(now, timerOverdue|uint64(id))
+		b.TimerFired(now, timerOverdue|uint64(id))
 		h.outcome(b, now, id, OK)
 	}
 	s := b.servers[slow]
@@ -236,12 +236,12 @@
 func TestFastFailingServerIsEjectedAndTriedAgain(t *testing.T) {
 	b, h := start(t, settings(), fleet(8))
 	now, id := time.Duration(0), RequestID(0)
-	bad := ServerID(103)
+	bad := EndpointID(103)
 	count := func(span time.Duration, failing bool) int {
 		n := 0
 		for until := now + span; now < until; now += 10 * ms {
 			id++
-			b.Request(now, Request{ID: id, Class: 1, Deadline: now + time.Second})
+			b.RequestArrived(now, Request{ID: id, Class: 1, Deadline: now + time.Second})
 			s := h.sends[len(h.sends)-1].server
 			if s == bad {
 				n++
@@ -265,11 +265,11 @@
 func TestEjectionNeverTakesMoreThanItsShare(t *testing.T) {
 	b, h := start(t, settings(), fleet(9))
 	now, id := time.Duration(0), RequestID(0)
-	bad := func(s ServerID) bool { return s%2 == 0 }
+	bad := func(s EndpointID) bool { return s%2 == 0 }
 	for range 600 {
 		now += ms
 		id++
-		b.Request(now, Request{ID: id, Class: 1, Deadline: now + time.Second})
+		b.RequestArrived(now, Request{ID: id, Class: 1, Deadline: now + time.Second})
 		if bad(h.sends[len(h.sends)-1].server) {
 			h.outcome(b, now, id, Error)
 		} else {
@@ -295,10 +295,10 @@
 		for i := range list {
 			list[i].Zone = i % zones
 		}
-		seen := map[ServerID]int{}
+		seen := map[EndpointID]int{}
 		for me := range balancers {
 			set := settings()
-			set.Me, set.Balancers, set.Zone = me, balancers, me%zones
+			set.Index, set.Balancers, set.Zone = me, balancers, me%zones
 			b, _ := start(t, set, list)
 			for _, s := range b.tracked {
 				if s.Zone == set.Zone {
@@ -323,9 +323,9 @@
 	for _, trial := range []bool{false, true} {
 		b, h := start(t, settings(), fleet(8))
 		b.retries = 1 // as after enough sends
-		b.Request(0, Request{ID: 1, Deadline: 10 * time.Second})
+		b.RequestArrived(0, Request{ID: 1, Deadline: 10 * time.Second})
 		b.servers[h.sends[0].server].trial = trial
-		b.Timer(500*ms, timerOverdue|1)
+		b.TimerFired(500*ms, timerOverdue|1)
 		if got := len(h.cancels) == 1; got != trial || len(h.sends) != 1 {
 			t.Errorf("on trial %v: withdrawn %v, sends %v", trial, got, h.sends)
 		}
@@ -345,10 +345,10 @@
 	now, refused := time.Duration(0), 0
 	for id := RequestID(1); id <= 600; id++ {
 		now += 5 * ms
-		b.Request(now, Request{ID: id, Deadline: now + time.Second})
+		b.RequestArrived(now, Request{ID: id, Deadline: now + time.Second})
 		for range 4 {
 			if h.final[id] == "" && id%4 != 0 {
-				h.outcome(b, now, id, FullUp)
+				h.outcome(b, now, id, Rejected)
 			}
 		}
 		if id > 100 && id%4 == 0 {
@@ -373,13 +373,13 @@
 	b, h := start(t, set, fleet(1))
 	now := time.Duration(0)
 	for id := range RequestID(2 * matureCount) {
-		b.Request(now, Request{ID: id, Class: 1, Deadline: now + 2*time.Second})
+		b.RequestArrived(now, Request{ID: id, Class: 1, Deadline: now + 2*time.Second})
 		now += 100 * ms
 		h.outcome(b, now, id, OK)
 	}
 	done := len(h.sends)
 	for id := range RequestID(200) {
-		b.Request(now, Request{ID: 1000 + id, Class: 1, Deadline: now + 2*time.Second})
+		b.RequestArrived(now, Request{ID: 1000 + id, Class: 1, Deadline: now + 2*time.Second})
 	}
 	if out, most := len(h.sends)-done, int(b.meanAim/(100*ms)); out < 4 || out > most+1 {
 		t.Errorf("%d attempts are out at the last server, want up to %d", out, most)
@@ -392,7 +392,7 @@
 	b, _ := start(t, set, fleet(8))
 	for i := range 400 {
 		now := time.Duration(i) * 10 * ms
-		b.Request(now, Request{ID: RequestID(i + 1), Deadline: now + time.Second, Repeat: i%2 == 1})
+		b.RequestArrived(now, Request{ID: RequestID(i + 1), Deadline: now + time.Second, ClientRetry: i%2 == 1})
 	}
 	if v := b.tenants[0].get(4*time.Second, 4*b.meanAim); v > 60 {
 		t.Errorf("usage %.0f a second, want at most the 50 first tries", v)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,7 +64,7 @@
 	case wire.Catalog:
 		return nil
 	case wire.Start:
-		set, err := wire.Settings(e.Settings, e.Seed)
+		set, err := wire.ParseSettings(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
@@ -85,21 +85,21 @@
 	o := &e.Outcome
 	switch e.Kind {
 	case wire.PeersKnown:
-		b.Members(now, e.List, e.Servers)
+		b.UpdateEndpoints(now, e.List, e.Servers)
 	case wire.Gone:
-		b.GoneClient(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.Due:
-		b.Timer(now, e.Token)
+		b.TimerFired(now, e.Token)
 	case wire.AckFirst:
-		b.First(now, o.ID, o.Server, o.Attempt, o.Latency)
+		b.StreamStarted(now, o.ID, o.Endpoint, o.Attempt, o.Latency)
 	case wire.ProbeDone:
-		b.Probed(now, o.Server, o.Latency, o.Status, o.Load)
+		b.ProbeDone(now, o.Endpoint, o.Latency, o.Status, o.Load)
 	case wire.Mail:
-		b.Peer(now, e.From, e.Data)
+		b.PeerMessage(now, e.From, e.Data)
 	case wire.Demand:
-		b.Request(now, e.Request)
+		b.RequestArrived(now, e.Request)
 	case wire.Answer:
-		b.Outcome(now, *o)
+		b.AttemptDone(now, *o)
 	}
 	return nil
 }
--- a/cmd/kitewood-control/main.go
+++ b/cmd/kitewood-control/main.go
@@ -155,7 +155,7 @@
 		fmt.Fprintln(w, "\nASKED OUT OF BAND\tDESTINATIONS\tTOLD\tDO NOT OFFER IT")
 		for _, pool := range slices.Sorted(maps.Keys(s.OutOfBand)) {
 			c := s.OutOfBand[pool]
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", pool, c.Asked, c.Told, c.Without)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", pool, c.Watched, c.Reporting, c.Unsupported)
 		}
 	}
 	return w.Flush()
--- a/cmd/kitewood-control/members.go
+++ b/cmd/kitewood-control/members.go
@@ -32,7 +32,7 @@
 		}
 		return err
 	}
-	all, err := control.AskMembers(socket)
+	all, err := control.QueryMembers(socket)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
@@ -62,9 +62,9 @@
 // told is who says what of a destination, and why it is held.
 func told(e membership.EntryView) string {
 	var out []string
-	for _, w := range e.Words {
+	for _, w := range e.Reports {
 		text := fmt.Sprintf("%s: %s for %d ms", w.Source, w.State, w.AgeMS)
-		if w.Earlier {
+		if w.FromEarlierHistory {
 			text += " (before it was restored)"
 		}
 		if w.Stale {
@@ -72,8 +72,8 @@
 		}
 		out = append(out, text)
 	}
-	if e.Held != "" {
-		out = append(out, e.Held)
+	if e.OverrideReason != "" {
+		out = append(out, e.OverrideReason)
 	}
 	return strings.Join(out, ", ")
 }
--- a/cmd/kitewood-lab/compare.go
+++ b/cmd/kitewood-lab/compare.go
@@ -51,7 +51,7 @@
 			var found [2][]*results.Summary
 			for n, s := range sides {
 				var err error
-				if found[n], err = results.Find(s); err != nil {
+				if found[n], err = results.FindSummaries(s); err != nil {
 					return err
 				}
 			}
@@ -62,7 +62,7 @@
 			t := newTable(c.Root().Writer, "figure", "A", "B", "B - A", "standard error", "pairs", "B is")
 			for _, d := range rows {
 				word := map[int]string{1: "better", -1: "worse", 0: "not told apart"}[d.Better]
-				t.AppendRow([]any{d.Figure, f3(d.A), f3(d.B), fmt.Sprintf("%+.3f", d.Mean), f3(d.Error), d.Pairs, word})
+				t.AppendRow([]any{d.Metric, f3(d.MeanA), f3(d.MeanB), fmt.Sprintf("%+.3f", d.MeanDifference), f3(d.StdErr), d.Pairs, word})
 			}
 			t.Render()
 			return nil
@@ -91,7 +91,7 @@
 			if err != nil {
 				return sides, err
 			}
-			s.Last(c.Duration("duration"))
+			s.SetDuration(c.Duration("duration"))
 			binary, err := filepath.Abs(programs[n])
 			if err != nil {
 				return sides, err
@@ -105,7 +105,7 @@
 				return sides, err
 			}
 			fmt.Fprintf(c.Root().Writer, "%s seed %d %s: service %s, %d broken rules\n", s.Name, seed, string("AB"[n]),
-				f3(sum.Service.Service), sum.Broken())
+				f3(sum.Service.Service), sum.Violations())
 			if ctx.Err() != nil {
 				return sides, ctx.Err()
 			}
@@ -130,7 +130,7 @@
 				return errors.Join(report.Write(f, c.Args().Slice()...), f.Close())
 			}
 			for _, dir := range c.Args().Slice() {
-				path, err := report.Keep(dir)
+				path, err := report.WriteFile(dir)
 				if err != nil {
 					return err
 				}
--- a/cmd/kitewood-lab/count.go
+++ b/cmd/kitewood-lab/count.go
@@ -55,7 +55,7 @@
 	if _, err := os.Stat(filepath.Join(dir, results.LedgerFile)); err != nil {
 		dir = filepath.Dir(filepath.Clean(dir))
 	}
-	entries, err := results.Lines[ledger.Entry](dir, results.LedgerFile)
+	entries, err := results.ReadLines[ledger.Entry](dir, results.LedgerFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	} else if err != nil {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	accountTables(w, account.Of(entries, s.Served()))
+	accountTables(w, account.Summarize(entries, s.LedgerObjective()))
 	return nil
 }
 
@@ -82,29 +82,29 @@
 		if only >= 0 && x.Tier != only {
 			continue
 		}
-		row := table.Row{x.Tier, x.From, x.Operations, x.ClientRepeats, x.Verdicts["served"], x.Verdicts["busy"],
-			x.Verdicts["failed"], x.Attempts, x.Repeats}
+		row := table.Row{x.Tier, x.From, x.Requests, x.ClientRetries, x.Verdicts["served"], x.Verdicts["busy"],
+			x.Verdicts["failed"], x.Attempts, x.Retries}
 		for _, s := range shown {
 			row = append(row, x.Statuses[s])
 		}
-		t.AppendRow(append(row, x.Opened, x.Asked, x.Lost))
+		t.AppendRow(append(row, x.ConnectionsOpened, x.DiscoveryCalls, x.WatchesEnded))
 	}
 	t.Render()
 
 	t = newTable(w, "tier", "destination", "first sent to", "sent", "served", "most out", "under 2 s old", "under 5 s", "under 10 s",
 		"under 20 s", "unserved in a row", "over")
-	for _, d := range f.Destinations() {
+	for _, d := range f.Endpoints() {
 		if only < 0 || d.Tier == only {
-			t.AppendRow(table.Row{d.Tier, d.Name, d.FirstSentAt.Round(time.Millisecond), d.Sent, d.OK, d.MostOut, d.ByAge[0], d.ByAge[1],
-				d.ByAge[2], d.ByAge[3], d.Unanswered, d.Unserved.Round(time.Millisecond)})
+			t.AppendRow(table.Row{d.Tier, d.Name, d.FirstSentAt.Round(time.Millisecond), d.Sent, d.OK, d.MaxInFlight, d.ByAge[0], d.ByAge[1],
+				d.ByAge[2], d.ByAge[3], d.LongestFailureRun, d.FailureRunDuration.Round(time.Millisecond)})
 		}
 	}
 	t.Render()
 
 	t = newTable(w, "tier", "sidecars", "attempts", "connections: first", "beside another", "again", "served, over 1.5 means")
-	for _, o := range f.Opens() {
+	for _, o := range f.ConnectionOpens() {
 		if only < 0 || o.Tier == only {
-			t.AppendRow(table.Row{o.Tier, f.Sidecars[o.Tier], o.Attempts, o.First, o.Beside, o.Again,
+			t.AppendRow(table.Row{o.Tier, f.Sidecars[o.Tier], o.Attempts, o.First, o.Concurrent, o.Reopened,
 				fmt.Sprintf("%.1f%%", 100*f.SlowShare(o.Tier, 1.5))})
 		}
 	}
--- a/cmd/kitewood-lab/drill.go
+++ b/cmd/kitewood-lab/drill.go
@@ -32,7 +32,7 @@
 			w := c.Root().Writer
 			if name == "list" {
 				for _, d := range drill.All() {
-					fmt.Fprintf(w, "%-12s %s\n", d.Name, d.About)
+					fmt.Fprintf(w, "%-12s %s\n", d.Name, d.Description)
 				}
 				return nil
 			}
@@ -40,22 +40,22 @@
 			if err != nil {
 				return err
 			}
-			o := drill.Options{Short: c.Bool("short"), Seed: c.Uint64("seed"), Repeats: c.Int("repeats"), Wrong: c.String("wrong")}
-			if o.Wrong != "" && !slices.Contains(d.Wrongs, o.Wrong) {
-				return fmt.Errorf("--wrong: drill %s has no %q, only %q", d.Name, o.Wrong, d.Wrongs)
+			o := drill.Options{Short: c.Bool("short"), Seed: c.Uint64("seed"), Repeats: c.Int("repeats"), Defect: c.String("wrong")}
+			if o.Defect != "" && !slices.Contains(d.Defects, o.Defect) {
+				return fmt.Errorf("--wrong: drill %s has no %q, only %q", d.Name, o.Defect, d.Defects)
 			}
 			var release func()
 			if o.Binary, release, err = sidecarProgram(ctx, c); err != nil {
 				return err
 			}
 			defer release()
-			if d.Control {
-				if o.Control, release, err = findProgram(ctx, c, "kitewood-control"); err != nil {
+			if d.NeedsControl {
+				if o.ControlBinary, release, err = findProgram(ctx, c, "kitewood-control"); err != nil {
 					return err
 				}
 				defer release()
 			}
-			if o.Lab, err = os.Executable(); err != nil {
+			if o.LabBinary, err = os.Executable(); err != nil {
 				return err
 			}
 			if o.Log, err = logger(c); err != nil {
@@ -72,7 +72,7 @@
 			pass := out.Pass()
 			if c.Bool("json") {
 				figures := map[string]float64{}
-				for _, f := range out.Figures {
+				for _, f := range out.Metrics {
 					figures[f.Name] = f.Value
 				}
 				if err := json.NewEncoder(w).Encode(map[string]any{"drill": d.Name, "pass": pass, "figures": figures, "notes": out.Notes}); err != nil {
@@ -80,10 +80,10 @@
 				}
 			} else {
 				t := newTable(w, "drill "+d.Name, "figure", "bound", "held")
-				for _, f := range out.Figures {
+				for _, f := range out.Metrics {
 					held := ""
 					if f.Bound != "" {
-						held = map[bool]string{true: "yes", false: "NO"}[f.Held]
+						held = map[bool]string{true: "yes", false: "NO"}[f.Passed]
 					}
 					t.AppendRow([]any{f.Name, strconv.FormatFloat(f.Value, 'f', -1, 64), f.Bound, held})
 				}
--- a/cmd/kitewood-lab/fleet.go
+++ b/cmd/kitewood-lab/fleet.go
@@ -27,7 +27,7 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "of all draws (default: the scenario's)"},
 			&cli.IntFlag{Name: "sidecars", Usage: "processes in all tiers, 3 to 60 (default: the scenario's)"},
 			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration"},
-			&cli.StringFlag{Name: "wrong", Usage: "run the fleet wrongly: " + strings.Join(fleet.WrongNames(), ", ")},
+			&cli.StringFlag{Name: "wrong", Usage: "run the fleet wrongly: " + strings.Join(fleet.DefectNames(), ", ")},
 			&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
 			&cli.BoolFlag{Name: "json", Usage: "print the account as one JSON object"},
 		},
@@ -38,11 +38,11 @@
 			}
 			if name == "list" {
 				for _, x := range fleet.Cases() {
-					fmt.Fprintf(c.Root().Writer, "%-12s %6s  %s\n", x.Name, x.Last, x.About)
+					fmt.Fprintf(c.Root().Writer, "%-12s %6s  %s\n", x.Name, x.Duration, x.Description)
 				}
 				return nil
 			}
-			base, hard := name, slices.Contains(fleet.Names(), name)
+			base, hard := name, slices.Contains(fleet.CaseNames(), name)
 			if hard {
 				base = "fleet"
 			}
@@ -52,26 +52,26 @@
 			}
 			defer release()
 			if hard {
-				if _, p.scenario, err = fleet.Find(name); err != nil {
+				if _, p.scenario, err = fleet.FindCase(name); err != nil {
 					return err
 				}
 			}
-			p.scenario.Last(c.Duration("duration"))
-			if err := fleet.Wrong(p.scenario, c.String("wrong")); err != nil {
+			p.scenario.SetDuration(c.Duration("duration"))
+			if err := fleet.ApplyDefect(p.scenario, c.String("wrong")); err != nil {
 				return fmt.Errorf("--wrong: %w", err)
 			}
-			dir, err := results.Folder(c.String("out"), "fleet-"+p.scenario.Name, p.seed, time.Now())
+			dir, err := results.CreateDir(c.String("out"), "fleet-"+p.scenario.Name, p.seed, time.Now())
 			if err != nil {
 				return err
 			}
 			bar := newBar(p.scenario.Duration.D())
-			r, err := fleet.Play(ctx, fleet.Options{Scenario: p.scenario, Sidecars: c.Int("sidecars"), Seed: p.seed, Binary: p.binary, Dir: dir, Log: p.log,
+			r, err := fleet.Run(ctx, fleet.Options{Scenario: p.scenario, Sidecars: c.Int("sidecars"), Seed: p.seed, Binary: p.binary, Dir: dir, Log: p.log,
 				Progress: bar.run})
 			bar.end()
 			if err != nil {
 				return err
 			}
-			if _, err := report.Keep(dir); err != nil {
+			if _, err := report.WriteFile(dir); err != nil {
 				return err
 			}
 			w := c.Root().Writer
@@ -79,13 +79,13 @@
 				enc := json.NewEncoder(w)
 				enc.SetIndent("", "  ")
 				err = enc.Encode(map[string]any{"scenario": p.scenario.Name, "seed": p.seed, "sidecars": r.Sidecars, "account": r.Account,
-					"rules": r.Summary.Rules, "service": r.Summary.Service})
+					"rules": r.Summary.RuleViolations, "service": r.Summary.Service})
 			} else {
-				runTables(w, r.Summary, r.Breaches)
+				runTables(w, r.Summary, r.Violations)
 				accountTables(w, r.Account)
 				fmt.Fprintf(w, "%d sidecars; results: %s\nreport: %s\n", r.Sidecars, dir, filepath.Join(dir, results.ReportFile))
 			}
-			if n := r.Summary.Broken(); err == nil && n > 0 {
+			if n := r.Summary.Violations(); err == nil && n > 0 {
 				err = fmt.Errorf("%d broken rules in %s", n, filepath.Join(dir, results.VerdictFile))
 			}
 			return err
@@ -95,11 +95,11 @@
 
 func accountTables(w io.Writer, a *account.Account) {
 	t := newTable(w, "operations", "clients' tries", "attempts, all tiers", "for each operation", "most for one", "beyond a call's first", "work lost")
-	t.AppendRow(table.Row{a.Operations, a.Tries, a.Attempts, f2(a.PerOp), a.Most, f3(a.Extra), f3(a.Lost)})
+	t.AppendRow(table.Row{a.ClientRequests, a.ClientAttempts, a.Attempts, f2(a.AttemptsPerRequest), a.MaxAttempts, f3(a.ExtraAttempts), f3(a.LostWork)})
 	t.Render()
 	t = newTable(w, "tier", "operations", "attempts", "refused by sidecars", "failed", "turned away by instances", "work lost", "refusals differ by")
 	for n, x := range a.Tiers {
-		t.AppendRow(table.Row{n, x.Calls, x.Attempts, x.Refused, x.Failed, x.Turned, f3(x.Lost), f3(x.Spread)})
+		t.AppendRow(table.Row{n, x.Requests, x.Attempts, x.Rejected, x.Failed, x.RejectedAttempts, f3(x.LostWork), f3(x.RejectionSpread)})
 	}
 	t.Render()
 	t = newTable(w, "tier", "instances", "probes, most a second", "trials at one, most", "most a second", "connections to one, most", "most a second")
@@ -108,15 +108,15 @@
 		for _, i := range a.Instances {
 			if i.Tier == n {
 				count++
-				probes = max(probes, i.Probes.Most)
-				trials, trialsSecond = max(trials, i.Trials.Count), max(trialsSecond, i.Trials.Most)
-				opened, openedSecond = max(opened, i.Connections.Count), max(openedSecond, i.Connections.Most)
+				probes = max(probes, i.Probes.MaxPerSecond)
+				trials, trialsSecond = max(trials, i.AttemptsAfterFailure.Count), max(trialsSecond, i.AttemptsAfterFailure.MaxPerSecond)
+				opened, openedSecond = max(opened, i.Connections.Count), max(openedSecond, i.Connections.MaxPerSecond)
 			}
 		}
 		t.AppendRow(table.Row{n, count, probes, trials, trialsSecond, opened, openedSecond})
 	}
 	t.Render()
 	t = newTable(w, "calls to discovery", "most a second")
-	t.AppendRow(table.Row{a.Discovery.Count, a.Discovery.Most})
+	t.AppendRow(table.Row{a.Discovery.Count, a.Discovery.MaxPerSecond})
 	t.Render()
 }
--- a/cmd/kitewood-lab/load.go
+++ b/cmd/kitewood-lab/load.go
@@ -77,7 +77,7 @@
 				}
 				item.Headers[strings.TrimSpace(name)] = strings.TrimSpace(value)
 			}
-			var source load.Source = &load.Steady{Item: item, Arrivals: arrivals}
+			var source load.Source = &load.SingleRequest{Item: item, Arrivals: arrivals}
 			if mix := c.StringSlice("mix"); len(mix) > 0 {
 				kinds, err := parseMix(mix, item)
 				if err != nil {
@@ -106,8 +106,8 @@
 			}
 			if n := c.Int("closed"); n > 0 && ctx.Err() == nil {
 				rec := load.NewRecorder()
-				o := load.Options{URL: c.String("url"), Timeout: c.Duration("timeout"), MaxOpen: n, Recorder: rec}
-				if err := load.Closed(ctx, n, rate, d, item, o); err != nil {
+				o := load.Options{URL: c.String("url"), Timeout: c.Duration("timeout"), MaxInFlight: n, Recorder: rec}
+				if err := load.RunClosedLoop(ctx, n, rate, d, item, o); err != nil {
 					return err
 				}
 				s := rec.Summary()
@@ -119,10 +119,10 @@
 }
 
 // parseMix reads kinds of requests, each "WEIGHT METHOD TARGET".
-func parseMix(mix []string, like load.Item) ([]load.Weighted, error) {
-	var out []load.Weighted
+func parseMix(mix []string, like load.Item) ([]load.WeightedItem, error) {
+	var out []load.WeightedItem
 	for _, m := range mix {
-		var w load.Weighted
+		var w load.WeightedItem
 		w.Item = like
 		if n, err := fmt.Sscanf(m, "%g %s %s", &w.Weight, &w.Item.Method, &w.Item.Target); n != 3 || err != nil || !(w.Weight > 0) ||
 			!strings.HasPrefix(w.Item.Target, "/") {
@@ -138,13 +138,13 @@
 	started := time.Now()
 	rec := load.NewRecorder()
 	bar := newBar(d)
-	err := load.Run(ctx, source, load.Options{URL: c.String("url"), Timeout: c.Duration("timeout"), MaxOpen: c.Int("max-open"),
-		Recorder: rec, Tracer: tracer, Progress: bar.load})
+	err := load.Run(ctx, source, load.Options{URL: c.String("url"), Timeout: c.Duration("timeout"), MaxInFlight: c.Int("max-open"),
+		Recorder: rec, Tracer: tracer, OnProgress: bar.load})
 	bar.end()
 	if err != nil {
 		return err
 	}
-	sum := results.Head("load", c.String("url"), seed, started)
+	sum := results.NewSummary("load", c.String("url"), seed, started)
 	sum.Summary = rec.Summary()
 	sum.CutShort = ctx.Err() != nil
 	sum.Summary.CutShort = sum.CutShort
@@ -163,27 +163,27 @@
 	if c.String("json") != "-" {
 		s := &sum.Summary
 		t := newTable(w, "intended", "sent", "ok", "failed", "timed out", "late sends", "latest by ms", "connections", "sent/s")
-		t.AppendRow([]any{s.Intended, s.Sent, s.OK, s.Failed, s.TimedOut, s.LateSends, f1(s.WorstLateMS), s.Connections, f1(s.Rate)})
+		t.AppendRow([]any{s.Intended, s.Sent, s.OK, s.Failed, s.TimedOut, s.LateSends, f1(s.MaxLateMS), s.Connections, f1(s.Rate)})
 		t.Render()
 		latencyTable(w, "from the intended time (ms)", s.Latency)
 		latencyTable(w, "from the send (ms)", s.Service)
 		if s.LateSends > 0 {
 			fmt.Fprintf(w, "the generator fell behind: %d of %d went out over %s late, the latest by %.1f ms\n", s.LateSends, s.Sent,
-				load.LateAfter, s.WorstLateMS)
+				load.LateThreshold, s.MaxLateMS)
 		}
 		if sum.CutShort {
 			fmt.Fprintln(w, "cut short: these figures tell of what was seen until then")
 		}
 	}
 	if out := c.String("out"); out != "" {
-		dir, err := results.Folder(out, "load", seed, started)
+		dir, err := results.CreateDir(out, "load", seed, started)
 		if err != nil {
 			return err
 		}
-		if err := results.KeepLoad(dir, sum, rec); err != nil {
+		if err := results.WriteLoad(dir, sum, rec); err != nil {
 			return err
 		}
-		path, err := report.Keep(dir)
+		path, err := report.WriteFile(dir)
 		if err != nil {
 			return err
 		}
--- a/cmd/kitewood-lab/main.go
+++ b/cmd/kitewood-lab/main.go
@@ -24,7 +24,7 @@
 
 func main() {
 	// The soak starts this program in the sidecars' place to show that its checks can fail.
-	if mode := os.Getenv(wrong.Variable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
+	if mode := os.Getenv(wrong.ModeVariable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := wrong.Serve(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -145,9 +145,9 @@
 			if err != nil {
 				return err
 			}
-			plan := s.Lay(s.Seed)
+			plan := s.Plan(s.Seed)
 			fmt.Fprintf(c.Root().Writer, "ok: %s, %s, %d tiers, %d machines, %.1f requests/s, %d events\n", s.Name, s.Duration.D(),
-				len(s.Tiers), len(plan.Machines), plan.Rate, len(plan.Events))
+				len(s.Tiers), len(plan.Machines), plan.BaseRate, len(plan.Events))
 			return nil
 		},
 	}
@@ -164,7 +164,7 @@
 					all = append(all, err)
 					continue
 				}
-				fmt.Fprintf(c.Root().Writer, "%-18s %6s  %s\n", name, s.Duration.D(), s.About)
+				fmt.Fprintf(c.Root().Writer, "%-18s %6s  %s\n", name, s.Duration.D(), s.Description)
 			}
 			return errors.Join(all...)
 		},
--- a/cmd/kitewood-lab/main_test.go
+++ b/cmd/kitewood-lab/main_test.go
@@ -23,13 +23,13 @@
 var lab string
 
 func TestMain(m *testing.M) {
-	testkit.WithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
+	testkit.MainWithPrograms(m, func(dir string) { lab = filepath.Join(dir, "kitewood-lab") }, "kitewood", "kitewood-control", "kitewood-lab")
 }
 
 // call runs the lab and gives what it wrote.
 func call(t *testing.T, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
-	return testkit.Run(t, lab, args...)
+	return testkit.RunProgram(t, lab, args...)
 }
 
 // Each drill keeps its promise in its short form, and says so in the form that other programs read.
@@ -169,8 +169,8 @@
 	if out, err, ok = call(t, "replay", "--url", target.URL, "--speed", "2", "--out", b, trace); !ok {
 		t.Fatal(out, err)
 	}
-	first, err1 := results.Load(a)
-	second, err2 := results.Load(b)
+	first, err1 := results.ReadSummary(a)
+	second, err2 := results.ReadSummary(b)
 	if err1 != nil || err2 != nil || first.OK != second.OK || second.Seconds > first.Seconds*0.8 {
 		t.Errorf("%v %v %+v %+v", err1, err2, first, second)
 	}
@@ -215,14 +215,14 @@
 	if took := time.Since(began); took > 20*time.Second {
 		t.Errorf("it took %s to end", took)
 	}
-	sum, lerr := results.Load(dir)
-	if lerr != nil || !sum.CutShort || sum.Service.Clients == 0 || sum.Broken() > 0 {
+	sum, lerr := results.ReadSummary(dir)
+	if lerr != nil || !sum.CutShort || sum.Service.ClientRequests == 0 || sum.Violations() > 0 {
 		t.Errorf("%v %+v %s", lerr, sum, err.String())
 	}
 	if !json.Valid(out.Bytes()) {
 		t.Errorf("%s", out.String())
 	}
-	if left, err := drill.Children(dir); err != nil || len(left) > 0 {
+	if left, err := drill.SidecarProcesses(dir); err != nil || len(left) > 0 {
 		t.Errorf("left: %v %v", left, err)
 	}
 }
@@ -235,7 +235,7 @@
 		t.Fatal(err)
 	}
 	count := func() int {
-		left, err := drill.Children(dir)
+		left, err := drill.SidecarProcesses(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/kitewood-lab/pools.go
+++ b/cmd/kitewood-lab/pools.go
@@ -33,7 +33,7 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(w, "%-18s %s\n", n, s.About)
+					fmt.Fprintf(w, "%-18s %s\n", n, s.Description)
 				}
 				return nil
 			}
@@ -53,14 +53,14 @@
 				return err
 			}
 			defer release()
-			r, err := services.Play(ctx, o)
+			r, err := services.Run(ctx, o)
 			if err != nil {
 				return err
 			}
 			broken := showPools(c, r)
 			switch {
 			case !r.Clean:
-				return fmt.Errorf("pools: the process did not end cleanly: %s", r.Note)
+				return fmt.Errorf("pools: the process did not end cleanly: %s", r.Problems)
 			case broken > 0:
 				return fmt.Errorf("pools: %d broken rules", broken)
 			}
@@ -73,9 +73,9 @@
 // twice, and copies out at once.
 func showPools(c *cli.Command, r *services.Result) (broken int) {
 	for _, p := range r.Pools {
-		broken += p.Status["none"] + p.Copies
+		broken += p.Statuses["none"] + p.Concurrent
 		if p.Unsafe {
-			broken += p.Again
+			broken += p.Retried
 		}
 	}
 	w := c.Root().Writer
@@ -86,9 +86,9 @@
 	t := newTable(w, "pool", "requests", "in time", "busy", "failed", "other", "no answer", "p50 ms", "p99 ms", "longest s", "came again", "copies")
 	for _, p := range r.Pools {
 		s := p.Summary
-		other := s.Intended - s.OK - p.Status["503"] - p.Status["502"] - p.Status["none"]
-		t.AppendRow([]any{p.Name, s.Intended, fmt.Sprintf("%.4f", p.Share()), p.Status["503"], p.Status["502"], other, p.Status["none"],
-			fmt.Sprintf("%.1f", s.Latency.P50), fmt.Sprintf("%.1f", s.Latency.P99), fmt.Sprintf("%.2f", p.Longest.Seconds()), p.Again, p.Copies})
+		other := s.Intended - s.OK - p.Statuses["503"] - p.Statuses["502"] - p.Statuses["none"]
+		t.AppendRow([]any{p.Name, s.Intended, fmt.Sprintf("%.4f", p.OKShare()), p.Statuses["503"], p.Statuses["502"], other, p.Statuses["none"],
+			fmt.Sprintf("%.1f", s.Latency.P50), fmt.Sprintf("%.1f", s.Latency.P99), fmt.Sprintf("%.2f", p.MaxLatency.Seconds()), p.Retried, p.Concurrent})
 	}
 	t.Render()
 	return broken
--- a/cmd/kitewood-lab/proxies.go
+++ b/cmd/kitewood-lab/proxies.go
@@ -126,7 +126,7 @@
 			x.err = x.play(ctx, base, c.Duration("duration"), emulator.Proxies{Program: own, Control: control})
 			if x.err == nil {
 				fmt.Fprintf(c.Root().ErrWriter, "%s, %s, seed %d: service %s, p99 %.0f ms, %d broken rules\n", x.scenario, x.policy, x.seed,
-					f3(x.sum.Service.Service), x.sum.Latency.P99, x.sum.Broken())
+					f3(x.sum.Service.Service), x.sum.Latency.P99, x.sum.Violations())
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 	if base.scenario, err = findScenario(x.scenario); err != nil {
 		return err
 	}
-	base.scenario.Last(last)
+	base.scenario.SetDuration(last)
 	base.seed, base.out = x.seed, filepath.Join(base.out, fmt.Sprintf("%s-%s-seed%d", x.scenario, x.policy, x.seed))
 	if other.Policy = x.policy; x.policy != sidecars {
 		base.proxies = &other
--- a/cmd/kitewood-lab/run.go
+++ b/cmd/kitewood-lab/run.go
@@ -30,9 +30,9 @@
 	page     bool
 }
 
-func (p play) run(ctx context.Context) (dir string, sum *results.Summary, breaches []ledger.Breach, err error) {
+func (p play) run(ctx context.Context) (dir string, sum *results.Summary, breaches []ledger.Violation, err error) {
 	started := time.Now()
-	if dir, err = results.Folder(p.out, p.scenario.Name, p.seed, started); err != nil {
+	if dir, err = results.CreateDir(p.out, p.scenario.Name, p.seed, started); err != nil {
 		return
 	}
 	r, err := emulator.Run(ctx, emulator.Options{Scenario: p.scenario, Seed: p.seed, Binary: p.binary, Proxies: p.proxies, Dir: dir, Log: p.log,
@@ -40,14 +40,14 @@
 	if r == nil {
 		return dir, nil, nil, err
 	}
-	head := results.Head("run", p.scenario.Name, p.seed, started)
+	head := results.NewSummary("run", p.scenario.Name, p.seed, started)
 	head.Binary = p.binary
-	sum, breaches, kerr := results.KeepRun(dir, p.scenario, p.scenario.Rules(), head, r)
+	sum, breaches, kerr := results.WriteRun(dir, p.scenario, p.scenario.Rules(), head, r)
 	if err == nil {
 		err = kerr
 	}
 	if err == nil && p.page {
-		_, err = report.Keep(dir)
+		_, err = report.WriteFile(dir)
 	}
 	return dir, sum, breaches, err
 }
@@ -110,11 +110,11 @@
 	}
 	defer release()
 	s := p.scenario
-	s.Last(c.Duration("duration"))
+	s.SetDuration(c.Duration("duration"))
 	bar := newBar(s.Duration.D())
 	p.out, p.progress, p.page = c.String("out"), bar.run, true
 	if !asJSON {
-		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, p.seed, s.Duration.D(), s.Lay(p.seed).Rate)
+		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, p.seed, s.Duration.D(), s.Plan(p.seed).BaseRate)
 	}
 	dir, sum, breaches, err := p.run(ctx)
 	bar.end()
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if n := sum.Broken(); n > 0 {
+	if n := sum.Violations(); n > 0 {
 		return fmt.Errorf("%d broken rules in %s", n, filepath.Join(dir, results.VerdictFile))
 	}
 	return nil
--- a/cmd/kitewood-lab/show.go
+++ b/cmd/kitewood-lab/show.go
@@ -64,11 +64,11 @@
 	return t
 }
 
-func runTables(w io.Writer, s *results.Summary, breaches []ledger.Breach) {
+func runTables(w io.Writer, s *results.Summary, breaches []ledger.Violation) {
 	v := s.Service
 	t := newTable(w, "service", "share")
 	t.AppendRow(table.Row{"service, penalties off", f3(v.Service)})
-	t.AppendRow(table.Row{"whole run", f3(v.Whole)})
+	t.AppendRow(table.Row{"whole run", f3(v.WholeRun)})
 	t.AppendRow(table.Row{"worst 10 s", f3(v.WorstWindow)})
 	t.AppendRow(table.Row{"worst class", f3(v.WorstClass)})
 	var classes []string
@@ -81,17 +81,17 @@
 	}
 	t.Render()
 	t = newTable(w, "asked", "in time", "late", "refused", "failed", "no answer", "attempts/operation", "overdriven", "pushed over")
-	t.AppendRow(table.Row{v.Clients, v.InTime, v.Late, v.Refused, v.Failed, v.Unanswered, f3(v.PerCall), v.Choked, v.Fallen})
+	t.AppendRow(table.Row{v.ClientRequests, v.InTime, v.Late, v.Rejected, v.Failed, v.Unanswered, f3(v.AttemptsPerRequest), v.InstanceOverloads, v.InstanceCrashes})
 	t.Render()
 	t = newTable(w, "rule", "broken")
 	for _, name := range ledger.RuleNames {
-		t.AppendRow(table.Row{name, s.Rules[name]})
+		t.AppendRow(table.Row{name, s.RuleViolations[name]})
 	}
 	t.Render()
 	latencyTable(w, "latency from the intended time (ms)", s.Latency)
 	if p := s.Processes; p != nil {
 		t = newTable(w, "sidecars", "rest MiB", "peak MiB, first tier", "peak MiB, most", "CPU µs/operation, first tier", "all")
-		t.AppendRow(table.Row{p.Count, f1(p.RestMB), f1(p.FirstPeakMB), f1(p.PeakMB), f1(p.FirstMicros), f1(p.CPUMicros)})
+		t.AppendRow(table.Row{p.Count, f1(p.IdleMB), f1(p.FirstTierPeakMB), f1(p.PeakMB), f1(p.FirstTierCPUMicros), f1(p.CPUMicrosPerRequest)})
 		t.Render()
 	}
 	for n, b := range breaches {
@@ -131,14 +131,14 @@
 				{func(s *results.Summary) float64 { return s.Service.WorstWindow }, "%.3f"},
 				{func(s *results.Summary) float64 { return s.Latency.P50 }, "%.0f"},
 				{func(s *results.Summary) float64 { return s.Latency.P99 }, "%.0f"},
-				{func(s *results.Summary) float64 { return s.Service.PerCall }, "%.2f"},
+				{func(s *results.Summary) float64 { return s.Service.AttemptsPerRequest }, "%.2f"},
 			} {
 				mean, _ := rows.Mean(scenario, policy, f.of)
 				row = append(row, fmt.Sprintf(f.form, mean))
 			}
 			broken := ""
 			for _, name := range ledger.RuleNames {
-				if n := rows.Rules(scenario, policy)[name]; n > 0 {
+				if n := rows.Violations(scenario, policy)[name]; n > 0 {
 					broken += fmt.Sprintf("%s %d ", name, n)
 				}
 			}
@@ -151,16 +151,16 @@
 
 // chartProxies draws the services of a comparison of proxies into a file.
 func chartProxies(path string, rows *results.Table) error {
-	var bars []report.Bars
+	var bars []report.BarSeries
 	for _, policy := range rows.Policies {
-		b := report.Bars{Name: policy}
+		b := report.BarSeries{Name: policy}
 		for _, scenario := range rows.Scenarios {
 			mean, err := rows.Mean(scenario, policy, func(s *results.Summary) float64 { return s.Service.Service })
-			b.Values, b.Errors = append(b.Values, mean), append(b.Errors, err)
+			b.Values, b.StdErrs = append(b.Values, mean), append(b.StdErrs, err)
 		}
 		bars = append(bars, b)
 	}
-	svg, err := report.Groups("service, with standard errors", rows.Scenarios, bars)
+	svg, err := report.GroupedBarChart("service, with standard errors", rows.Scenarios, bars)
 	if err != nil {
 		return err
 	}
--- a/cmd/kitewood-lab/soak.go
+++ b/cmd/kitewood-lab/soak.go
@@ -30,7 +30,7 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first"},
 			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many, one after another"},
 			&cli.DurationFlag{Name: "duration", Value: 25 * time.Second, Usage: "of each"},
-			&cli.IntFlag{Name: "sidecars", Value: 12, Usage: fmt.Sprintf("processes in all tiers, %d to %d", fleet.LeastSoakers, fleet.MostSoakers)},
+			&cli.IntFlag{Name: "sidecars", Value: 12, Usage: fmt.Sprintf("processes in all tiers, %d to %d", fleet.MinSoakSidecars, fleet.MaxSoakSidecars)},
 			&cli.StringFlag{Name: "wrong", Usage: "show that an invariant can fail, with sidecars that are wrong: " + strings.Join(wrong.Modes(), ", ")},
 			&cli.DurationFlag{Name: "slack", Usage: "added to every time limit, on a machine that is busy with more (default: the protocol's 50ms)"},
 			&cli.BoolFlag{Name: "json", Usage: "print one JSON object"},
@@ -41,9 +41,9 @@
 }
 
 func soak(ctx context.Context, c *cli.Command) error {
-	o := fleet.SoakOptions{Sidecars: c.Int("sidecars"), Duration: c.Duration("duration"), Wrong: c.String("wrong"), Slack: c.Duration("slack")}
-	if o.Wrong != "" && !slices.Contains(wrong.Modes(), o.Wrong) {
-		return fmt.Errorf("--wrong: nothing is called %q, there are %s", o.Wrong, strings.Join(wrong.Modes(), ", "))
+	o := fleet.SoakOptions{Sidecars: c.Int("sidecars"), Duration: c.Duration("duration"), Defect: c.String("wrong"), Slack: c.Duration("slack")}
+	if o.Defect != "" && !slices.Contains(wrong.Modes(), o.Defect) {
+		return fmt.Errorf("--wrong: nothing is called %q, there are %s", o.Defect, strings.Join(wrong.Modes(), ", "))
 	}
 	if c.Int("seeds") < 1 {
 		return fmt.Errorf("--seeds: at least 1, not %d", c.Int("seeds"))
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	report := soakReport{Pass: true, Wrong: o.Wrong}
+	report := soakReport{Pass: true, Wrong: o.Defect}
 	defer func() {
 		if report.Pass {
 			release()
@@ -96,7 +96,7 @@
 
 // soakProgram finds the sidecar's program; a wrong sidecar is this program itself.
 func soakProgram(ctx context.Context, c *cli.Command, o *fleet.SoakOptions) (release func(), err error) {
-	if o.Wrong != "" {
+	if o.Defect != "" {
 		o.Binary, err = os.Executable()
 		return func() {}, err
 	}
@@ -106,14 +106,14 @@
 
 // tellSoak prints a seed's line, and the trace of what it broke.
 func tellSoak(w io.Writer, r *fleet.SoakResult) {
-	fmt.Fprintf(w, "seed %d: %d sidecars (%s), %d clients, %.2f served in time, %d attempts, %d faults, %d violations\n", r.Seed, r.Sidecars, r.Form,
-		r.Clients, r.Served, r.Attempts, len(r.Faults), len(r.Violations))
+	fmt.Fprintf(w, "seed %d: %d sidecars (%s), %d clients, %.2f served in time, %d attempts, %d faults, %d violations\n", r.Seed, r.Sidecars, r.ConfigFormat,
+		r.ClientRequests, r.ServedShare, r.Attempts, len(r.Faults), len(r.Violations))
 	for _, v := range r.Violations {
 		fmt.Fprintf(w, "  %s\n", v)
 	}
 	if len(r.Violations) > 0 {
 		for _, f := range r.Faults {
-			fmt.Fprintf(w, "  fault %6d ms  %s\n", f.AtMS, f.What)
+			fmt.Fprintf(w, "  fault %6d ms  %s\n", f.AtMS, f.Text)
 		}
 		fmt.Fprintf(w, "  kept in %s\n", r.Dir)
 	}
--- a/cmd/kitewood-lab/soak_test.go
+++ b/cmd/kitewood-lab/soak_test.go
@@ -18,7 +18,7 @@
 		Clients    int
 		Attempts   int
 		Faults     []any
-		Violations []ledger.Breach
+		Violations []ledger.Violation
 	}
 }
 
@@ -56,7 +56,7 @@
 // Every invariant of the soak can fail: a wrong sidecar violates it, and the soak says so with the seed and exits with 1.
 func TestSoakFindsWrongSidecars(t *testing.T) {
 	broken := map[string]bool{}
-	for _, rule := range wrong.Rules {
+	for _, rule := range wrong.RulesByMode {
 		broken[rule] = true
 	}
 	for _, rule := range ledger.RuleNames {
@@ -64,7 +64,7 @@
 			t.Errorf("no wrong sidecar breaks %s", rule)
 		}
 	}
-	for mode, rule := range wrong.Rules {
+	for mode, rule := range wrong.RulesByMode {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			out, ok := soakJSON(t, "--seed", "5", "--duration", "12s", "--sidecars", "10", "--wrong", mode)
--- a/cmd/kitewood/crossing_test.go
+++ b/cmd/kitewood/crossing_test.go
@@ -19,13 +19,13 @@
 )
 
 // launch starts a sidecar as a shell starts it, with a limit on its descriptors; 0 leaves that as it is.
-func launch(t *testing.T, config string, descriptors int) (*exec.Cmd, *testkit.Log) {
+func launch(t *testing.T, config string, descriptors int) (*exec.Cmd, *testkit.LogBuffer) {
 	t.Helper()
 	limit := ""
 	if descriptors > 0 {
 		limit = fmt.Sprintf("ulimit -n %d && ", descriptors)
 	}
-	c, log := exec.Command("sh", "-c", limit+"exec "+binary+" serve"), &testkit.Log{}
+	c, log := exec.Command("sh", "-c", limit+"exec "+binary+" serve"), &testkit.LogBuffer{}
 	c.Env, c.Stderr = append(os.Environ(), "ROUTER_CONFIG="+config), log
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -83,12 +83,12 @@
 // SIGHUP comes while the sidecar reads its configuration for the first time: it does not end the process, and the
 // discovery that the file names then counts.
 func TestSIGHUPWhileStarting(t *testing.T) {
-	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.Address(t)
+	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	list := `{"index":1,"snapshot":true,"endpoints":[]}`
-	addresses := []string{testkit.Address(t), testkit.Address(t)}
+	addresses := []string{testkit.ReserveAddress(t), testkit.ReserveAddress(t)}
 	first, next := watched(t, addresses[0], list), watched(t, addresses[1], list)
 	c, log := launch(t, path, 0)
 	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the sidecar reads
@@ -114,9 +114,9 @@
 // SIGHUP comes while the configuration is half written: the file is read again until it is whole, without another signal, and
 // once it is good its discovery is watched.
 func TestSIGHUPOverAHalfWrittenFile(t *testing.T) {
-	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.Address(t)
+	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
 	list := `{"index":1,"snapshot":true,"endpoints":[]}`
-	addresses := []string{testkit.Address(t), testkit.Address(t)}
+	addresses := []string{testkit.ReserveAddress(t), testkit.ReserveAddress(t)}
 	first, next := watched(t, addresses[0], list), watched(t, addresses[1], list)
 	write(t, path, configured(listen, addresses[0], 64, "ask"))
 	c, log := launch(t, path, 0)
@@ -124,7 +124,7 @@
 	whole := configured(listen, addresses[1], 64, "ask")
 	write(t, path, whole[:len(whole)/2])
 	c.Process.Signal(syscall.SIGHUP)
-	testkit.Until(t, "the half file is refused", func() bool { return log.Count("is not taken") > 0 })
+	testkit.WaitUntil(t, "the half file is refused", func() bool { return log.Count("is not taken") > 0 })
 	time.Sleep(300 * time.Millisecond)
 	write(t, path, whole)
 	select {
@@ -143,10 +143,10 @@
 func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
 	destination := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 	defer destination.Close()
-	path, listen, discovery := filepath.Join(t.TempDir(), "config.json"), testkit.Address(t), testkit.Address(t)
+	path, listen, discovery := filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t), testkit.ReserveAddress(t)
 	write(t, path, configured(listen, discovery, 64, "ask"))
 	_, log := launch(t, path, 64)
-	testkit.Until(t, "it is ready", func() bool { return ready(listen) })
+	testkit.WaitUntil(t, "it is ready", func() bool { return ready(listen) })
 	var over atomic.Bool
 	defer over.Store(true)
 	for range 150 {
@@ -201,13 +201,13 @@
 	var listens []string
 	began := time.Now()
 	for i := range 20 {
-		path, listen := filepath.Join(dir, fmt.Sprint(i)), testkit.Address(t)
+		path, listen := filepath.Join(dir, fmt.Sprint(i)), testkit.ReserveAddress(t)
 		write(t, path, configured(listen, ln.Addr().String(), 64, "ask"))
 		launch(t, path, 0)
 		listens = append(listens, listen)
 	}
 	for n, listen := range listens {
-		testkit.Until(t, "it is ready", func() bool { return ready(listen) })
+		testkit.WaitUntil(t, "it is ready", func() bool { return ready(listen) })
 		took := time.Since(began)
 		if n < 18 && took > 10*time.Second || took > 30*time.Second {
 			t.Fatalf("%d are ready after %v", n+1, took)
@@ -217,7 +217,7 @@
 
 // Where lists are pushed, what the sidecar beside the agent is not told by a watch that it never opened still counts.
 func TestPushedListIsWatched(t *testing.T) {
-	path, listen, discovery := filepath.Join(t.TempDir(), "config.json"), testkit.Address(t), testkit.Address(t)
+	path, listen, discovery := filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t), testkit.ReserveAddress(t)
 	write(t, path, configured(listen, discovery, 64, "push"))
 	asked := watched(t, discovery, `{"index":2,"snapshot":true,"endpoints":[]}`)
 	_, log := launch(t, path, 0)
@@ -244,11 +244,11 @@
 		}
 	}))
 	defer destination.Close()
-	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.Address(t)
-	write(t, path, strings.Replace(configured(listen, testkit.Address(t), 64, "ask", entry(destination.Listener.Addr(), "Ready")), `{"name":"pay"`,
+	path, listen := filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
+	write(t, path, strings.Replace(configured(listen, testkit.ReserveAddress(t), 64, "ask", entry(destination.Listener.Addr(), "Ready")), `{"name":"pay"`,
 		`{"name":"cut","repeat":"keyed","group":"all","windowS":5,"aimS":3,"giveUpS":3,"points":2},{"name":"pay"`, 1))
 	launch(t, path, 0)
-	testkit.Until(t, "it is ready", func() bool { return ready(listen) })
+	testkit.WaitUntil(t, "it is ready", func() bool { return ready(listen) })
 	for i, c := range []struct{ class, key, want string }{{"cut", "a key=1", "400"}, {"cut", "", "400"}, {"pay", "k", "400"}, {"cut", "k-1/+=", "200"}} {
 		conn, err := net.Dial("tcp", listen)
 		if err != nil {
--- a/cmd/kitewood/crowdedlist_test.go
+++ b/cmd/kitewood/crowdedlist_test.go
@@ -196,8 +196,8 @@
 		mostLate = 4 // one run of a thousand has more if 0.05 of them are late
 		latest   = 13 * time.Second
 	)
-	c := &crowd{began: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: 2 * time.Second,
-		WorksOffFailed: true}, nil)}
+	c := &crowd{began: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{CallsPerSecond: capacity, Timeout: 2 * time.Second,
+		ServeTimedOut: true}, nil)}
 	var fleet sync.WaitGroup
 	var late atomic.Int32
 	for range sidecars {
--- a/cmd/kitewood/main.go
+++ b/cmd/kitewood/main.go
@@ -58,7 +58,7 @@
 						return err
 					}
 					fmt.Fprintf(c.Root().Writer, "ok: %s on %s, tier %d, %d classes, %d destinations known\n", config.Name,
-						config.Listen, config.Module.Tier, len(config.Classes), len(config.Known.Destinations))
+						config.Listen, config.Balancer.Tier, len(config.Classes), len(config.CachedEndpoints.Endpoints))
 					return nil
 				},
 			},
--- a/cmd/kitewood/main_test.go
+++ b/cmd/kitewood/main_test.go
@@ -24,7 +24,7 @@
 var binary string
 
 func TestMain(m *testing.M) {
-	testkit.WithPrograms(m, func(dir string) { binary = filepath.Join(dir, "kitewood") }, "kitewood")
+	testkit.MainWithPrograms(m, func(dir string) { binary = filepath.Join(dir, "kitewood") }, "kitewood")
 }
 
 // platform is what stands around one sidecar: a destination that answers by its path, and discovery.
@@ -48,7 +48,7 @@
 		news: make(chan string), ended: make(chan error, 1)}
 	destination := httptest.NewServer(http.HandlerFunc(p.destination))
 	discovery := httptest.NewServer(http.HandlerFunc(p.watch))
-	p.address = testkit.Address(t)
+	p.address = testkit.ReserveAddress(t)
 	p.config = filepath.Join(t.TempDir(), "config.json")
 	p.text = configured(p.address, discovery.Listener.Addr().String(), 1024, "ask", entry(destination.Listener.Addr(), "Ready"))
 	p.configure(p.text)
--- a/cmd/kitewood/pools_test.go
+++ b/cmd/kitewood/pools_test.go
@@ -19,7 +19,7 @@
 func TestPoolsProgram(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "here "+r.URL.Path) }))
 	defer server.Close()
-	address, dir := testkit.Address(t), t.TempDir()
+	address, dir := testkit.ReserveAddress(t), t.TempDir()
 	path := filepath.Join(dir, "c.yaml")
 	write := func(name, text string) {
 		t.Helper()
@@ -32,12 +32,12 @@
 	write("a.yaml", fmt.Sprintf("destinations: [{name: x, address: %q}]\n", server.Listener.Addr()))
 	write("c.yaml", strings.Replace(text, "pool: a}]", "pool: z}]", 1))
 	for _, command := range []string{"serve", "check-config", "pools"} {
-		if _, bad, ok := testkit.Run(t, binary, command, "--config", path); ok || strings.Count(bad, "\n") != 1 || !strings.Contains(bad, `c.yaml:6:27: routes[0].pool: there is no pool "z"`) {
+		if _, bad, ok := testkit.RunProgram(t, binary, command, "--config", path); ok || strings.Count(bad, "\n") != 1 || !strings.Contains(bad, `c.yaml:6:27: routes[0].pool: there is no pool "z"`) {
 			t.Errorf("%s: %v, %q", command, ok, bad)
 		}
 	}
 	write("c.yaml", text)
-	if out, bad, ok := testkit.Run(t, binary, "check-config", "--config", path); !ok || !strings.Contains(out, "attempts: 3") {
+	if out, bad, ok := testkit.RunProgram(t, binary, "check-config", "--config", path); !ok || !strings.Contains(out, "attempts: 3") {
 		t.Errorf("%v, %q, %q", ok, out, bad)
 	}
 	cmd := exec.Command(binary, "serve", "--config", path)
@@ -59,17 +59,17 @@
 		body, _ := io.ReadAll(r.Body)
 		return r.StatusCode, string(body)
 	}
-	testkit.Until(t, "it serves", func() bool { status, _ := get("/health/ready"); return status == 200 })
+	testkit.WaitUntil(t, "it serves", func() bool { status, _ := get("/health/ready"); return status == 200 })
 	if status, body := get("/a/1"); status != 200 || body != "here /a/1" {
 		t.Errorf("%d %q", status, body)
 	}
 	if status, _ := get("/b"); status != 404 {
 		t.Errorf("a path without a route: %d", status)
 	}
-	if out, bad, ok := testkit.Run(t, binary, "pools", "--config", path); !ok || !strings.Contains(out, "serving") || !strings.Contains(out, "ready") {
+	if out, bad, ok := testkit.RunProgram(t, binary, "pools", "--config", path); !ok || !strings.Contains(out, "serving") || !strings.Contains(out, "ready") {
 		t.Errorf("%v, %q, %q", ok, out, bad)
 	}
-	if out, bad, ok := testkit.Run(t, binary, "pools", "--json", "--config", path); !ok || !strings.Contains(out, `"state": "ready"`) {
+	if out, bad, ok := testkit.RunProgram(t, binary, "pools", "--json", "--config", path); !ok || !strings.Contains(out, `"state": "ready"`) {
 		t.Errorf("%v, %q, %q", ok, out, bad)
 	}
 	write("c.yaml", "name: [")
@@ -78,10 +78,10 @@
 		text, _ := os.ReadFile(log.Name())
 		return strings.Contains(string(text), what)
 	}
-	testkit.Until(t, "a bad file is named", func() bool { return said("the old one stays") })
+	testkit.WaitUntil(t, "a bad file is named", func() bool { return said("the old one stays") })
 	write("c.yaml", strings.Replace(text, "path: /a", "path: /b", 1))
 	cmd.Process.Signal(syscall.SIGHUP)
-	testkit.Until(t, "the new route holds", func() bool { status, _ := get("/b"); return status == 200 })
+	testkit.WaitUntil(t, "the new route holds", func() bool { status, _ := get("/b"); return status == 200 })
 	if status, _ := get("/a/1"); status != 404 {
 		t.Errorf("the old route: %d", status)
 	}
--- a/cmd/kitewood/stalelist_test.go
+++ b/cmd/kitewood/stalelist_test.go
@@ -149,13 +149,13 @@
 		s.beginAfter(time.Hour) // nothing of the case happens before the sidecar has its list
 	}
 	s.first = s.discovery(first)
-	s.config, s.listen = filepath.Join(t.TempDir(), "config.json"), testkit.Address(t)
+	s.config, s.listen = filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
 	write(t, s.config, configured(s.listen, s.first, 256, s.mode, s.known()...))
 	c, log := launch(t, s.config, 0)
 	s.signal = func(sig syscall.Signal) { c.Process.Signal(sig) }
-	testkit.Until(t, "it is ready", func() bool { return ready(s.listen) })
+	testkit.WaitUntil(t, "it is ready", func() bool { return ready(s.listen) })
 	if s.ready {
-		testkit.Until(t, "it has a list", func() bool { return log.Count("kind=full") > 0 })
+		testkit.WaitUntil(t, "it has a list", func() bool { return log.Count("kind=full") > 0 })
 	}
 	s.begin()
 	var over atomic.Bool
--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -23,19 +23,19 @@
 const atOnce = 16
 
 // Answer sends what a word names. It ends with the context, and when sending fails.
-type Answer func(ctx context.Context, send func(any) error) error
+type Handler func(ctx context.Context, send func(any) error) error
 
 // State is the word of what Ask gets where it names none.
-const State = "state"
+const StateCommand = "state"
 
 // Once is an Answer of one value.
-func Once(value func() any) Answer {
+func SingleValue(value func() any) Handler {
 	return func(_ context.Context, send func(any) error) error { return send(value()) }
 }
 
 // Serve answers until the context ends. Only the owner of the process may connect. A socket that an earlier process has left is
 // replaced, one that somebody listens on is an error.
-func Serve(ctx context.Context, path string, log *slog.Logger, answers map[string]Answer) error {
+func Serve(ctx context.Context, path string, log *slog.Logger, answers map[string]Handler) error {
 	if c, err := net.DialTimeout("unix", path, timeout); err == nil {
 		c.Close()
 		return errors.New(path + ": another process listens there")
@@ -79,7 +79,7 @@
 }
 
 // answer answers one caller.
-func answer(ctx context.Context, c net.Conn, answers map[string]Answer) {
+func answer(ctx context.Context, c net.Conn, answers map[string]Handler) {
 	defer c.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -108,7 +108,7 @@
 }
 
 // Follow asks for a word and hands each value that comes to take, until that fails, the context ends or there are no more.
-func Follow(ctx context.Context, path, word string, take func(json.RawMessage) error) error {
+func Stream(ctx context.Context, path, word string, take func(json.RawMessage) error) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
 		return err
@@ -137,10 +137,10 @@
 var errEnough = errors.New("enough")
 
 // Ask reads the one value that a word names.
-func Ask(path, word string, into any) error {
+func Query(path, word string, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*timeout)
 	defer cancel()
-	err := Follow(ctx, path, word, func(text json.RawMessage) error {
+	err := Stream(ctx, path, word, func(text json.RawMessage) error {
 		if err := json.Unmarshal(text, into); err != nil {
 			return err
 		}
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -19,7 +19,7 @@
 func TestWords(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	var following atomic.Int32
-	answers := map[string]Answer{State: Once(func() any { return 7 }), "count": func(ctx context.Context, send func(any) error) error {
+	answers := map[string]Handler{StateCommand: SingleValue(func() any { return 7 }), "count": func(ctx context.Context, send func(any) error) error {
 		following.Add(1)
 		defer following.Add(-1)
 		for n := 0; ; n++ {
@@ -40,15 +40,15 @@
 		t.Error("a second process listens")
 	}
 	var state int
-	if err := Ask(path, State, &state); err != nil || state != 7 {
+	if err := Query(path, StateCommand, &state); err != nil || state != 7 {
 		t.Errorf("%d, %v", state, err)
 	}
-	if err := Ask(path, "other", &state); err == nil || !strings.Contains(err.Error(), `"other"`) {
+	if err := Query(path, "other", &state); err == nil || !strings.Contains(err.Error(), `"other"`) {
 		t.Errorf("another word: %v", err)
 	}
 	enough := errors.New("enough")
 	var got []string
-	if err := Follow(t.Context(), path, "count", func(text json.RawMessage) error {
+	if err := Stream(t.Context(), path, "count", func(text json.RawMessage) error {
 		if got = append(got, string(text)); len(got) == 3 {
 			return enough
 		}
@@ -56,7 +56,7 @@
 	}); err != enough || strings.Join(got, "") != "012" {
 		t.Errorf("%v, %v", got, err)
 	}
-	testkit.Until(t, "its end is seen", func() bool { return following.Load() == 0 })
+	testkit.WaitUntil(t, "its end is seen", func() bool { return following.Load() == 0 })
 	for range 3 * atOnce {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -64,5 +64,5 @@
 		}
 		defer c.Close()
 	}
-	testkit.Until(t, "silent ones have had their time", func() bool { return Ask(path, State, &state) == nil })
+	testkit.WaitUntil(t, "silent ones have had their time", func() bool { return Query(path, StateCommand, &state) == nil })
 }
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWord(t *testing.T) {
-	w := Word{Left: 1200 * time.Millisecond, Repeats: 2, Worth: 1.5, Token: "x1", Via: []string{"a", "b"}}
+	w := Header{TimeLeft: 1200 * time.Millisecond, Retries: 2, Utility: 1.5, Token: "x1", Via: []string{"a", "b"}}
 	if got, err := Parse(w.String() + ";later=1"); err != nil || got.String() != w.String() {
 		t.Errorf("%v %v", got, err)
 	}
@@ -22,16 +22,16 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if got, err := Parse(strings.Replace(good, "1200", "99999999999999", 1)); err != nil || got.Left != maxLeft {
-		t.Errorf("an absurd time: %v %v", got.Left, err)
+	if got, err := Parse(strings.Replace(good, "1200", "99999999999999", 1)); err != nil || got.TimeLeft != maxLeft {
+		t.Errorf("an absurd time: %v %v", got.TimeLeft, err)
 	}
 }
 
 // A service that is called by itself, and a chain that is too long, are refused, and told once for each route.
 func TestLoops(t *testing.T) {
-	b := New(Limits{Service: "c", Hops: 3, Repeats: 4}, 1)
+	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
 	word := func(via ...string) string {
-		return Word{Left: time.Second, Token: "t", Via: via}.String()
+		return Header{TimeLeft: time.Second, Token: "t", Via: via}.String()
 	}
 	for _, c := range []struct {
 		text  string
@@ -51,14 +51,14 @@
 
 // The time is the shorter of the two, and counts down with what is sent.
 func TestTime(t *testing.T) {
-	b := New(Limits{Service: "c", Hops: 3, Repeats: 4}, 1)
-	v, _, _, _ := b.Enter(time.Second, Word{Left: 300 * time.Millisecond, Worth: 3, Token: "t", Via: []string{"a"}}.String(), 9*time.Second, 1)
-	if v.Deadline != 1300*time.Millisecond || v.Worth != 3 {
+	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
+	v, _, _, _ := b.Enter(time.Second, Header{TimeLeft: 300 * time.Millisecond, Utility: 3, Token: "t", Via: []string{"a"}}.String(), 9*time.Second, 1)
+	if v.Deadline != 1300*time.Millisecond || v.Utility != 3 {
 		t.Errorf("%+v", v)
 	}
-	text, _ := v.Send(1100 * time.Millisecond)
+	text, _ := v.NextAttempt(1100 * time.Millisecond)
 	w, err := Parse(text)
-	if err != nil || w.Left != 200*time.Millisecond || w.Worth != 3 || strings.Join(w.Via, " ") != "a c" {
+	if err != nil || w.TimeLeft != 200*time.Millisecond || w.Utility != 3 || strings.Join(w.Via, " ") != "a c" {
 		t.Errorf("%+v %v", w, err)
 	}
 }
@@ -71,15 +71,15 @@
 		calls := rapid.SliceOfN(rapid.IntRange(1, 3), 1, 4).Draw(t, "calls") // of a request at each tier
 		tiers := []string{"a", "b", "c", "d"}[:len(calls)]
 		made, first := 0, 0
-		var visit func(tier int, books []*Book, text string)
+		var visit func(tier int, books []*Tracker, text string)
 		// Each attempt has the sidecars of one instance in each tier below to itself, as beside an instance.
-		visit = func(tier int, books []*Book, text string) {
+		visit = func(tier int, books []*Tracker, text string) {
 			v, no, _, err := books[tier].Enter(0, text, time.Minute, 1)
 			if err != nil || no != nil {
 				t.Fatalf("%v %v", err, no)
 			}
 			for n := 0; ; n++ {
-				word, ok := v.Send(0)
+				word, ok := v.NextAttempt(0)
 				if !ok {
 					if n == 0 {
 						t.Fatal("a first attempt is kept back")
@@ -92,9 +92,9 @@
 					made++
 				}
 				if tier+1 < len(tiers) {
-					below := []*Book{}
+					below := []*Tracker{}
 					for i, name := range tiers {
-						below = append(below, New(Limits{Service: name, Hops: 9, Repeats: repeats}, uint64(made*100+first*10+i)))
+						below = append(below, New(Limits{Service: name, MaxHops: 9, MaxRetries: repeats}, uint64(made*100+first*10+i)))
 					}
 					for range calls[tier] {
 						visit(tier+1, below, word)
@@ -104,9 +104,9 @@
 					break
 				}
 			}
-			v.End()
+			v.Release()
 		}
-		visit(0, []*Book{New(Limits{Service: "a", Hops: 9, Repeats: repeats}, 7)}, "")
+		visit(0, []*Tracker{New(Limits{Service: "a", MaxHops: 9, MaxRetries: repeats}, 7)}, "")
 		if made > repeats {
 			t.Fatalf("%d repeats, %d are allowed", made, repeats)
 		}
@@ -115,9 +115,9 @@
 
 // Tokens are forgotten when their time is over, and those beyond the bound have no repeats.
 func TestMemory(t *testing.T) {
-	b := New(Limits{Service: "c", Hops: 3, Repeats: 4}, 1)
-	enter := func(now time.Duration, n int) *Visit {
-		w := Word{Left: time.Second, Repeats: 4, Token: string(rune('0'+n%10)) + strings.Repeat("x", n/10), Via: []string{"a"}}
+	b := New(Limits{Service: "c", MaxHops: 3, MaxRetries: 4}, 1)
+	enter := func(now time.Duration, n int) *Entry {
+		w := Header{TimeLeft: time.Second, Retries: 4, Token: string(rune('0'+n%10)) + strings.Repeat("x", n/10), Via: []string{"a"}}
 		v, _, _, err := b.Enter(now, w.String(), now+time.Second, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -126,10 +126,10 @@
 	}
 	for n := range mostPots + 10 {
 		v := enter(0, n)
-		if beyond := n >= mostPots; beyond != (v.Repeats == 0) {
-			t.Fatalf("%d: %d repeats", n, v.Repeats)
+		if beyond := n >= mostPots; beyond != (v.Retries == 0) {
+			t.Fatalf("%d: %d repeats", n, v.Retries)
 		}
-		v.End()
+		v.Release()
 	}
 	if enter(2*time.Second, 5); len(b.pots) != 1 {
 		t.Errorf("%d are kept", len(b.pots))
--- a/internal/chain/word.go
+++ b/internal/chain/word.go
@@ -14,12 +14,12 @@
 )
 
 // Word is what travels with an operation, as key=value pairs between semicolons: left=1200;repeats=2;worth=3;token=1f;via=a,b.
-type Word struct {
-	Left    time.Duration // until nobody waits for the answer, from when the word was written
-	Repeats int           // that all tiers below may make together
-	Worth   float64       // of the answer against others; 0 for not known
-	Token   string        // names the attempt that it was written for: all calls that are made for it share its repeats
-	Via     []string      // the services that the operation has passed, the first one first
+type Header struct {
+	TimeLeft time.Duration // until nobody waits for the answer, from when the word was written
+	Retries  int           // that all tiers below may make together
+	Utility  float64       // of the answer against others; 0 for not known
+	Token    string        // names the attempt that it was written for: all calls that are made for it share its repeats
+	Via      []string      // the services that the operation has passed, the first one first
 }
 
 // Bounds of what is taken for a word at all.
@@ -31,9 +31,9 @@
 )
 
 // String is the word's text.
-func (w Word) String() string {
-	return fmt.Sprintf("left=%d;repeats=%d;worth=%s;token=%s;via=%s", max(w.Left.Milliseconds(), 0), w.Repeats,
-		strconv.FormatFloat(w.Worth, 'g', -1, 64), w.Token, strings.Join(w.Via, ","))
+func (w Header) String() string {
+	return fmt.Sprintf("left=%d;repeats=%d;worth=%s;token=%s;via=%s", max(w.TimeLeft.Milliseconds(), 0), w.Retries,
+		strconv.FormatFloat(w.Utility, 'g', -1, 64), w.Token, strings.Join(w.Via, ","))
 }
 
 // errWord says that a text is no word.
@@ -41,28 +41,28 @@
 
 // Parse reads a word. Keys that it does not know are passed over, as a newer version may write them; those that it knows
 // are all needed, once each.
-func Parse(text string) (w Word, err error) {
+func Parse(text string) (w Header, err error) {
 	if len(text) > maxText {
-		return Word{}, fmt.Errorf("%w: over %d bytes", errWord, maxText)
+		return Header{}, fmt.Errorf("%w: over %d bytes", errWord, maxText)
 	}
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ";") {
 		key, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if seen[key] {
-			return Word{}, fmt.Errorf("%w: %q stands twice", errWord, key)
+			return Header{}, fmt.Errorf("%w: %q stands twice", errWord, key)
 		}
 		ok := true
 		switch key {
 		case "left":
 			var ms uint64
 			ms, err = strconv.ParseUint(value, 10, 53)
-			w.Left = min(time.Duration(min(ms, uint64(maxLeft/time.Millisecond)))*time.Millisecond, maxLeft)
+			w.TimeLeft = min(time.Duration(min(ms, uint64(maxLeft/time.Millisecond)))*time.Millisecond, maxLeft)
 		case "repeats":
-			w.Repeats, err = strconv.Atoi(value)
-			ok = w.Repeats >= 0 && w.Repeats <= maxRepeats
+			w.Retries, err = strconv.Atoi(value)
+			ok = w.Retries >= 0 && w.Retries <= maxRepeats
 		case "worth":
-			w.Worth, err = strconv.ParseFloat(value, 64)
-			ok = w.Worth >= 0 && w.Worth <= 1e9
+			w.Utility, err = strconv.ParseFloat(value, 64)
+			ok = w.Utility >= 0 && w.Utility <= 1e9
 		case "token":
 			w.Token, ok = value, value != ""
 		case "via":
@@ -70,13 +70,13 @@
 			ok = len(w.Via) <= maxVia && !slices.Contains(w.Via, "")
 		}
 		if err != nil || !ok {
-			return Word{}, fmt.Errorf("%w: %s=%q", errWord, key, value)
+			return Header{}, fmt.Errorf("%w: %s=%q", errWord, key, value)
 		}
 		seen[key] = true
 	}
 	for _, key := range []string{"left", "repeats", "worth", "token", "via"} {
 		if !seen[key] {
-			return Word{}, fmt.Errorf("%w: no %s", errWord, key)
+			return Header{}, fmt.Errorf("%w: no %s", errWord, key)
 		}
 	}
 	return w, nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -152,15 +152,15 @@
 	if p.RetryAfter < 0 {
 		bad(at+"retry_after", "is negative")
 	}
-	if _, known := vias[p.Reports.Via]; !known {
-		bad(at+"reports.via", "answers, probes, none or, for kitewood-control, orca, not %q", p.Reports.Via)
+	if _, known := vias[p.Reports.Source]; !known {
+		bad(at+"reports.via", "answers, probes, none or, for kitewood-control, orca, not %q", p.Reports.Source)
 	}
 	for i, name := range p.Reports.Fields {
 		if _, known := fields[name]; !known {
 			bad(fmt.Sprintf("%sreports.fields[%d]", at, i), "unknown field %q", name)
 		}
 	}
-	if (p.Reports.Via != "none") != (len(p.Reports.Fields) > 0) {
+	if (p.Reports.Source != "none") != (len(p.Reports.Fields) > 0) {
 		bad(at+"reports.fields", "reports need fields, and where there are none there are no fields")
 	}
 	if c := p.Cold; !(c.Share > 0 && c.Share <= 1) || c.Time < 0 || !(c.Multiple >= 1) || c.Window <= 0 {
@@ -173,7 +173,7 @@
 
 // fieldName tells whether a text can be the name of a header field that this program does not write itself.
 func fieldName(s string) bool {
-	return s != "" && !strings.ContainsAny(s, " \t:,;=\r\n") && !slices.Contains(protocol.OwnFields(), textproto.CanonicalMIMEHeaderKey(s))
+	return s != "" && !strings.ContainsAny(s, " \t:,;=\r\n") && !slices.Contains(protocol.ReservedFields(), textproto.CanonicalMIMEHeaderKey(s))
 }
 
 func (f *File) checkRoute(r *Route, at string, bad bad) {
@@ -181,7 +181,7 @@
 	if i < 0 {
 		bad(at+"pool", "there is no pool %q", r.Pool)
 	} else {
-		for key, class := range map[string]string{"class": r.Class, "as": r.As} {
+		for key, class := range map[string]string{"class": r.Class, "as": r.DefaultClass} {
 			if class != "" && f.Pools[i].class(class) < 0 {
 				bad(at+key, "the pool %q has no class %q", r.Pool, class)
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,15 +42,15 @@
 		a.Shares.Operations.Guaranteed != 20 || b.Shares.Operations.Guaranteed != (f.Limits.Operations-20)/2 || b.Attempts != 3 {
 		t.Errorf("%+v", f)
 	}
-	m := a.Module(f.SeedOf("portail"))
-	if m.Zone != 1 || m.Classes[1].Effect != balance.Keyed || m.Classes[1].Window != 5*time.Second || !m.Ask || m.Report.Fields[1] != balance.Inflight {
+	m := a.BalancerSettings(f.SeedOf("portail"))
+	if m.Zone != 1 || m.Classes[1].Effect != balance.Keyed || m.Classes[1].DedupWindow != 5*time.Second || !m.PollDiscovery || m.Report.Fields[1] != balance.Inflight {
 		t.Errorf("%+v", m)
 	}
 	if f.SeedOf("portail") == f.SeedOf("partner") {
 		t.Error("two pools draw the same")
 	}
 	for i := range f.Pools {
-		if _, err := routing.New(f.Pools[i].Module(1), routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
+		if _, err := routing.New(f.Pools[i].BalancerSettings(1), routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 			t.Errorf("the module does not take pool %d: %v", i, err)
 		}
 	}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wrong := tree.Wrong()
+	wrong := tree.NewProblemList()
 	f.Complete(path, wrong.Add)
 	for i := range f.Pools {
 		switch m := f.Pools[i].Members; {
@@ -28,7 +28,7 @@
 		case m.Discovery != "" && m.File != "":
 			wrong.Add(fmt.Sprintf("pools[%d].members.file", i), "discovery is given, too: one of them is enough")
 		}
-		if r := f.Pools[i].Reports; r.Via == "orca" || r.Every != 0 {
+		if r := f.Pools[i].Reports; r.Source == "orca" || r.Interval != 0 {
 			wrong.Add(fmt.Sprintf("pools[%d].reports", i), "via: orca and every are kitewood-control's: a sidecar reads its own answers")
 		}
 	}
@@ -79,7 +79,7 @@
 	yamlfile.Default(&p.Sidecars.Of, 1)
 	yamlfile.Default(&p.Attempts, 3)
 	yamlfile.Default(&p.RetryAfter, yamlfile.Milliseconds(2000))
-	yamlfile.Default(&p.Reports.Via, "none")
+	yamlfile.Default(&p.Reports.Source, "none")
 	yamlfile.Default(&p.Cold.Share, 0.2)
 	yamlfile.Default(&p.Cold.Time, yamlfile.Milliseconds(20_000))
 	yamlfile.Default(&p.Cold.Multiple, 2.5)
@@ -96,10 +96,10 @@
 }
 
 // Parts are the pools' shares of a limit, by name.
-func (w *Whole) Parts(f *File) map[string]share.Part {
-	out := make(map[string]share.Part, len(f.Pools))
+func (w *Whole) Parts(f *File) map[string]share.Share {
+	out := make(map[string]share.Share, len(f.Pools))
 	for i := range f.Pools {
-		out[f.Pools[i].Name] = share.Part(*w.Of(&f.Pools[i]))
+		out[f.Pools[i].Name] = share.Share(*w.Of(&f.Pools[i]))
 	}
 	return out
 }
@@ -128,8 +128,8 @@
 		for i := range f.Pools {
 			if s := w.Of(&f.Pools[i]); s.Guaranteed == 0 {
 				s.Guaranteed = max(1, left/2/open)
-				if s.Most > 0 {
-					s.Guaranteed = min(s.Guaranteed, s.Most)
+				if s.Max > 0 {
+					s.Guaranteed = min(s.Guaranteed, s.Max)
 				}
 			}
 		}
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -16,7 +16,7 @@
 // The words of the file and what they stand for.
 var (
 	effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	vias    = map[string]balance.Via{"none": balance.NoReports, "answers": balance.OnAnswers, "orca": balance.OnAnswers, "probes": balance.OnProbes}
+	vias    = map[string]balance.ReportSource{"none": balance.NoReports, "answers": balance.OnResponses, "orca": balance.OnResponses, "probes": balance.OnProbes}
 	fields  = map[string]balance.Field{"util": balance.Util, "inflight": balance.Inflight, "queue": balance.Queue,
 		"latency_ms": balance.LatencyMS, "qps": balance.QPS, "eps": balance.EPS}
 	// methods are those whose answers are read like those of GET: the answer to HEAD has a length and no body.
@@ -27,7 +27,7 @@
 
 func (f *File) budget() (front, destinations int) {
 	b := f.Budget()
-	return b.Front, b.Destinations
+	return b.ClientConns, b.UpstreamConns
 }
 
 // Budget divides the descriptors of the process.
@@ -51,18 +51,18 @@
 }
 
 // Module is the decision module's settings for a pool. News of destinations has to be asked for where discovery gives it.
-func (p *Pool) Module(seed uint64) balance.Settings {
+func (p *Pool) BalancerSettings(seed uint64) balance.Settings {
 	s := balance.Settings{
-		Seed: seed, Me: p.Sidecars.Me, Balancers: p.Sidecars.Of, Zone: max(slices.Index(p.Zones, p.Zone), 0),
-		Goal:   balance.Goal{Whole: 1},
-		Prices: balance.Prices{Waste: 0.02, LateFail: 0.03, Probe: 0.001},
-		Report: balance.Report{Via: vias[p.Reports.Via]},
+		Seed: seed, Index: p.Sidecars.Me, Balancers: p.Sidecars.Of, Zone: max(slices.Index(p.Zones, p.Zone), 0),
+		Objective: balance.Objective{Overall: 1},
+		Penalties: balance.Penalties{Waste: 0.02, LateFailure: 0.03, Probe: 0.001},
+		Report:    balance.Report{Source: vias[p.Reports.Source]},
 		Limits: balance.Limits{Probes: p.Probes, Cancel: true, RetryAfter: p.RetryAfter > 0, MaxAttempts: p.Attempts,
 			MaxRetryAfter: p.RetryAfter.D(), RetryShare: p.Retries.Share, RetryBurst: p.Retries.Burst},
-		Rules: balance.Rules{DrainGrace: 500 * time.Millisecond, AskWithin: 10 * time.Second, ColdShare: p.Cold.Share, ColdTime: p.Cold.Time.D(),
-			FallMultiple: p.Cold.Multiple, FallTime: p.Cold.Window.D()},
-		Ask:           p.Members.Discovery != "",
-		UnitsMeanSize: true,
+		Rules: balance.Rules{DrainGrace: 500 * time.Millisecond, DiscoveryInterval: 10 * time.Second, SlowStartShare: p.Cold.Share, SlowStartTime: p.Cold.Time.D(),
+			OverloadMultiple: p.Cold.Multiple, OverloadWindow: p.Cold.Window.D()},
+		PollDiscovery:    p.Members.Discovery != "",
+		UnitsAreCapacity: true,
 	}
 	if p.Inner {
 		s.Tier = 1
@@ -71,8 +71,8 @@
 		s.Report.Fields = append(s.Report.Fields, fields[name])
 	}
 	for _, c := range p.Classes {
-		s.Classes = append(s.Classes, balance.Class{Aim: c.Aim.D(), Deadline: c.Deadline.D(), Worth: c.Worth,
-			LateWorth: c.LateWorth, Effect: effects[c.Effect], Window: c.Window.D()})
+		s.Classes = append(s.Classes, balance.Class{LatencyTarget: c.Aim.D(), Deadline: c.Deadline.D(), Utility: c.Worth,
+			LateUtility: c.LateWorth, Effect: effects[c.Effect], DedupWindow: c.Window.D()})
 	}
 	return s
 }
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -150,7 +150,7 @@
 	// HoldFor is how long what such a list leaves out stays, 10s if left out.
 	HoldFor Duration `yaml:"hold_for,omitempty"`
 	// FlapMost is the number of returns within a minute from which on a destination is held back, 4 if left out.
-	FlapMost int `yaml:"flap_most,omitempty"`
+	FlapMax int `yaml:"flap_most,omitempty"`
 	// FlapHold is how long it is held back first, 5s if left out; it doubles with each return, up to a minute.
 	FlapHold Duration `yaml:"flap_hold,omitempty"`
 }
@@ -186,9 +186,9 @@
 // Reports of load.
 type Reports struct {
 	// Via is answers, probes or none, none if left out. For kitewood-control it may be orca: it asks destinations out of band.
-	Via string `yaml:"via,omitempty"`
+	Source string `yaml:"via,omitempty"`
 	// Every is how often kitewood-control asks destinations that it asks itself, 1s if left out.
-	Every Duration `yaml:"every,omitempty"`
+	Interval Duration `yaml:"every,omitempty"`
 	// Fields of a report: util, inflight, queue, qps, latency_ms, eps.
 	Fields []string `yaml:"fields,omitempty"`
 }
@@ -230,7 +230,7 @@
 	// Guaranteed units, which the pool gets back with the next that another gives back.
 	Guaranteed int `yaml:"guaranteed,omitempty"`
 	// Most units, borrowed ones included; left out, all that are idle.
-	Most int `yaml:"most,omitempty"`
+	Max int `yaml:"most,omitempty"`
 }
 
 // Route leads requests to a pool. All conditions that are given have to fit.
@@ -248,5 +248,5 @@
 	// Pool that the request goes to.
 	Pool string `yaml:"pool"`
 	// As is the class of requests that state none.
-	As string `yaml:"as,omitempty"`
+	DefaultClass string `yaml:"as,omitempty"`
 }
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -74,11 +74,11 @@
 		out.Reports = append(out.Reports, ReportStatus{proxy, ages[proxy].Milliseconds()})
 	}
 	for _, p := range proxies {
-		x := ProxyStatus{Node: p.Node, Peer: p.Peer, Delta: p.Delta, SinceMS: p.Since.Milliseconds(), Unknown: p.Unknown,
-			DrainedMS: ms(p.Drained), OwesMS: ms(p.Owes)}
+		x := ProxyStatus{Node: p.Node, Peer: p.Peer, Delta: p.Delta, SinceMS: p.ConnectedFor.Milliseconds(), Unknown: p.UnknownTypes,
+			DrainedMS: ms(p.LastDrainAck), OwesMS: ms(p.DrainAckPending)}
 		for _, t := range p.Types {
-			x.Types = append(x.Types, TypeStatus{Type: t.TypeURL, Names: t.Names, Sent: t.Sent, Acked: t.Acked,
-				WaitingMS: t.Waiting.Milliseconds(), Refused: t.Refused})
+			x.Types = append(x.Types, TypeStatus{Type: t.TypeURL, Names: t.Names, Sent: t.SentVersion, Acked: t.AckedVersion,
+				WaitingMS: t.AckPending.Milliseconds(), Refused: t.NackReason})
 		}
 		out.Proxies = append(out.Proxies, x)
 	}
@@ -91,15 +91,15 @@
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func admin(ctx context.Context, path string, s *Service, log *slog.Logger) error {
-	return adminsocket.Serve(ctx, path, log, map[string]adminsocket.Answer{
-		adminsocket.State: adminsocket.Once(func() any { return s.Status() }),
-		"members":         adminsocket.Once(func() any { return s.Members() }),
-		"members follow":  s.followMembers,
+	return adminsocket.Serve(ctx, path, log, map[string]adminsocket.Handler{
+		adminsocket.StateCommand: adminsocket.SingleValue(func() any { return s.Status() }),
+		"members":                adminsocket.SingleValue(func() any { return s.Members() }),
+		"members follow":         s.followMembers,
 	})
 }
 
 // Ask reads the Status of a process from its admin socket.
 func Ask(path string) (Status, error) {
 	var out Status
-	return out, adminsocket.Ask(path, adminsocket.State, &out)
+	return out, adminsocket.Query(path, adminsocket.StateCommand, &out)
 }
--- a/internal/control/adminmembers.go
+++ b/internal/control/adminmembers.go
@@ -52,7 +52,7 @@
 				there := map[string]bool{}
 				for _, e := range entries {
 					there[e.Name] = true
-					if state := e.State + e.Address + e.Held; shown[e.Name] != state {
+					if state := e.State + e.Address + e.OverrideReason; shown[e.Name] != state {
 						shown[e.Name] = state
 						select {
 						case changes <- MemberChange{name, e}:
@@ -83,14 +83,14 @@
 }
 
 // AskMembers reads what a process knows of its pools' destinations from its admin socket.
-func AskMembers(path string) ([]MembersStatus, error) {
+func QueryMembers(path string) ([]MembersStatus, error) {
 	var out []MembersStatus
-	return out, adminsocket.Ask(path, "members", &out)
+	return out, adminsocket.Query(path, "members", &out)
 }
 
 // FollowMembers hands on each change of a destination until the context ends.
 func FollowMembers(ctx context.Context, path string, take func(MemberChange) error) error {
-	return adminsocket.Follow(ctx, path, "members follow", func(text json.RawMessage) error {
+	return adminsocket.Stream(ctx, path, "members follow", func(text json.RawMessage) error {
 		var c MemberChange
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
--- a/internal/control/checkmembers.go
+++ b/internal/control/checkmembers.go
@@ -23,18 +23,18 @@
 	}
 	x, d := m.Merge, membership.Defaults()
 	yamlfile.Default(&x.StaleAfter, config.Duration(d.StaleAfter))
-	yamlfile.Default(&x.HoldBelow, d.HoldBelow)
-	yamlfile.Default(&x.HoldFor, config.Duration(d.HoldFor))
-	yamlfile.Default(&x.FlapMost, d.FlapMost)
-	yamlfile.Default(&x.FlapHold, config.Duration(d.FlapHold))
-	if x.StaleAfter < 0 || x.HoldFor < 0 || x.FlapHold < 0 || x.FlapMost < 1 || !(x.HoldBelow > 0 && x.HoldBelow <= 1) {
+	yamlfile.Default(&x.HoldBelow, d.QuarantineBelow)
+	yamlfile.Default(&x.HoldFor, config.Duration(d.QuarantineFor))
+	yamlfile.Default(&x.FlapMax, d.FlapThreshold)
+	yamlfile.Default(&x.FlapHold, config.Duration(d.FlapSuppression))
+	if x.StaleAfter < 0 || x.HoldFor < 0 || x.FlapHold < 0 || x.FlapMax < 1 || !(x.HoldBelow > 0 && x.HoldBelow <= 1) {
 		wrong(at+"merge", "spans that are not negative, a share up to 1 and at least one return are wanted")
 	}
 	e := m.Etcd
 	if e == nil {
 		return
 	}
-	yamlfile.Default(&e.Form, etcdsource.Plain)
+	yamlfile.Default(&e.Form, etcdsource.FormPlain)
 	if len(e.Endpoints) == 0 {
 		wrong(at+"etcd.endpoints", "at least one is needed")
 	}
@@ -46,8 +46,8 @@
 	if e.Prefix == "" {
 		wrong(at+"etcd.prefix", "is missing: without it every key would be a destination")
 	}
-	if e.Form != etcdsource.Plain && e.Form != etcdsource.Naming {
-		wrong(at+"etcd.form", "%s or %s, not %q", etcdsource.Plain, etcdsource.Naming, e.Form)
+	if e.Form != etcdsource.FormPlain && e.Form != etcdsource.FormNaming {
+		wrong(at+"etcd.form", "%s or %s, not %q", etcdsource.FormPlain, etcdsource.FormNaming, e.Form)
 	}
 	if (e.User == "") != (e.PasswordFile == "") {
 		wrong(at+"etcd.password_file", "user and password_file go together")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -96,8 +96,8 @@
 // A destination's state is told in the protocol's words, and only what may get new requests is safe.
 func TestEndpoints(t *testing.T) {
 	view := func(state balance.State, held time.Duration, trial bool) routing.View {
-		return routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
-			ServerView: balance.ServerView{State: state, Tracked: true, Weight: 1.5, HeldOff: held, Trial: trial}}}}
+		return routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", Zone: "z",
+			EndpointView: balance.EndpointView{State: state, Tracked: true, Weight: 1.5, EjectedFor: held, Probation: trial}}}}
 	}
 	p := &config.Pool{Name: "p"}
 	safety := map[uint64]bool{}
@@ -124,7 +124,7 @@
 			a.Endpoints[0].LoadBalancingWeight.Value == 0 {
 			t.Errorf("%+v: %v", c.v, &a)
 		}
-		safety[r.Safety] = true
+		safety[r.UrgentHash] = true
 	}
 	if len(safety) != 2 {
 		t.Errorf("%d kinds of safety, want those that may get requests and those that may not", len(safety))
@@ -149,7 +149,7 @@
 	if silent := now + refusalKept + 1; r.percent(silent) != 0 {
 		t.Errorf("%d%% though nobody reports", r.percent(silent))
 	}
-	v := routing.View{Index: 1, Destinations: []routing.DestinationView{{Name: "a", Address: "127.0.0.1:1", ServerView: balance.ServerView{State: balance.Ready, Weight: 1}}}}
+	v := routing.View{Index: 1, Endpoints: []routing.EndpointView{{Name: "a", Address: "127.0.0.1:1", EndpointView: balance.EndpointView{State: balance.Ready, Weight: 1}}}}
 	for _, percent := range []uint32{0, 40} {
 		x, err := endpointsOf(&config.Pool{Name: "p"}, v, percent)
 		if err != nil {
@@ -229,14 +229,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.Anybody, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
 	go g.Serve(ln)
 	defer g.Stop()
 	for _, delta := range []bool{false, true} {
 		table := proxy.NewTable()
-		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
+		client := &proxy.Client{NodeID: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: quiet, Dial: ln.DialContext}
 		go client.Run(ctx)
-		testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
+		testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 		picked := func() map[string]bool {
 			out := map[string]bool{}
 			for range 20 {
@@ -250,17 +250,17 @@
 			t.Errorf("it picks %v", p)
 		}
 		list("  - {name: x, address: \"127.0.0.1:1\", state: draining}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the draining one gets nothing", func() bool { p := picked(); return len(p) == 1 && p["127.0.0.1:2"] })
+		testkit.WaitUntil(t, "the draining one gets nothing", func() bool { p := picked(); return len(p) == 1 && p["127.0.0.1:2"] })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n  - {name: z, address: \"127.0.0.1:3\"}\n")
-		testkit.Until(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
+		testkit.WaitUntil(t, "the new one gets requests", func() bool { return len(picked()) == 3 })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
-		testkit.Until(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
-		if table.Emptied() != 0 {
+		testkit.WaitUntil(t, "the one that is gone gets none", func() bool { return len(picked()) == 2 })
+		if table.EmptiedCount() != 0 {
 			t.Error("the list was empty for a moment")
 		}
 	}
 	// A proxy acts on the last word before the service has read its answer to it: until then it owes that, and no longer.
-	testkit.Until(t, "both proxies and their drains are shown, and none owes an answer", func() bool {
+	testkit.WaitUntil(t, "both proxies and their drains are shown, and none owes an answer", func() bool {
 		s := service.Status()
 		return len(s.Proxies) == 2 && s.Drains.Count >= 2 && s.Proxies[0].OwesMS == 0 && s.Proxies[1].OwesMS == 0
 	})
@@ -299,16 +299,16 @@
 	}
 	ln := bufconn.Listen(1 << 20)
 	g := grpc.NewServer()
-	xdsserver.Register(g, hub, service.Reports(), xdsserver.Anybody, quiet)
+	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, quiet)
 	go g.Serve(ln)
 	defer g.Stop()
-	table, loads := proxy.NewTable(), proxy.NewTracker()
-	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: quiet, Dial: ln.DialContext}
+	table, loads := proxy.NewTable(), proxy.NewLoadTracker()
+	client := &proxy.Client{NodeID: "n", Servers: []string{"memory"}, Table: table, LoadTracker: loads, Log: quiet, Dial: ln.DialContext}
 	go client.Run(t.Context())
-	testkit.Until(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
+	testkit.WaitUntil(t, "the proxy has endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
 	n := 0
-	testkit.Until(t, "weights follow", func() bool {
+	testkit.WaitUntil(t, "weights follow", func() bool {
 		clear(picks)
 		for range 100 {
 			at, err := table.Pick("a.test", "/", func(string) string { return "" })
@@ -354,12 +354,12 @@
 		defer service.mu.Unlock()
 		return len(service.endpoints), service.open
 	}
-	testkit.Until(t, "one list is known", func() bool { n, _ := known(); return n == 1 })
+	testkit.WaitUntil(t, "one list is known", func() bool { n, _ := known(); return n == 1 })
 	if _, open := known(); open {
 		t.Error("one of two lists is known, and it was published")
 	}
-	service.pools["b"].loop.Pool(balance.Full, 1, nil) // a list that names nobody is one
-	testkit.Until(t, "all is published", func() bool { _, open := known(); return open })
+	service.pools["b"].loop.UpdateEndpoints(balance.Full, 1, nil) // a list that names nobody is one
+	testkit.WaitUntil(t, "all is published", func() bool { _, open := known(); return open })
 }
 
 // Where no proxy reports, weights follow what destinations tell of themselves: out of band, or when they are asked.
@@ -407,11 +407,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "weights follow, "+via, func() bool {
+		testkit.WaitUntil(t, "weights follow, "+via, func() bool {
 			v, ok := service.pools["a"].loop.View(time.Second)
-			return ok && len(v.Destinations) == 3 && v.Destinations[1].Weight > 1.5*v.Destinations[0].Weight
+			return ok && len(v.Endpoints) == 3 && v.Endpoints[1].Weight > 1.5*v.Endpoints[0].Weight
 		})
-		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Told != 3 {
+		if strings.HasPrefix(via, "orca") && service.Status().OutOfBand["a"].Reporting != 3 {
 			t.Errorf("%+v", service.Status().OutOfBand)
 		}
 		cancel()
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -60,10 +60,10 @@
 	changed chan struct{} // closed at the next change
 }
 
-var _ routing.Directory = (*members)(nil)
+var _ routing.Discovery = (*members)(nil)
 
 // Follow has nothing to do: sources are followed by themselves. It implements routing.Directory.
-func (m *members) Follow(int64) {}
+func (m *members) Watch(int64) {}
 
 func newMembers(ctx context.Context, conf *config.Pool, seed uint64, clock routing.Clock, loop *routing.Loop, log *slog.Logger) *members {
 	var names []string
@@ -77,7 +77,7 @@
 	}
 	c := membership.Defaults(names...)
 	if x := conf.Members.Merge; x != nil {
-		c.StaleAfter, c.HoldBelow, c.HoldFor, c.FlapMost, c.FlapHold = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMost, x.FlapHold.D()
+		c.StaleAfter, c.QuarantineBelow, c.QuarantineFor, c.FlapThreshold, c.FlapSuppression = x.StaleAfter.D(), x.HoldBelow, x.HoldFor.D(), x.FlapMax, x.FlapHold.D()
 	}
 	m := &members{ctx: ctx, conf: conf, clock: clock, loop: loop, log: log, rng: rand.New(rand.NewPCG(seed, 2)), merger: membership.New(c),
 		changed: make(chan struct{})}
@@ -103,15 +103,15 @@
 		}
 		o.Seed, o.Log = m.rng.Uint64(), m.log
 		go func() {
-			if err := etcdsource.Follow(m.ctx, o, &etcdFeed{m}); err != nil {
+			if err := etcdsource.Watch(m.ctx, o, &etcdFeed{m}); err != nil {
 				m.log.Error("etcd cannot be followed", "error", err)
 			}
 		}()
 	}
 	if at := m.conf.Members.Discovery; at != "" {
 		f := &feed{m: m, name: fromDiscovery, history: at}
-		f.again = transport.NewDirectory(m.ctx, at, f, m.log)
-		f.again.Follow(0)
+		f.again = transport.NewDiscoveryClient(m.ctx, at, f, m.log)
+		f.again.Watch(0)
 	}
 	if path := m.conf.Members.File; path != "" {
 		if _, err := listfile.Open(m.ctx, watcher, path, &feed{m: m, name: fromFile, history: path}, m.log); err != nil {
@@ -162,7 +162,7 @@
 
 // tell tells what has changed, and comes again when something is due. The lock is held.
 func (m *members) tell(now time.Duration) {
-	if m.ctx.Err() != nil || !m.merger.Known() {
+	if m.ctx.Err() != nil || !m.merger.Initialized() {
 		return
 	}
 	if wait := m.told + burst - now; wait > 0 { // more may come: telling the Loop costs a look at the whole list
@@ -182,9 +182,9 @@
 		}
 		close(m.changed)
 		m.changed = make(chan struct{})
-		m.loop.Pool(kind, m.version, changed)
+		m.loop.UpdateEndpoints(kind, m.version, changed)
 	}
-	if at, any := m.merger.Next(now); any {
+	if at, any := m.merger.NextDue(now); any {
 		m.wake(max(at-now, time.Millisecond))
 	}
 }
@@ -208,11 +208,11 @@
 var states = map[balance.State]protocol.State{balance.Ready: protocol.Ready, balance.Draining: protocol.Draining, balance.Gone: protocol.Gone}
 
 // destinations are members in discovery's words.
-func destinations(all []routing.Member) []protocol.Destination {
-	out := make([]protocol.Destination, 0, len(all))
+func destinations(all []routing.Member) []protocol.Endpoint {
+	out := make([]protocol.Endpoint, 0, len(all))
 	for _, d := range all {
-		out = append(out, protocol.Destination{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Group, State: states[d.State],
-			Weight: d.Weight, SinceMS: d.Since.Milliseconds()})
+		out = append(out, protocol.Endpoint{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Cell, State: states[d.State],
+			Weight: d.Weight, SinceMS: d.StartedAt.Milliseconds()})
 	}
 	return out
 }
@@ -222,7 +222,7 @@
 	m       *members
 	name    string
 	history string
-	again   *transport.Directory // asked again where it is lost; nil for a source that is not lost
+	again   *transport.DiscoveryClient // asked again where it is lost; nil for a source that is not lost
 
 	// Of the members' lock.
 	spoken bool
@@ -231,31 +231,31 @@
 }
 
 // Pool takes an endpoint list.
-func (f *feed) Pool(kind balance.ListKind, index int64, list []routing.Member) {
+func (f *feed) UpdateEndpoints(kind balance.ListKind, index int64, list []routing.Member) {
 	f.m.do(func(now time.Duration) {
 		if kind != balance.Delta && f.spoken && index < f.last {
 			f.fallen++
 		}
-		at := membership.At{History: fmt.Sprintf("%s#%d", f.history, f.fallen), Revision: index}
+		at := membership.Position{History: fmt.Sprintf("%s#%d", f.history, f.fallen), Revision: index}
 		if kind == balance.Delta {
-			if !f.m.merger.Changed(now, f.name, at, list) {
-				f.m.merger.Alive(now, f.name) // nothing has changed since its version
+			if !f.m.merger.ApplyChanges(now, f.name, at, list) {
+				f.m.merger.SourceAlive(now, f.name) // nothing has changed since its version
 				return
 			}
 		} else {
-			f.m.merger.Whole(now, f.name, at, list)
+			f.m.merger.ApplyList(now, f.name, at, list)
 		}
 		f.spoken, f.last = true, index
 	})
 }
 
 // Lost has the source asked again.
-func (f *feed) Lost() {
+func (f *feed) SourceLost() {
 	f.m.do(func(now time.Duration) {
-		f.m.merger.Lost(now, f.name)
+		f.m.merger.SourceLost(now, f.name)
 		if f.again != nil && f.m.ctx.Err() == nil {
 			last := f.last
-			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Follow(last) })
+			time.AfterFunc(leastAgain+time.Duration(f.m.rng.Int64N(int64(mostAgain-leastAgain))), func() { f.again.Watch(last) })
 		}
 	})
 }
@@ -264,19 +264,23 @@
 type etcdFeed struct{ m *members }
 
 // Whole takes a whole list.
-func (f *etcdFeed) Whole(at membership.At, list []routing.Member, written map[string]int64) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.WholeWritten(now, fromEtcd, at, list, written) })
+func (f *etcdFeed) ApplyList(at membership.Position, list []routing.Member, written map[string]int64) (taken bool) {
+	f.m.do(func(now time.Duration) { taken = f.m.merger.ApplyListWithRevisions(now, fromEtcd, at, list, written) })
 	return taken
 }
 
 // Changed takes changes.
-func (f *etcdFeed) Changed(at membership.At, changes []routing.Member) (taken bool) {
-	f.m.do(func(now time.Duration) { taken = f.m.merger.Changed(now, fromEtcd, at, changes) })
+func (f *etcdFeed) ApplyChanges(at membership.Position, changes []routing.Member) (taken bool) {
+	f.m.do(func(now time.Duration) { taken = f.m.merger.ApplyChanges(now, fromEtcd, at, changes) })
 	return taken
 }
 
 // Alive notes that the watch answers.
-func (f *etcdFeed) Alive() { f.m.do(func(now time.Duration) { f.m.merger.Alive(now, fromEtcd) }) }
+func (f *etcdFeed) SourceAlive() {
+	f.m.do(func(now time.Duration) { f.m.merger.SourceAlive(now, fromEtcd) })
+}
 
 // Lost notes that it does not.
-func (f *etcdFeed) Lost() { f.m.do(func(now time.Duration) { f.m.merger.Lost(now, fromEtcd) }) }
+func (f *etcdFeed) SourceLost() {
+	f.m.do(func(now time.Duration) { f.m.merger.SourceLost(now, fromEtcd) })
+}
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -45,8 +45,8 @@
 	}
 	go platform.Serve(ctx, ln)
 	at := func(name string) string { return fmt.Sprintf("10.0.0.%d:1", name[0]) } // two names at one address would be one destination
-	said := func(name string, state protocol.State, since int64) protocol.Destination {
-		return protocol.Destination{Name: name, Address: at(name), State: state, SinceMS: since, Weight: 1}
+	said := func(name string, state protocol.State, since int64) protocol.Endpoint {
+		return protocol.Endpoint{Name: name, Address: at(name), State: state, SinceMS: since, Weight: 1}
 	}
 	put := func(name, state, started string) {
 		text, _ := json.Marshal(map[string]string{"address": at(name), "state": state, "started": started})
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 	}
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 5000), said("p", protocol.Ready, 0)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Ready, 0)})
 	put("x", "ready", "1970-01-01T00:00:05Z")
 	put("e", "", "")
 	list("x", "f")
@@ -91,21 +91,21 @@
 		t.Fatal(err)
 	}
 	set := service.pools["a"].set
-	set.Ask = true // as a sidecar with a discovery does, whose first call comes before the list is known
+	set.PollDiscovery = true // as a sidecar with a discovery does, whose first call comes before the list is known
 	sidecar, err := routing.New(set, routing.Names{}, clock, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	follower := transport.NewDirectory(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
-	follower.Follow(0)
-	go sidecar.Run(ctx, transport.NewDestinations(transport.Options{Clock: clock, Room: transport.NewRoom(1), Log: quiet}), follower)
+	follower := transport.NewDiscoveryClient(ctx, f.Pools[0].Members.Serve, sidecar, quiet)
+	follower.Watch(0)
+	go sidecar.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: quiet}), follower)
 	shows := func(l *routing.Loop) string {
 		v, ok := l.View(time.Second)
 		if !ok {
 			return "no answer"
 		}
 		var out []string
-		for _, d := range v.Destinations {
+		for _, d := range v.Endpoints {
 			out = append(out, d.Name+map[bool]string{true: "-"}[d.State == balance.Draining])
 		}
 		return strings.Join(out, " ")
@@ -113,32 +113,32 @@
 	until := func(want string) {
 		t.Helper()
 		for who, l := range map[string]*routing.Loop{"the service": service.pools["a"].loop, "a sidecar": sidecar} {
-			testkit.Until(t, who+" has "+want, func() bool { return shows(l) == want })
+			testkit.WaitUntil(t, who+" has "+want, func() bool { return shows(l) == want })
 		}
 	}
 	until("e f p x")
 	put("x", "draining", "1970-01-01T00:00:05Z")
 	until("e f p x-")
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 5000), said("p", protocol.Gone, 0)})
 	until("e f x-")
-	all, err := AskMembers(socket)
+	all, err := QueryMembers(socket)
 	if err != nil || len(all) != 1 || len(all[0].Sources) != 3 || all[0].Watches != 1 {
 		t.Fatalf("%+v, %v", all, err)
 	}
 	for _, e := range all[0].Entries {
-		if e.Name == "x" && (e.State != "draining" || len(e.Words) != 3) {
+		if e.Name == "x" && (e.State != "draining" || len(e.Reports) != 3) {
 			t.Errorf("%+v", e)
 		}
 	}
 	seen := make(chan string, 100)
 	go FollowMembers(ctx, socket, func(c MemberChange) error { seen <- c.Now.Name + " " + c.Now.State; return nil })
-	platform.Publish(time.Now(), []protocol.Destination{said("x", protocol.Ready, 6000)})
+	platform.Publish(time.Now(), []protocol.Endpoint{said("x", protocol.Ready, 6000)})
 	until("e f x")
 	list("x")
 	until("e x")
 	cluster.Delete("/a/e")
 	until("x")
-	testkit.Until(t, "the end of e is followed", func() bool { return <-seen == "e gone" })
+	testkit.WaitUntil(t, "the end of e is followed", func() bool { return <-seen == "e gone" })
 }
 
 // Over TLS a service with a certificate of the right authority follows etcd, and one without gets nothing.
@@ -152,7 +152,7 @@
 	}
 	trusted := x509.NewCertPool()
 	trusted.AddCert(ca.cert)
-	cluster, err := etcd.New(etcd.Options{Server: []grpc.ServerOption{grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair},
+	cluster, err := etcd.New(etcd.Options{ServerOptions: []grpc.ServerOption{grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair},
 		ClientCAs: trusted, ClientAuth: tls.RequireAndVerifyClientCert}))}})
 	if err != nil {
 		t.Fatal(err)
@@ -178,9 +178,9 @@
 			t.Fatal(err)
 		}
 		if who == "known" {
-			testkit.Until(t, "the list comes", func() bool { return service.Members()[0].Sources[0].Named == 1 })
+			testkit.WaitUntil(t, "the list comes", func() bool { return service.Members()[0].Sources[0].Named == 1 })
 		} else {
-			testkit.Until(t, "the source is lost", func() bool { return service.Members()[0].Sources[0].Lost })
+			testkit.WaitUntil(t, "the source is lost", func() bool { return service.Members()[0].Sources[0].Lost })
 			if s := service.Members()[0].Sources[0]; s.Named != 0 {
 				t.Errorf("a stranger is told %d destinations", s.Named)
 			}
--- a/internal/control/own.go
+++ b/internal/control/own.go
@@ -18,12 +18,12 @@
 
 // asks starts the ways in which the service asks a pool's destinations itself.
 func (s *Service) asks(p *pool) {
-	every := p.conf.Reports.Every.D()
+	every := p.conf.Reports.Interval.D()
 	switch {
-	case p.conf.Reports.Via == viaORCA:
+	case p.conf.Reports.Source == viaORCA:
 		p.orca = orca.New(s.ctx, every, s.file.SeedOf(p.conf.Name), func(address string, r orca.Report) { s.reports.own(p, address, r) },
 			s.log.With("pool", p.conf.Name))
-	case p.conf.Reports.Via == "probes" && p.conf.Probes:
+	case p.conf.Reports.Source == "probes" && p.conf.Probes:
 		go s.probe(s.ctx, p, every/turns)
 	}
 }
@@ -32,8 +32,8 @@
 
 // fillReports fills in what a pool's reports leave out.
 func fillReports(r *config.Reports) {
-	if r.Every == 0 && r.Via != "none" {
-		r.Every = config.Duration(time.Second)
+	if r.Interval == 0 && r.Source != "none" {
+		r.Interval = config.Duration(time.Second)
 	}
 }
 
@@ -41,7 +41,7 @@
 func (r *reports) own(p *pool, address string, x orca.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.loads.TakeOwn(r.service.clock.Now(), p.conf.Name, address, p.conf.Reports.Every.D(), loads.Own{QPS: x.QPS, EPS: x.EPS, Metrics: x.Metrics})
+	r.loads.RecordEndpointReport(r.service.clock.Now(), p.conf.Name, address, p.conf.Reports.Interval.D(), loads.EndpointReport{QPS: x.QPS, EPS: x.EPS, Metrics: x.Metrics})
 	if r.waiting[p] == nil {
 		r.waiting[p] = map[string]bool{}
 		time.AfterFunc(gather, func() { r.flush(p) })
@@ -59,7 +59,7 @@
 }
 
 // merged is what is known of a pool's destinations now.
-func (r *reports) merged(p *pool) map[string]loads.Reading {
+func (r *reports) merged(p *pool) map[string]loads.EndpointLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loads.Merge(r.service.clock.Now(), p.conf.Name)
--- a/internal/control/program.go
+++ b/internal/control/program.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wrong := tree.Wrong()
+	wrong := tree.NewProblemList()
 	f.File.Complete(path, wrong.Add)
 	switch {
 	case f.Plaintext && f.TLS != nil:
@@ -67,7 +67,7 @@
 				wrong.Add(fmt.Sprintf("routes[%d].hosts[%d]", i, j), "a host with a port cannot be told to proxies, not %q", h)
 			}
 		}
-		if r.As != "" {
+		if r.DefaultClass != "" {
 			wrong.Add(fmt.Sprintf("routes[%d].as", i), "proxies know no classes")
 		}
 	}
@@ -77,7 +77,7 @@
 		}
 		fillReports(&f.Pools[i].Reports)
 		fillMembers(filepath.Dir(path), fmt.Sprintf("pools[%d].members.", i), &f.Pools[i].Members, wrong.Add)
-		if f.Pools[i].Reports.Every < 0 {
+		if f.Pools[i].Reports.Interval < 0 {
 			wrong.Add(fmt.Sprintf("pools[%d].reports.every", i), "is negative")
 		}
 		if f.Pools[i].Name == RouteName {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	transport, identify := insecure.NewCredentials(), xdsserver.Identify(xdsserver.Anybody)
+	transport, identify := insecure.NewCredentials(), xdsserver.Authorize(xdsserver.AllowAll)
 	if f.TLS != nil {
 		certificates, err := watchCertificates(ctx, watcher, f.TLS, log)
 		if err != nil {
--- a/internal/control/resources.go
+++ b/internal/control/resources.go
@@ -90,7 +90,7 @@
 func endpointsOf(p *config.Pool, v routing.View, refused uint32) (*xds.Resource, error) {
 	zones := map[string]*endpoint.LocalityLbEndpoints{}
 	safety := xxhash.New()
-	for _, d := range v.Destinations { // by name
+	for _, d := range v.Endpoints { // by name
 		at, err := netip.ParseAddrPort(d.Address)
 		if err != nil || d.State == balance.Gone {
 			continue
@@ -133,14 +133,14 @@
 }
 
 // statusOf is what a proxy is told of a destination.
-func statusOf(d routing.DestinationView) (core.HealthStatus, uint32) {
+func statusOf(d routing.EndpointView) (core.HealthStatus, uint32) {
 	weight := uint32(max(1, math.Round(d.Weight*evenWeight)))
 	switch {
 	case d.State == balance.Draining:
 		return core.HealthStatus_DRAINING, weight
-	case d.HeldOff > 0:
+	case d.EjectedFor > 0:
 		return core.HealthStatus_UNHEALTHY, weight
-	case d.Trial: // readmitted, not yet trusted
+	case d.Probation: // readmitted, not yet trusted
 		return core.HealthStatus_HEALTHY, max(1, weight/10)
 	}
 	return core.HealthStatus_HEALTHY, weight
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -56,7 +56,7 @@
 	set     balance.Settings
 	loop    *routing.Loop
 	members *members
-	carrier *transport.Destinations
+	carrier *transport.ConnectionPool
 	dirty   chan struct{}
 	refusal refusal
 	orca    *orca.Watcher            // nil if destinations are not asked out of band
@@ -90,10 +90,10 @@
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
 		}
 		p := &pool{conf: conf, set: set, loop: loop, dirty: make(chan struct{}, 1)}
-		loop.Notify(p.changed)
-		p.carrier = transport.NewDestinations(transport.Options{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
-			IdleFor: conf.Connections.Idle.D() / 2, Room: transport.NewRoom(f.Budget().Destinations / len(f.Pools)),
-			Fields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
+		loop.OnChange(p.changed)
+		p.carrier = transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: conf.Connections.Timeout.D(),
+			IdleTimeout: conf.Connections.Idle.D() / 2, ConnectionLimiter: transport.NewConnLimiter(f.Budget().UpstreamConns / len(f.Pools)),
+			LoadFields: conf.Reports.Fields, ProbePath: "/stats", Log: log})
 		p.members = newMembers(ctx, conf, set.Seed, clock, loop, log)
 		if err := p.members.open(watcher); err != nil {
 			return nil, fmt.Errorf("pool %q: %w", conf.Name, err)
@@ -118,13 +118,13 @@
 }
 
 // Reports takes what proxies report.
-func (s *Service) Reports() xdsserver.Reports { return s.reports }
+func (s *Service) Reports() xdsserver.LoadReportHandler { return s.reports }
 
 // module is a pool's settings for the module. The proxies together are one balancer, which tracks every destination.
 func module(f *config.File, p *config.Pool) balance.Settings {
-	set := p.Module(f.SeedOf(p.Name))
-	set.Me, set.Balancers = 0, 1
-	set.Ask = false // news come by themselves, from package membership's sources
+	set := p.BalancerSettings(f.SeedOf(p.Name))
+	set.Index, set.Balancers = 0, 1
+	set.PollDiscovery = false // news come by themselves, from package membership's sources
 	return set
 }
 
@@ -159,18 +159,18 @@
 
 // take publishes a pool's endpoints if they have changed.
 func (s *Service) take(p *pool, v routing.View) {
-	if v.Index == 0 && len(v.Destinations) == 0 {
+	if v.Index == 0 && len(v.Endpoints) == 0 {
 		return // no list has come
 	}
 	var open []string
-	for _, d := range v.Destinations {
+	for _, d := range v.Endpoints {
 		if d.State == balance.Ready {
 			open = append(open, d.Address)
 		}
 	}
 	p.open.Store(&open)
 	if p.orca != nil {
-		p.orca.Follow(open)
+		p.orca.SetAddresses(open)
 	}
 	r, err := endpointsOf(p.conf, v, p.refusal.percent(s.clock.Now()))
 	if err != nil {
@@ -186,7 +186,7 @@
 	s.endpoints[p.conf.Name] = r
 	switch {
 	case !s.open && len(s.endpoints) < len(s.pools): // not yet whole
-	case !s.open || old == nil || old.Safety != r.Safety:
+	case !s.open || old == nil || old.UrgentHash != r.UrgentHash:
 		s.publish()
 	case !s.due: // weights: a publication wakes every stream, so several pools share one
 		s.due = true
--- a/internal/control/tls_test.go
+++ b/internal/control/tls_test.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var log testkit.Log
+	var log testkit.LogBuffer
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(ctx, f, slog.New(slog.NewTextHandler(&log, nil))) }()
@@ -175,7 +175,7 @@
 		}
 		return clusters, own, nil
 	}
-	testkit.Until(t, "it listens", func() bool { c, err := net.Dial("tcp", address); return err == nil && c.Close() == nil })
+	testkit.WaitUntil(t, "it listens", func() bool { c, err := net.Dial("tcp", address); return err == nil && c.Close() == nil })
 	clusters, own, err := ask(ca, "one", 0)
 	if err != nil || len(clusters) != 1 || !strings.Contains(clusters[0], "a") {
 		t.Errorf("one is told of %q, %v", clusters, err)
@@ -194,12 +194,12 @@
 	if _, _, err := ask(ca, "one", tls.VersionTLS12); status.Code(err) != codes.Unavailable {
 		t.Errorf("TLS 1.2: %v", err)
 	}
-	testkit.Until(t, "those that are not let in are logged", func() bool { return log.Count("a proxy is not let in") >= 4 })
+	testkit.WaitUntil(t, "those that are not let in are logged", func() bool { return log.Count("a proxy is not let in") >= 4 })
 
 	cert, key = ca.named("control")
 	write("cert.pem", cert) // does not fit the key for a moment
 	write("key.pem", key)
-	testkit.Until(t, "the new certificate is served", func() bool { _, now, err := ask(ca, "one", 0); return err == nil && !bytes.Equal(now, own) })
+	testkit.WaitUntil(t, "the new certificate is served", func() bool { _, now, err := ask(ca, "one", 0); return err == nil && !bytes.Equal(now, own) })
 }
 
 func TestTLSConfiguration(t *testing.T) {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -23,12 +23,12 @@
 )
 
 func TestMain(m *testing.M) {
-	testkit.Seed()
+	testkit.FixSeed()
 	goleak.VerifyTestMain(m)
 }
 
-func entry(name string, state protocol.State) protocol.Destination {
-	return protocol.Destination{Name: name, Address: "10.0.0.1:1", State: state, Weight: 1, SinceMS: 5}
+func entry(name string, state protocol.State) protocol.Endpoint {
+	return protocol.Endpoint{Name: name, Address: "10.0.0.1:1", State: state, Weight: 1, SinceMS: 5}
 }
 
 // Whoever comes back with a version gets to the same list by what he is told, whether or not the version is known; versions
@@ -51,7 +51,7 @@
 		copies := []copied{{0, nil}, {12345, map[string]protocol.State{"stray": protocol.Ready}}}
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
 			now += rapid.Int64Range(-5, 5).Draw(t, "clock")
-			var changed []protocol.Destination
+			var changed []protocol.Endpoint
 			for range rapid.IntRange(0, 3).Draw(t, "entries") {
 				changed = append(changed, entry(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"),
 					rapid.SampledFrom([]protocol.State{protocol.Ready, protocol.Draining, protocol.Gone}).Draw(t, "state")))
@@ -76,10 +76,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if list.Whole || c.list == nil {
+				if list.Snapshot || c.list == nil {
 					c.list = map[string]protocol.State{}
 				}
-				for _, d := range list.Destinations {
+				for _, d := range list.Endpoints {
 					if c.list[d.Name] = d.State; d.State == protocol.Gone {
 						delete(c.list, d.Name)
 					}
@@ -94,7 +94,7 @@
 	h := NewHistory(7)
 	h.Publish(1000, nil)
 	for i := range kept + 5 {
-		h.Publish(1000+int64(i), []protocol.Destination{entry(fmt.Sprint(i), protocol.Ready)})
+		h.Publish(1000+int64(i), []protocol.Endpoint{entry(fmt.Sprint(i), protocol.Ready)})
 	}
 	if lines, _ := h.Since(1000<<tagBits | 7); len(lines) != 1 {
 		t.Errorf("%d lines after more than are kept", len(lines))
@@ -117,7 +117,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		testkit.Until(t, "connections end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
+		testkit.WaitUntil(t, "connections end", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 0 })
 	})
 	return s, ln.Addr().String()
 }
@@ -143,7 +143,7 @@
 	if out := get(path); !strings.HasPrefix(out, "HTTP/1.1 503 ") || !strings.Contains(out, "Retry-After: 1\r\n") {
 		t.Errorf("before a list is known: %q", out)
 	}
-	s.Publish(time.Now(), []protocol.Destination{entry("a", protocol.Ready)})
+	s.Publish(time.Now(), []protocol.Endpoint{entry("a", protocol.Ready)})
 	for _, c := range []struct{ text, want string }{
 		{"GET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 404 "},
 		{"POST " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 "},
@@ -166,7 +166,7 @@
 	lost  int
 }
 
-func (l *list) Pool(kind balance.ListKind, _ int64, members []routing.Member) {
+func (l *list) UpdateEndpoints(kind balance.ListKind, _ int64, members []routing.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if kind == balance.Full {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (l *list) Lost() {
+func (l *list) SourceLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost++
@@ -193,7 +193,7 @@
 // The sidecar's own watch follows the server, and goes on from its version after a break; one that reads nothing holds it up not.
 func TestSidecarsWatchFollows(t *testing.T) {
 	s, at := serve(t)
-	all := []protocol.Destination{entry("x", protocol.Ready)}
+	all := []protocol.Endpoint{entry("x", protocol.Ready)}
 	for i := range 2000 {
 		all = append(all, entry(fmt.Sprintf("filler-%04d-%s", i, strings.Repeat("f", 200)), protocol.Ready))
 	}
@@ -207,20 +207,20 @@
 	bufio.NewReaderSize(slow, 16).ReadString('\n')
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &list{}
-	d := transport.NewDirectory(ctx, at, l, slog.New(slog.DiscardHandler))
-	d.Follow(0)
-	testkit.Until(t, "the list", func() bool { return l.is("x", balance.Ready) })
+	d := transport.NewDiscoveryClient(ctx, at, l, slog.New(slog.DiscardHandler))
+	d.Watch(0)
+	testkit.WaitUntil(t, "the list", func() bool { return l.is("x", balance.Ready) })
 	for i := range 50 {
 		state, told := protocol.Draining, balance.Draining
 		if i%2 > 0 {
 			state, told = protocol.Ready, balance.Ready
 		}
-		s.Publish(time.Now(), []protocol.Destination{entry("x", state)})
-		testkit.Until(t, "the change", func() bool { return l.is("x", told) })
+		s.Publish(time.Now(), []protocol.Endpoint{entry("x", state)})
+		testkit.WaitUntil(t, "the change", func() bool { return l.is("x", told) })
 	}
 	if l.whole != 1 || s.Watches() != 2 {
 		t.Errorf("%d whole lists, %d watches", l.whole, s.Watches())
 	}
 	cancel()
-	testkit.Until(t, "the watch ends", func() bool { return s.Watches() == 1 })
+	testkit.WaitUntil(t, "the watch ends", func() bool { return s.Watches() == 1 })
 }
--- a/internal/directory/history.go
+++ b/internal/directory/history.go
@@ -29,21 +29,21 @@
 	tag     int64
 	index   int64 // 0 before the first list
 	first   int64 // index from which on all changes are kept
-	members map[string]protocol.Destination
+	members map[string]protocol.Endpoint
 	changes []change
 	whole   []byte // of index; nil if it has not been asked for
 }
 
 // NewHistory returns a History without a list. tag tells this run of this service from others.
 func NewHistory(tag uint64) *History {
-	return &History{tag: int64(tag % (1 << tagBits)), members: map[string]protocol.Destination{}}
+	return &History{tag: int64(tag % (1 << tagBits)), members: map[string]protocol.Endpoint{}}
 }
 
 // Publish takes what changed at a Unix time in milliseconds; destinations that are gone leave the list. The first call is the
 // whole list.
-func (h *History) Publish(nowMS int64, changed []protocol.Destination) error {
+func (h *History) Publish(nowMS int64, changed []protocol.Endpoint) error {
 	index := max(nowMS, h.index>>tagBits+1)<<tagBits | h.tag
-	line, err := protocol.EndpointList{Index: index, Whole: h.index == 0, Destinations: changed}.Text()
+	line, err := protocol.EndpointList{Index: index, Snapshot: h.index == 0, Endpoints: changed}.Encode()
 	if err != nil {
 		return err
 	}
@@ -73,10 +73,10 @@
 // Whole is the whole list on one line.
 func (h *History) Whole() ([]byte, error) {
 	if h.whole == nil {
-		list := protocol.EndpointList{Index: h.index, Whole: true}
-		list.Destinations = slices.SortedFunc(maps.Values(h.members), func(a, b protocol.Destination) int { return cmp.Compare(a.Name, b.Name) })
+		list := protocol.EndpointList{Index: h.index, Snapshot: true}
+		list.Endpoints = slices.SortedFunc(maps.Values(h.members), func(a, b protocol.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 		var err error
-		if h.whole, err = list.Text(); err != nil {
+		if h.whole, err = list.Encode(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -40,7 +40,7 @@
 }
 
 // Publish tells all watches what changed. It waits for none of them.
-func (s *Server) Publish(now time.Time, changed []protocol.Destination) {
+func (s *Server) Publish(now time.Time, changed []protocol.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.history.Publish(now.UnixMilli(), changed); err != nil {
@@ -78,7 +78,7 @@
 		}
 		if !s.enter() {
 			conn.SetWriteDeadline(time.Now().Add(writing))
-			conn.Write(protocol.Reply{Status: 503, RetryAfter: comeAgain, Why: "too many connections"}.Text(true))
+			conn.Write(protocol.LocalReply{Status: 503, RetryAfter: comeAgain, Reason: "too many connections"}.Encode(true))
 			conn.Close()
 			continue
 		}
@@ -114,7 +114,7 @@
 
 // converse answers one call after another.
 func (s *Server) converse(conn net.Conn) {
-	var machine protocol.Machine
+	var machine protocol.Parser
 	buf := make([]byte, 4<<10)
 	var rest []byte
 	for {
@@ -131,7 +131,7 @@
 		var broken *protocol.Error
 		switch {
 		case errors.As(err, &broken):
-			s.write(conn, protocol.Reply{Status: broken.Status, Why: broken.Why}.Text(true))
+			s.write(conn, protocol.LocalReply{Status: broken.Status, Reason: broken.Reason}.Encode(true))
 			return
 		case err != nil:
 			return
@@ -157,32 +157,32 @@
 
 // answer is the answer to a call, or the version from which on a watch is asked for.
 func (s *Server) answer(m *protocol.Message) (reply []byte, since int64, follow bool) {
-	refuse := func(r protocol.Reply) ([]byte, int64, bool) { return r.Text(m.Close), 0, false }
-	m.Origin()
-	at, err := url.ParseRequestURI(m.Start[1])
+	refuse := func(r protocol.LocalReply) ([]byte, int64, bool) { return r.Encode(m.Close), 0, false }
+	m.ToOriginForm()
+	at, err := url.ParseRequestURI(m.StartLine[1])
 	if err != nil || at.Path != path {
-		return refuse(protocol.Reply{Status: 404, Why: "here is " + path})
+		return refuse(protocol.LocalReply{Status: 404, Reason: "here is " + path})
 	}
-	if m.Start[0] != "GET" {
-		return refuse(protocol.Reply{Status: 405, Allow: "GET", Why: "the list is read by GET"})
+	if m.StartLine[0] != "GET" {
+		return refuse(protocol.LocalReply{Status: 405, Allow: "GET", Reason: "the list is read by GET"})
 	}
 	q := at.Query()
 	if text := q.Get("since"); text != "" {
 		if since, err = strconv.ParseInt(text, 10, 64); err != nil {
-			return refuse(protocol.Reply{Status: 400, Why: "since: a version is a whole number"})
+			return refuse(protocol.LocalReply{Status: 400, Reason: "since: a version is a whole number"})
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.history.Index() == 0 {
-		return refuse(protocol.Reply{Status: 503, RetryAfter: comeAgain, Why: "the list is not known yet"})
+		return refuse(protocol.LocalReply{Status: 503, RetryAfter: comeAgain, Reason: "the list is not known yet"})
 	}
 	if q.Get("follow") != "" {
 		return nil, since, true
 	}
 	line, err := s.history.Whole()
 	if err != nil {
-		return refuse(protocol.Reply{Status: 500, Why: "the list cannot be written"})
+		return refuse(protocol.LocalReply{Status: 500, Reason: "the list cannot be written"})
 	}
 	end := ""
 	if m.Close {
@@ -230,7 +230,7 @@
 			return
 		}
 		if first && len(text) == 0 { // it learns at once that it has missed nothing
-			if empty, err := (protocol.EndpointList{Index: index}).Text(); err == nil {
+			if empty, err := (protocol.EndpointList{Index: index}).Encode(); err == nil {
 				text = [][]byte{empty}
 			}
 		}
--- a/internal/etcdsource/decode.go
+++ b/internal/etcdsource/decode.go
@@ -14,8 +14,8 @@
 
 // The forms that values may have.
 const (
-	Plain  = "kitewood" // docs/membership.md
-	Naming = "naming"   // of etcd's naming/endpoints package, which gRPC's resolver reads
+	FormPlain  = "kitewood" // docs/membership.md
+	FormNaming = "naming"   // of etcd's naming/endpoints package, which gRPC's resolver reads
 )
 
 // Decode reads the value of a key as a destination. The key's rest behind the prefix is its name.
@@ -24,7 +24,7 @@
 		return routing.Member{}, fmt.Errorf("a key without a name behind the prefix")
 	}
 	m := routing.Member{Name: name, State: balance.Ready, Weight: 1}
-	if form == Naming {
+	if form == FormNaming {
 		var v struct{ Addr string }
 		if err := json.Unmarshal(value, &v); err != nil {
 			return m, err
@@ -45,7 +45,7 @@
 		if err := d.Decode(&v); err != nil {
 			return m, err
 		}
-		m.Address, m.Zone, m.Kind, m.Group = v.Address, v.Zone, v.Kind, v.Group
+		m.Address, m.Zone, m.Kind, m.Cell = v.Address, v.Zone, v.Kind, v.Group
 		switch v.State {
 		case "", "ready":
 		case "draining":
@@ -64,7 +64,7 @@
 			if err != nil {
 				return m, fmt.Errorf("started: a time like 2026-12-01T10:00:00Z is wanted, not %q", v.Started)
 			}
-			m.Since = max(0, time.Duration(t.UnixNano()))
+			m.StartedAt = max(0, time.Duration(t.UnixNano()))
 		}
 	}
 	if _, err := netip.ParseAddrPort(m.Address); err != nil {
--- a/internal/etcdsource/source.go
+++ b/internal/etcdsource/source.go
@@ -34,12 +34,12 @@
 }
 
 // Taker takes what a source says; Whole and Changed tell whether it was taken, as membership.Merger does.
-type Taker interface {
+type Receiver interface {
 	// Whole takes a list, with the revision at which each name was last written.
-	Whole(at membership.At, list []routing.Member, written map[string]int64) bool
-	Changed(at membership.At, changes []routing.Member) bool
-	Alive()
-	Lost()
+	ApplyList(at membership.Position, list []routing.Member, written map[string]int64) bool
+	ApplyChanges(at membership.Position, changes []routing.Member) bool
+	SourceAlive()
+	SourceLost()
 }
 
 const (
@@ -54,7 +54,7 @@
 // source is a prefix that is followed.
 type source struct {
 	o       Options
-	take    Taker
+	take    Receiver
 	history string
 	last    int64                     // newest revision that was taken
 	known   map[string]routing.Member // by name; what has become unreadable keeps its last word
@@ -62,7 +62,7 @@
 }
 
 // Follow follows a prefix until the context ends. It returns an error only if the options are unusable.
-func Follow(ctx context.Context, o Options, take Taker) error {
+func Watch(ctx context.Context, o Options, take Receiver) error {
 	// One client for each endpoint: which one answers is decided here, where the others' revisions are known.
 	var clients []*clientv3.Client
 	defer func() {
@@ -90,7 +90,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		take.Lost()
+		take.SourceLost()
 		o.Log.Warn("the watch of etcd has ended", "endpoint", o.Endpoints[n], "revision", s.last, "error", err)
 		if time.Since(began) > quiet+dead { // it had a watch
 			pause = least
@@ -198,7 +198,7 @@
 	for _, m := range now {
 		all = append(all, m)
 	}
-	if !s.take.Whole(membership.At{History: history, Revision: r.Header.Revision}, all, written) {
+	if !s.take.ApplyList(membership.Position{History: history, Revision: r.Header.Revision}, all, written) {
 		return fmt.Errorf("the list of revision %d was not taken", r.Header.Revision)
 	}
 	s.history, s.last, s.known = history, r.Header.Revision, now
@@ -234,7 +234,7 @@
 		if r.Header.Revision < s.last {
 			return fmt.Errorf("the member is at revision %d, behind %d", r.Header.Revision, s.last)
 		}
-		s.take.Alive()
+		s.take.SourceAlive()
 		return nil
 	}
 	for i := 0; i < len(r.Events); { // revision by revision: one transaction is one change
@@ -257,7 +257,7 @@
 		for _, m := range changed {
 			all = append(all, m)
 		}
-		if !s.take.Changed(membership.At{History: s.history, Revision: revision}, all) {
+		if !s.take.ApplyChanges(membership.Position{History: s.history, Revision: revision}, all) {
 			return fmt.Errorf("the changes of revision %d were not taken", revision)
 		}
 		s.last = revision
