--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -37,39 +37,39 @@
 }
 
 func newMerged() *merged {
-	return &merged{m: membership.New(membership.Config{Sources: []string{"etcd"}, Keep: time.Hour})}
+	return &merged{m: membership.New(membership.Config{Sources: []string{"etcd"}, Retention: time.Hour})}
 }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-func (x *merged) Whole(at membership.At, list []routing.Member, written map[string]int64) bool {
+func (x *merged) ApplyList(at membership.Position, list []routing.Member, written map[string]int64) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.wholes++
 	if x.listed != nil {
 		x.listed()
 	}
-	return x.m.WholeWritten(now(), "etcd", at, list, written)
+	return x.m.ApplyListWithRevisions(now(), "etcd", at, list, written)
 }
 
-func (x *merged) Changed(at membership.At, list []routing.Member) bool {
+func (x *merged) ApplyChanges(at membership.Position, list []routing.Member) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.change++
-	return x.m.Changed(now(), "etcd", at, list)
+	return x.m.ApplyChanges(now(), "etcd", at, list)
 }
 
-func (x *merged) Alive() {
+func (x *merged) SourceAlive() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.m.Alive(now(), "etcd")
+	x.m.SourceAlive(now(), "etcd")
 }
 
-func (x *merged) Lost() {
+func (x *merged) SourceLost() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lost++
-	x.m.Lost(now(), "etcd")
+	x.m.SourceLost(now(), "etcd")
 }
 
 // shows is the list: names, with a dash behind those that drain.
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		done <- Follow(ctx, Options{Endpoints: c.Addresses(), Prefix: "/d/", Form: form, Seed: 1, Log: slog.New(slog.DiscardHandler)}, x)
+		done <- Watch(ctx, Options{Endpoints: c.Addresses(), Prefix: "/d/", Form: form, Seed: 1, Log: slog.New(slog.DiscardHandler)}, x)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -125,12 +125,12 @@
 
 func until(t *testing.T, x *merged, want string) {
 	t.Helper()
-	testkit.Until(t, "the list is "+want, func() bool { return x.shows() == want })
+	testkit.WaitUntil(t, "the list is "+want, func() bool { return x.shows() == want })
 }
 
 // Writes, drains, deletions and the end of a lease are seen as they come; a value that cannot be read keeps the last word.
 func TestFollow(t *testing.T) {
-	_, k, x := follow(t, 1, Plain)
+	_, k, x := follow(t, 1, FormPlain)
 	put := func(name, text string, o ...clientv3.OpOption) {
 		t.Helper()
 		if _, err := k.Put(t.Context(), "/d/"+name, text, o...); err != nil {
@@ -150,7 +150,7 @@
 	put("a", "{spoilt")
 	put("new", value("no address", ""))
 	put("c", value("10.0.0.3:1", ""))
-	testkit.Until(t, "the lease ends", func() bool { return x.shows() == "a- c" })
+	testkit.WaitUntil(t, "the lease ends", func() bool { return x.shows() == "a- c" })
 	k.Txn(t.Context()).Then(clientv3.OpDelete("/d/a"), clientv3.OpPut("/d/e", value("10.0.0.5:1", ""))).Commit()
 	until(t, x, "c e")
 	if x.lists() != 1 {
@@ -160,7 +160,7 @@
 
 // What gRPC's resolver would read is followed, too, written by the library's own manager.
 func TestNamingForm(t *testing.T) {
-	_, k, x := follow(t, 1, Naming)
+	_, k, x := follow(t, 1, FormNaming)
 	m, err := endpoints.NewManager(k, "/d")
 	if err != nil {
 		t.Fatal(err)
@@ -179,19 +179,19 @@
 
 // A watch that breaks while history is compacted misses nothing: what was removed in the gap is gone.
 func TestCompactedGap(t *testing.T) {
-	c, k, x := follow(t, 1, Plain)
+	c, k, x := follow(t, 1, FormPlain)
 	for _, name := range []string{"a", "b", "c"} {
 		k.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
 	until(t, x, "a b c")
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	k.Delete(t.Context(), "/d/b")
 	k.Put(t.Context(), "/d/d", value("10.0.0.4:1", ""))
 	k.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Revision()); err != nil {
 		t.Fatal(err)
 	}
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	until(t, x, "a- c d")
 	if x.lists() != 2 {
 		t.Errorf("%d whole lists: the gap was not met", x.lists())
@@ -200,18 +200,18 @@
 
 // A member that is silent, broken or behind is left for another; an older revision never counts.
 func TestFailover(t *testing.T) {
-	c, _, x := follow(t, 2, Plain)
+	c, _, x := follow(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	until(t, x, "a")
-	for n, fault := range []func(*etcd.Member){(*etcd.Member).Freeze, (*etcd.Member).Lag, (*etcd.Member).Stop} {
+	for n, fault := range []func(*etcd.Member){(*etcd.Member).Pause, (*etcd.Member).PauseApply, (*etcd.Member).Stop} {
 		for _, m := range c.Members { // whichever it is at
 			fault(m)
 			c.Put("/d/a", value("10.0.0.1:1", []string{"draining", "ready"}[n%2]))
 			until(t, x, []string{"a-", "a"}[n%2])
 			c.Put("/d/a", value("10.0.0.1:1", []string{"ready", "draining"}[n%2]))
 			until(t, x, []string{"a", "a-"}[n%2])
-			m.Thaw()
-			m.CatchUp()
+			m.Resume()
+			m.ResumeApply()
 			if n == 2 {
 				if err := m.Start(); err != nil {
 					t.Fatal(err)
@@ -223,28 +223,28 @@
 
 // A member that stops answering between its list and the beginning of its watch is left as any that is silent.
 func TestFrozenBeforeTheWatch(t *testing.T) {
-	c, _, x := follow(t, 2, Plain)
+	c, _, x := follow(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	until(t, x, "a")
 	x.mu.Lock()
 	before := x.lost
 	x.listed = func() {
 		for _, m := range c.Members {
-			m.Freeze()
+			m.Pause()
 		}
 	}
 	x.mu.Unlock()
 	for _, m := range c.Members { // the watch meets a gap, and the list is read again
-		m.Lag()
+		m.PauseApply()
 	}
 	c.Put("/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Put("/d/a", value("10.0.0.1:1", ""))); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range c.Members {
-		m.CatchUp()
+		m.ResumeApply()
 	}
-	testkit.Until(t, "the silent watch is given up", func() bool {
+	testkit.WaitUntil(t, "the silent watch is given up", func() bool {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		return x.wholes > 1 && x.lost > before+1 // the gap, and the silence
@@ -254,7 +254,7 @@
 	x.mu.Unlock()
 	c.Put("/d/b", value("10.0.0.2:1", ""))
 	for _, m := range c.Members {
-		m.Thaw()
+		m.Resume()
 	}
 	until(t, x, "a b")
 }
@@ -267,7 +267,7 @@
 }
 
 func restored(t *testing.T, restore func(*etcd.Cluster, etcd.Snapshot) error) {
-	c, k, x := follow(t, 1, Plain)
+	c, k, x := follow(t, 1, FormPlain)
 	for _, name := range []string{"a", "b", "c"} {
 		k.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
@@ -279,26 +279,26 @@
 	if err := restore(c, backup); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the restored list is read", func() bool { return x.lists() == 2 })
+	testkit.WaitUntil(t, "the restored list is read", func() bool { return x.lists() == 2 })
 	if got := x.shows(); got != "a- c" {
 		t.Errorf("restored: %q", got)
 	}
-	testkit.Until(t, "it takes writes", func() bool {
+	testkit.WaitUntil(t, "it takes writes", func() bool {
 		_, err := k.Put(t.Context(), "/d/b", value("10.0.0.1:1", ""))
 		return err == nil
 	})
 	until(t, x, "a- b c")
 	// A write that is seen in a list only is known to be new by its revision.
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	c.Compact(c.Revision())
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	until(t, x, "a b c")
 }
 
 // Whatever members do, the list comes to what the cluster says, and what it says is never older than what was seen.
 func TestChaos(t *testing.T) {
-	c, _, x := follow(t, 2, Plain)
+	c, _, x := follow(t, 2, FormPlain)
 	rng := rand.New(rand.NewPCG(3, 3))
 	truth := map[string]string{}
 	for i := range 60 {
@@ -306,13 +306,13 @@
 		m := c.Members[rng.IntN(2)]
 		switch rng.IntN(6) {
 		case 0:
-			m.Freeze()
-			time.AfterFunc(20*time.Millisecond, m.Thaw)
+			m.Pause()
+			time.AfterFunc(20*time.Millisecond, m.Resume)
 		case 1:
-			m.Lag()
-			time.AfterFunc(20*time.Millisecond, m.CatchUp)
+			m.PauseApply()
+			time.AfterFunc(20*time.Millisecond, m.ResumeApply)
 		case 2:
-			if err := m.Break(); err != nil {
+			if err := m.Restart(); err != nil {
 				t.Fatal(err)
 			}
 		case 3:
@@ -328,8 +328,8 @@
 		truth[name] = name + state
 	}
 	for _, m := range c.Members {
-		m.Thaw()
-		m.CatchUp()
+		m.Resume()
+		m.ResumeApply()
 	}
 	until(t, x, strings.Join(slices.Sorted(maps.Values(truth)), " "))
 }
@@ -337,24 +337,24 @@
 // Values that are not in the documented forms are errors that say why.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct{ form, name, text, want string }{
-		{Plain, "a", `{"address":"10.0.0.1:1","weight":2,"zone":"z","kind":"k","group":3,"started":"1970-01-01T00:00:01Z"}`, ""},
-		{Plain, "", `{"address":"10.0.0.1:1"}`, "without a name"},
-		{Plain, "a", `{"address":"host:1"}`, "address"},
-		{Plain, "a", `{"address":"10.0.0.1:1","state":"odd"}`, "state"},
-		{Plain, "a", `{"address":"10.0.0.1:1","weight":-1}`, "weight"},
-		{Plain, "a", `{"address":"10.0.0.1:1","started":"yesterday"}`, "started"},
-		{Plain, "a", `{"address":"10.0.0.1:1","more":1}`, "more"},
-		{Plain, "a", `[]`, "json"},
-		{Naming, "a", `{"Op":0,"Addr":"10.0.0.1:1","Metadata":null}`, ""},
-		{Naming, "a", `{"Op":0}`, "address"},
-		{Naming, "a", `1`, "json"},
+		{FormPlain, "a", `{"address":"10.0.0.1:1","weight":2,"zone":"z","kind":"k","group":3,"started":"1970-01-01T00:00:01Z"}`, ""},
+		{FormPlain, "", `{"address":"10.0.0.1:1"}`, "without a name"},
+		{FormPlain, "a", `{"address":"host:1"}`, "address"},
+		{FormPlain, "a", `{"address":"10.0.0.1:1","state":"odd"}`, "state"},
+		{FormPlain, "a", `{"address":"10.0.0.1:1","weight":-1}`, "weight"},
+		{FormPlain, "a", `{"address":"10.0.0.1:1","started":"yesterday"}`, "started"},
+		{FormPlain, "a", `{"address":"10.0.0.1:1","more":1}`, "more"},
+		{FormPlain, "a", `[]`, "json"},
+		{FormNaming, "a", `{"Op":0,"Addr":"10.0.0.1:1","Metadata":null}`, ""},
+		{FormNaming, "a", `{"Op":0}`, "address"},
+		{FormNaming, "a", `1`, "json"},
 	} {
 		m, err := Decode(c.form, c.name, []byte(c.text))
 		if c.want == "" && (err != nil || m.Address != "10.0.0.1:1" || m.State != balance.Ready) || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %+v, %v", c.text, m, err)
 		}
 	}
-	if m, _ := Decode(Plain, "a", []byte(`{"address":"10.0.0.1:1","weight":2,"started":"1970-01-01T00:00:01Z"}`)); m.Weight != 2 || m.Since != time.Second {
+	if m, _ := Decode(FormPlain, "a", []byte(`{"address":"10.0.0.1:1","weight":2,"started":"1970-01-01T00:00:01Z"}`)); m.Weight != 2 || m.StartedAt != time.Second {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -21,14 +21,14 @@
 
 // The invariants.
 const (
-	Drain      Invariant = iota // nothing begins at an endpoint that drains or is gone, once the grace after the news is over
-	StaleList                   // nothing begins by an endpoint list whose lease has run out
-	Repeat                      // nothing that may have run begins again unless its class allows it
-	Copies                      // no two attempts of a request are out at once unless the settings allow it
-	ClientGone                  // nothing begins for a client that has left or has its answer
-	TimeLeft                    // an endpoint is told at most the time that the client has left
-	Answer                      // a request that was read has a final answer before its connection is closed
-	Start                       // nothing is taken before there is a list to send by, or once the process is about to end
+	Drain       Invariant = iota // nothing begins at an endpoint that drains or is gone, once the grace after the news is over
+	StaleList                    // nothing begins by an endpoint list whose lease has run out
+	Retry                        // nothing that may have run begins again unless its class allows it
+	Hedge                        // no two attempts of a request are out at once unless the settings allow it
+	ClientGone                   // nothing begins for a client that has left or has its answer
+	TimeLeft                     // an endpoint is told at most the time that the client has left
+	FinalAnswer                  // a request that was read has a final answer before its connection is closed
+	Start                        // nothing is taken before there is a list to send by, or once the process is about to end
 	invariants
 )
 
@@ -54,86 +54,86 @@
 // Denial says which invariant something would break. It is an error.
 type Denial struct {
 	Invariant Invariant
-	Why       string
+	Reason    string
 }
 
-func (d *Denial) Error() string { return fmt.Sprintf("%s: %s", d.Invariant, d.Why) }
+func (d *Denial) Error() string { return fmt.Sprintf("%s: %s", d.Invariant, d.Reason) }
 
 // Sending are the facts about an attempt before its first byte. Times are on one clock; 0 stands for never.
-type Sending struct {
+type SendFacts struct {
 	Now            time.Duration
 	EndpointClosed bool // discovery says that it drains or is gone
-	ListTooOld     bool // the lease of the endpoint list has run out
+	LeaseExpired   bool // the lease of the endpoint list has run out
 	Answered       bool // the client has its answer, or nobody waits for one
-	ClientLeft     bool
+	ClientGone     bool
 	Cancelled      bool
 	Deadline       time.Duration // of the attempt
-	Window         time.Duration // the end of the time in which a repeat is dropped; 0 for none
+	RetryWindowEnd time.Duration // the end of the time in which a repeat is dropped; 0 for none
 }
 
 // MaySend tells whether an attempt may begin.
-func MaySend(s Sending) *Denial {
+func MaySend(s SendFacts) *Denial {
 	switch {
 	case s.EndpointClosed:
 		return &Denial{Drain, "the endpoint takes nothing new"}
-	case s.ListTooOld:
+	case s.LeaseExpired:
 		return &Denial{StaleList, "the endpoint list is too old"}
 	case s.Answered, s.Cancelled:
 		return &Denial{ClientGone, "the request is over"}
-	case s.ClientLeft:
+	case s.ClientGone:
 		return &Denial{ClientGone, "the client has left"}
 	case s.Now >= s.Deadline:
 		return &Denial{TimeLeft, "no time is left"}
-	case s.Window > 0 && s.Now >= s.Window:
-		return &Denial{Repeat, "a repeat would not be dropped any more"}
+	case s.RetryWindowEnd > 0 && s.Now >= s.RetryWindowEnd:
+		return &Denial{Retry, "a repeat would not be dropped any more"}
 	}
 	return nil
 }
 
 // Repeating are the facts about a request that is to be sent once more.
-type Repeating struct {
-	Attempts   int  // before this one
-	Out        int  // of them, those without an outcome
-	MayHaveRun bool // one of those that have ended
-	Unsafe     bool // its class must never run twice
-	Parallel   bool // the settings allow two attempts at once
+type RetryFacts struct {
+	Attempts       int  // before this one
+	InFlight       int  // of them, those without an outcome
+	MayHaveRun     bool // one of those that have ended
+	Unsafe         bool // its class must never run twice
+	HedgingAllowed bool // the settings allow two attempts at once
 }
 
 // MayRepeat tells whether a request may be sent once more.
-func MayRepeat(r Repeating) *Denial {
+func MayRetry(r RetryFacts) *Denial {
 	switch {
 	case r.Attempts == 0:
 		return nil
-	case r.Out > 0 && !r.Parallel:
-		return &Denial{Copies, "an attempt is out"}
-	case r.Unsafe && (r.Out > 0 || r.MayHaveRun):
-		return &Denial{Repeat, "an attempt may have run"}
+	case r.InFlight > 0 && !r.HedgingAllowed:
+		return &Denial{Hedge, "an attempt is out"}
+	case r.Unsafe && (r.InFlight > 0 || r.MayHaveRun):
+		return &Denial{Retry, "an attempt may have run"}
 	}
 	return nil
 }
 
 // Closing are the facts about a client's connection that is to be closed.
-type Closing struct {
+type CloseFacts struct {
 	Unanswered bool // a request was read whole and has no answer
-	ClientLeft bool // by its own end of the connection, or by taking nothing
+	ClientGone bool // by its own end of the connection, or by taking nothing
 }
 
 // MayClose tells whether a client's connection may be closed.
-func MayClose(c Closing) *Denial {
-	if c.Unanswered && !c.ClientLeft {
-		return &Denial{Answer, "a request has no answer"}
+func MayClose(c CloseFacts) *Denial {
+	if c.Unanswered && !c.ClientGone {
+		return &Denial{FinalAnswer, "a request has no answer"}
 	}
 	return nil
 }
 
 // Starting are the facts about a process that is to take requests.
-type Starting struct {
+type StartFacts struct {
 	Serving  bool // it has an endpoint list, and runs what sends by it
 	Stopping bool
 }
 
 // MayStart tells whether a process may say that it is ready.
-func MayStart(s Starting) *Denial {
+func MayStart(s StartFacts) *Denial {
 	switch {
 	case !s.Serving:
 		return &Denial{Start, "it has no endpoint list yet"}
@@ -144,37 +144,37 @@
 }
 
 // Began are the notes of an attempt that has begun, and what its process knew, when. Times are on one clock; 0 is never.
-type Began struct {
-	ID               string // of the request
-	Endpoint         string
-	At               time.Duration // before its first byte
-	TimeTold         time.Duration // that the endpoint was told
-	Deadline         time.Duration // of the request
-	ClosedAt         time.Duration // word that the endpoint drains or is gone was taken
-	Grace            time.Duration // after that word
-	OverAt           time.Duration // the client left, or had its answer
-	Held             bool          // the lease of the list had run out then
-	EarlierMayRun    bool          // an earlier attempt may have run, or was out
-	EarlierOut       bool
-	Unsafe, Parallel bool          // as in Repeating
-	WindowEnds       time.Duration // a repeat of what may have run is dropped until then; 0 where there is none
-	NoList           bool          // the process had taken no endpoint list by then
+type AttemptRecord struct {
+	RequestID              string // of the request
+	Endpoint               string
+	BegunAt                time.Duration // before its first byte
+	TimeoutSent            time.Duration // that the endpoint was told
+	Deadline               time.Duration // of the request
+	ClosedAt               time.Duration // word that the endpoint drains or is gone was taken
+	DrainGrace             time.Duration // after that word
+	RequestEndedAt         time.Duration // the client left, or had its answer
+	LeaseExpired           bool          // the lease of the list had run out then
+	EarlierMayRun          bool          // an earlier attempt may have run, or was out
+	EarlierInFlight        bool
+	Unsafe, HedgingAllowed bool          // as in Repeating
+	RetryWindowEnd         time.Duration // a repeat of what may have run is dropped until then; 0 where there is none
+	NoEndpointList         bool          // the process had taken no endpoint list by then
 }
 
 // violations are the invariants that an attempt has broken.
-func (b *Began) violations() (out []Invariant) {
+func (b *AttemptRecord) violations() (out []Invariant) {
 	add := func(i Invariant, broken bool) {
 		if broken {
 			out = append(out, i)
 		}
 	}
-	add(Drain, b.ClosedAt > 0 && b.At > b.ClosedAt+b.Grace)
-	add(StaleList, b.Held)
-	add(Repeat, b.EarlierMayRun && (b.Unsafe || b.WindowEnds > 0 && b.At > b.WindowEnds))
-	add(Copies, b.EarlierOut && !b.Parallel)
-	add(ClientGone, b.OverAt > 0 && b.At > b.OverAt+goneGrace)
-	add(TimeLeft, b.TimeTold > b.Deadline-b.At+timeSlack)
-	add(Start, b.NoList)
+	add(Drain, b.ClosedAt > 0 && b.BegunAt > b.ClosedAt+b.DrainGrace)
+	add(StaleList, b.LeaseExpired)
+	add(Retry, b.EarlierMayRun && (b.Unsafe || b.RetryWindowEnd > 0 && b.BegunAt > b.RetryWindowEnd))
+	add(Hedge, b.EarlierInFlight && !b.HedgingAllowed)
+	add(ClientGone, b.RequestEndedAt > 0 && b.BegunAt > b.RequestEndedAt+goneGrace)
+	add(TimeLeft, b.TimeoutSent > b.Deadline-b.BegunAt+timeSlack)
+	add(Start, b.NoEndpointList)
 	return out
 }
 
@@ -197,10 +197,10 @@
 }
 
 // Check counts what an attempt has broken.
-func (g *Guard) Check(b Began) {
+func (g *Guard) Check(b AttemptRecord) {
 	for _, i := range b.violations() {
-		g.Violated(i, "id", b.ID, "endpoint", b.Endpoint, "at", b.At, "told", b.TimeTold, "deadline", b.Deadline, "closed_at", b.ClosedAt,
-			"over_at", b.OverAt)
+		g.RecordViolation(i, "id", b.RequestID, "endpoint", b.Endpoint, "at", b.BegunAt, "told", b.TimeoutSent, "deadline", b.Deadline, "closed_at", b.ClosedAt,
+			"over_at", b.RequestEndedAt)
 	}
 }
 
@@ -210,7 +210,7 @@
 )
 
 // Violated counts a violation and logs it, with what is known of it.
-func (g *Guard) Violated(i Invariant, about ...any) {
+func (g *Guard) RecordViolation(i Invariant, about ...any) {
 	n := g.violations[i].Add(1)
 	if n <= logAll || n%logSome == 0 {
 		g.log.Error("invariant violated", append([]any{"invariant", i.String(), "count", n}, about...)...)
--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -16,14 +16,14 @@
 
 // Account is the whole of it. Shares lie in 0..1; a share of nothing is 0.
 type Account struct {
-	Operations int     `json:"operations"` // clients' pieces of business
-	Tries      int     `json:"tries"`      // of clients
-	Attempts   int     `json:"attempts"`   // that reached instances, all tiers
-	PerOp      float64 `json:"attempts_per_operation"`
-	Most       int     `json:"most_attempts"`  // that one operation caused
-	Extra      float64 `json:"extra_attempts"` // share of attempts beyond the first of each call
-	Work       float64 `json:"work"`           // core-seconds that instances began
-	Lost       float64 `json:"lost_work"`      // share of it whose answer reached no client
+	ClientRequests     int     `json:"operations"` // clients' pieces of business
+	ClientAttempts     int     `json:"tries"`      // of clients
+	Attempts           int     `json:"attempts"`   // that reached instances, all tiers
+	AttemptsPerRequest float64 `json:"attempts_per_operation"`
+	MaxAttempts        int     `json:"most_attempts"`  // that one operation caused
+	ExtraAttempts      float64 `json:"extra_attempts"` // share of attempts beyond the first of each call
+	Work               float64 `json:"work"`           // core-seconds that instances began
+	LostWork           float64 `json:"lost_work"`      // share of it whose answer reached no client
 
 	Tiers     []Tier     `json:"tiers"`
 	Sidecars  []Sidecar  `json:"sidecars"`
@@ -34,62 +34,62 @@
 
 // Rate is a count and the most of it in one second.
 type Rate struct {
-	Count int `json:"count"`
-	Most  int `json:"most_a_second"`
+	Count        int `json:"count"`
+	MaxPerSecond int `json:"most_a_second"`
 }
 
 // Tier is what happened in front of a tier and at its instances.
 type Tier struct {
-	Calls    int     `json:"calls"`    // operations that its sidecars took
-	Attempts int     `json:"attempts"` // that reached its instances
-	Refused  int     `json:"refused"`  // answered busy by its sidecars
-	Failed   int     `json:"failed"`
-	Turned   int     `json:"turned"` // attempts that instances turned away
-	Work     float64 `json:"work"`
-	Lost     float64 `json:"lost_work"`
-	Spread   float64 `json:"refusals_spread"` // between its sidecars' shares of refusals, of those with like traffic
+	Requests         int     `json:"calls"`    // operations that its sidecars took
+	Attempts         int     `json:"attempts"` // that reached its instances
+	Rejected         int     `json:"refused"`  // answered busy by its sidecars
+	Failed           int     `json:"failed"`
+	RejectedAttempts int     `json:"turned"` // attempts that instances turned away
+	Work             float64 `json:"work"`
+	LostWork         float64 `json:"lost_work"`
+	RejectionSpread  float64 `json:"refusals_spread"` // between its sidecars' shares of refusals, of those with like traffic
 }
 
 // Sidecar is one sidecar beside the others of its tier.
 type Sidecar struct {
-	Name    string `json:"name"`
-	Tier    int    `json:"tier"`
-	Calls   int    `json:"calls"`
-	Refused int    `json:"refused"`
+	Name     string `json:"name"`
+	Tier     int    `json:"tier"`
+	Requests int    `json:"calls"`
+	Rejected int    `json:"refused"`
 }
 
 // Instance is what all sidecars together did to an instance.
 type Instance struct {
-	Name        string `json:"name"`
-	Tier        int    `json:"tier"`
-	Probes      Rate   `json:"probes"`
-	Connections Rate   `json:"connections"`
-	Trials      Rate   `json:"trials"` // attempts after one that was not served, up to the next that is
-	Attempts    Rate   `json:"attempts"`
+	Name                 string `json:"name"`
+	Tier                 int    `json:"tier"`
+	Probes               Rate   `json:"probes"`
+	Connections          Rate   `json:"connections"`
+	AttemptsAfterFailure Rate   `json:"trials"` // attempts after one that was not served, up to the next that is
+	Attempts             Rate   `json:"attempts"`
 }
 
 // Second is one second of a run.
 type Second struct {
-	Asked     int     `json:"asked"`   // pieces of business that came
-	Worth     float64 `json:"worth"`   // asked for
-	InTime    float64 `json:"in_time"` // of that worth, served by the aim
-	Classes   []Class `json:"classes"`
-	Repeats   int     `json:"repeats"` // tries of clients after the first
-	Attempts  []int   `json:"attempts"`
-	Refused   []int   `json:"refused"` // by sidecars, by tier
-	Probes    int     `json:"probes"`
-	Opened    int     `json:"opened"`
-	Discovery int     `json:"discovery"`
+	ClientRequests    int     `json:"asked"`   // pieces of business that came
+	Utility           float64 `json:"worth"`   // asked for
+	InTime            float64 `json:"in_time"` // of that worth, served by the aim
+	Classes           []Class `json:"classes"`
+	ClientRetries     int     `json:"repeats"` // tries of clients after the first
+	Attempts          []int   `json:"attempts"`
+	Rejected          []int   `json:"refused"` // by sidecars, by tier
+	Probes            int     `json:"probes"`
+	ConnectionsOpened int     `json:"opened"`
+	Discovery         int     `json:"discovery"`
 }
 
 // Class is one class's part of a second.
 type Class struct {
-	Worth  float64 `json:"worth"`
-	InTime float64 `json:"in_time"`
+	Utility float64 `json:"worth"`
+	InTime  float64 `json:"in_time"`
 }
 
 // Of adds up the entries of a run, which are in order of time.
-func Of(entries []ledger.Entry, goal ledger.Goal) *Account {
+func Summarize(entries []ledger.Entry, goal ledger.Objective) *Account {
 	b := &book{a: &Account{}, calls: map[string]*call{}, copies: map[uint64]*attempt{}, under: map[uint64][]string{},
 		tries: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
 	for i := range entries {
@@ -174,7 +174,7 @@
 	key := [2]int{what, int(at / time.Second)}
 	i.seconds[key]++
 	r.Count++
-	r.Most = max(r.Most, i.seconds[key])
+	r.MaxPerSecond = max(r.MaxPerSecond, i.seconds[key])
 }
 
 func (b *book) sidecar(e *ledger.Entry) *Sidecar {
@@ -188,46 +188,46 @@
 
 func (b *book) take(e *ledger.Entry) {
 	switch e.Kind {
-	case ledger.Asked, ledger.Unasked:
+	case ledger.RequestSent, ledger.RequestUnsent:
 		b.ask(e)
-	case ledger.Arrived:
+	case ledger.AttemptArrived:
 		b.arrive(e)
-	case ledger.Ended:
+	case ledger.AttemptEnded:
 		b.ended(e)
 	case ledger.Answered:
 		b.answered(e)
-	case ledger.Opened:
+	case ledger.ConnectionOpened:
 		i := b.instance(e)
 		i.count(&i.Connections, opened, e.At)
-		b.second(e.At).Opened++
+		b.second(e.At).ConnectionsOpened++
 	case ledger.Probed:
 		i := b.instance(e)
 		i.count(&i.Probes, probes, e.At)
 		b.second(e.At).Probes++
-	case ledger.Called:
+	case ledger.DiscoveryCalled:
 		s := b.second(e.At)
 		s.Discovery++
 		b.a.Discovery.Count++
-		b.a.Discovery.Most = max(b.a.Discovery.Most, s.Discovery)
+		b.a.Discovery.MaxPerSecond = max(b.a.Discovery.MaxPerSecond, s.Discovery)
 	}
 }
 
 func (b *book) ask(e *ledger.Entry) {
-	if e.Client > 0 {
-		b.tries[e.Client] = append(b.tries[e.Client], e.ID)
-		b.a.Tries++
-		if e.Repeat {
-			b.second(e.At).Repeats++
+	if e.ClientRequest > 0 {
+		b.tries[e.ClientRequest] = append(b.tries[e.ClientRequest], e.ID)
+		b.a.ClientAttempts++
+		if e.Retry {
+			b.second(e.At).ClientRetries++
 		}
 	}
-	if e.Kind == ledger.Unasked {
+	if e.Kind == ledger.RequestUnsent {
 		return
 	}
 	b.calls[e.ID] = &call{tier: e.Tier}
-	b.tier(e.Tier).Calls++
-	b.sidecar(e).Calls++
-	if e.Parent != 0 {
-		b.under[e.Parent] = append(b.under[e.Parent], e.ID)
+	b.tier(e.Tier).Requests++
+	b.sidecar(e).Requests++
+	if e.ParentAttempt != 0 {
+		b.under[e.ParentAttempt] = append(b.under[e.ParentAttempt], e.ID)
 	}
 }
 
@@ -237,25 +237,25 @@
 	at(&b.second(e.At).Attempts, e.Tier)
 	i.count(&i.Attempts, attempts, e.At)
 	if i.unserved {
-		i.count(&i.Trials, trials, e.At)
+		i.count(&i.AttemptsAfterFailure, trials, e.At)
 	}
 	silent := e.Note == "silent"
-	b.copies[e.Copy] = &attempt{tier: e.Tier, work: e.Work, void: silent}
+	b.copies[e.AttemptID] = &attempt{tier: e.Tier, work: e.Work, void: silent}
 	c := b.calls[e.ID]
 	if c == nil { // its caller was gone before its word of the request was entered
 		c = &call{tier: e.Tier}
 		b.calls[e.ID] = c
 	}
-	c.copies = append(c.copies, e.Copy)
+	c.copies = append(c.copies, e.AttemptID)
 	i.unserved = i.unserved || silent
 }
 
 func (b *book) ended(e *ledger.Entry) {
 	i := b.instance(e)
 	i.unserved = e.Outcome != "served"
-	if x := b.copies[e.Copy]; x != nil && e.Outcome == "turned" {
+	if x := b.copies[e.AttemptID]; x != nil && e.Outcome == "turned" {
 		x.void = true
-		b.tier(e.Tier).Turned++
+		b.tier(e.Tier).RejectedAttempts++
 	}
 }
 
@@ -270,9 +270,9 @@
 			}
 		}
 	case e.Status == 503 || e.Status == 429:
-		b.tier(e.Tier).Refused++
-		b.sidecar(e).Refused++
-		at(&b.second(e.At).Refused, e.Tier)
+		b.tier(e.Tier).Rejected++
+		b.sidecar(e).Rejected++
+		at(&b.second(e.At).Rejected, e.Tier)
 	default:
 		b.tier(e.Tier).Failed++
 	}
@@ -285,23 +285,23 @@
 }
 
 // worths counts what clients asked for and got, by the second in which they asked.
-func (b *book) worths(entries []ledger.Entry, goal ledger.Goal) {
-	for _, c := range ledger.Clients(entries) {
-		if c.Tries == 0 || c.Class >= len(goal.Classes) {
+func (b *book) worths(entries []ledger.Entry, goal ledger.Objective) {
+	for _, c := range ledger.ClientRequests(entries) {
+		if c.Attempts == 0 || c.Class >= len(goal.Classes) {
 			continue
 		}
-		b.a.Operations++
-		s, worth := b.second(c.Asked), goal.Classes[c.Class].Worth
-		if goal.ByWork {
+		b.a.ClientRequests++
+		s, worth := b.second(c.IntendedAt), goal.Classes[c.Class].Utility
+		if goal.UtilityPerWork {
 			worth *= c.Work
 		}
 		if s.Classes == nil {
 			s.Classes = make([]Class, len(goal.Classes))
 		}
-		s.Asked++
-		s.Worth += worth
-		s.Classes[c.Class].Worth += worth
-		if c.Served != 0 && c.Served <= c.Asked+goal.Classes[c.Class].Aim {
+		s.ClientRequests++
+		s.Utility += worth
+		s.Classes[c.Class].Utility += worth
+		if c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+goal.Classes[c.Class].LatencyTarget {
 			s.InTime += worth
 			s.Classes[c.Class].InTime += worth
 		}
@@ -334,7 +334,7 @@
 		for _, id := range ids {
 			n += b.caused(id, true)
 		}
-		a.Most = max(a.Most, n)
+		a.MaxAttempts = max(a.MaxAttempts, n)
 	}
 	lost := make([]float64, len(a.Tiers))
 	for _, x := range b.copies {
@@ -351,21 +351,21 @@
 		a.Attempts += a.Tiers[t].Attempts
 		a.Work += a.Tiers[t].Work
 		sum += lost[t]
-		a.Tiers[t].Lost = part(lost[t], a.Tiers[t].Work)
+		a.Tiers[t].LostWork = part(lost[t], a.Tiers[t].Work)
 	}
-	a.Lost = part(sum, a.Work)
+	a.LostWork = part(sum, a.Work)
 	for _, c := range b.calls {
 		if len(c.copies) > 0 {
 			firsts++
 		}
 	}
-	a.PerOp, a.Extra = part(float64(a.Attempts), float64(a.Operations)), part(float64(a.Attempts-firsts), float64(a.Attempts))
+	a.AttemptsPerRequest, a.ExtraAttempts = part(float64(a.Attempts), float64(a.ClientRequests)), part(float64(a.Attempts-firsts), float64(a.Attempts))
 	for _, s := range b.sidecars {
 		a.Sidecars = append(a.Sidecars, *s)
 	}
 	slices.SortFunc(a.Sidecars, func(x, y Sidecar) int { return cmp.Or(x.Tier-y.Tier, cmp.Compare(x.Name, y.Name)) })
 	for t := range a.Tiers {
-		a.Tiers[t].Spread = spread(a.Sidecars, t)
+		a.Tiers[t].RejectionSpread = spread(a.Sidecars, t)
 	}
 	for _, i := range b.instances {
 		a.Instances = append(a.Instances, i.Instance)
@@ -379,19 +379,19 @@
 func spread(all []Sidecar, tier int) float64 {
 	var of []Sidecar
 	for _, s := range all {
-		if s.Tier == tier && s.Calls > 0 {
+		if s.Tier == tier && s.Requests > 0 {
 			of = append(of, s)
 		}
 	}
 	if len(of) == 0 {
 		return 0
 	}
-	slices.SortFunc(of, func(x, y Sidecar) int { return x.Calls - y.Calls })
-	middle := float64(of[len(of)/2].Calls)
+	slices.SortFunc(of, func(x, y Sidecar) int { return x.Requests - y.Requests })
+	middle := float64(of[len(of)/2].Requests)
 	low, high := 1.0, 0.0
 	for _, s := range of {
-		if n := float64(s.Calls); n >= 0.75*middle && n <= 4*middle/3 {
-			share := float64(s.Refused) / n
+		if n := float64(s.Requests); n >= 0.75*middle && n <= 4*middle/3 {
+			share := float64(s.Rejected) / n
 			low, high = math.Min(low, share), math.Max(high, share)
 		}
 	}
@@ -406,18 +406,18 @@
 }
 
 // All is every class.
-const All = -1
+const AllClasses = -1
 
 // Served is the share of the worth asked for from one time to another that was served in time, of one class or of All; ok
 // is false where nothing was asked for.
-func (a *Account) Served(class int, from, to time.Duration) (share float64, ok bool) {
+func (a *Account) ServedShare(class int, from, to time.Duration) (share float64, ok bool) {
 	worth, got := a.sum(class, from, to)
 	return part(got, worth), worth > 0
 }
 
 // Worth is what was served in time from one time to another, a second.
-func (a *Account) Worth(from, to time.Duration) float64 {
-	_, got := a.sum(All, from, to)
+func (a *Account) UtilityRate(from, to time.Duration) float64 {
+	_, got := a.sum(AllClasses, from, to)
 	return part(got, (to - from).Seconds())
 }
 
@@ -427,10 +427,10 @@
 			continue
 		}
 		switch {
-		case class == All:
-			worth, got = worth+s.Worth, got+s.InTime
+		case class == AllClasses:
+			worth, got = worth+s.Utility, got+s.InTime
 		case class < len(s.Classes):
-			worth, got = worth+s.Classes[class].Worth, got+s.Classes[class].InTime
+			worth, got = worth+s.Classes[class].Utility, got+s.Classes[class].InTime
 		}
 	}
 	return worth, got
--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -10,23 +10,23 @@
 
 const ms = time.Millisecond
 
-var goal = ledger.Goal{Classes: []ledger.GoalClass{{Name: "look", Worth: 2, Aim: time.Second}}}
+var goal = ledger.Objective{Classes: []ledger.ClassObjective{{Name: "look", Utility: 2, LatencyTarget: time.Second}}}
 
 // story is a client whose first try is failed two tiers down, and whose second is served: written by hand, so that the sums
 // can be checked by hand.
 func story() []ledger.Entry {
 	asked := func(at time.Duration, id string, tier int, client int, parent uint64, repeat bool) ledger.Entry {
-		return ledger.Entry{At: at, Kind: ledger.Asked, ID: id, Tier: tier, Client: client, Parent: parent, Repeat: repeat,
+		return ledger.Entry{At: at, Kind: ledger.RequestSent, ID: id, Tier: tier, ClientRequest: client, ParentAttempt: parent, Retry: repeat,
 			Sidecar: fmt.Sprintf("s%d", tier), Work: 1}
 	}
 	arrived := func(at time.Duration, id string, tier int, n uint64, work float64) ledger.Entry {
-		return ledger.Entry{At: at, Kind: ledger.Arrived, ID: id, Tier: tier, Copy: n, Work: work, Instance: fmt.Sprintf("i%d", tier)}
+		return ledger.Entry{At: at, Kind: ledger.AttemptArrived, ID: id, Tier: tier, AttemptID: n, Work: work, Instance: fmt.Sprintf("i%d", tier)}
 	}
 	ended := func(at time.Duration, id string, tier int, n uint64, how string) ledger.Entry {
-		return ledger.Entry{At: at, Kind: ledger.Ended, ID: id, Tier: tier, Copy: n, Outcome: how, Instance: fmt.Sprintf("i%d", tier)}
+		return ledger.Entry{At: at, Kind: ledger.AttemptEnded, ID: id, Tier: tier, AttemptID: n, Outcome: how, Instance: fmt.Sprintf("i%d", tier)}
 	}
 	answered := func(at time.Duration, id string, tier, client, status int, note string) ledger.Entry {
-		return ledger.Entry{At: at, Kind: ledger.Answered, ID: id, Tier: tier, Client: client, Status: status, Note: note,
+		return ledger.Entry{At: at, Kind: ledger.Answered, ID: id, Tier: tier, ClientRequest: client, Status: status, Note: note,
 			Sidecar: fmt.Sprintf("s%d", tier)}
 	}
 	return []ledger.Entry{
@@ -37,35 +37,35 @@
 		asked(10*ms, "c", 0, 1, 0, true), arrived(11*ms, "c", 0, 4, 3),
 		asked(12*ms, "d", 1, 0, 4, false), arrived(13*ms, "d", 1, 5, 2), ended(14*ms, "d", 1, 5, "served"),
 		answered(15*ms, "d", 1, 0, 200, "i1/5"), ended(16*ms, "c", 0, 4, "served"), answered(17*ms, "c", 0, 1, 200, "i0/4"),
-		{At: 20 * ms, Kind: ledger.Opened, Instance: "i1", Tier: 1}, {At: 21 * ms, Kind: ledger.Opened, Instance: "i1", Tier: 1},
-		{At: 1100 * ms, Kind: ledger.Opened, Instance: "i1", Tier: 1}, {At: 30 * ms, Kind: ledger.Called, Sidecar: "s1", Tier: 1},
+		{At: 20 * ms, Kind: ledger.ConnectionOpened, Instance: "i1", Tier: 1}, {At: 21 * ms, Kind: ledger.ConnectionOpened, Instance: "i1", Tier: 1},
+		{At: 1100 * ms, Kind: ledger.ConnectionOpened, Instance: "i1", Tier: 1}, {At: 30 * ms, Kind: ledger.DiscoveryCalled, Sidecar: "s1", Tier: 1},
 	}
 }
 
 func TestAccount(t *testing.T) {
-	a := Of(story(), goal)
+	a := Summarize(story(), goal)
 	for _, c := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"operations", float64(a.Operations), 1}, {"tries", float64(a.Tries), 2}, {"attempts", float64(a.Attempts), 5}, {"most", float64(a.Most), 5},
-		{"per operation", a.PerOp, 5}, {"extra", a.Extra, 1.0 / 5}, // one of four calls was tried twice
-		{"work", a.Work, 3 + 4 + 3 + 2}, {"lost", a.Lost, 7.0 / 12}, // the turned one is no work
-		{"lost in tier 1", a.Tiers[1].Lost, 4.0 / 6}, {"turned", float64(a.Tiers[1].Turned), 1},
-		{"refused in tier 1", float64(a.Tiers[1].Refused), 1}, {"failed in tier 0", float64(a.Tiers[0].Failed), 1},
-		{"connections", float64(a.Instances[1].Connections.Count), 3}, {"most in a second", float64(a.Instances[1].Connections.Most), 2},
-		{"trials", float64(a.Instances[1].Trials.Count), 2}, // after the turned one, and after the failed one
-		{"discovery", float64(a.Discovery.Count), 1}, {"repeats", float64(a.Seconds[0].Repeats), 1},
-		{"worth", a.Seconds[0].Worth, 2}, {"in time", a.Seconds[0].InTime, 2},
+		{"operations", float64(a.ClientRequests), 1}, {"tries", float64(a.ClientAttempts), 2}, {"attempts", float64(a.Attempts), 5}, {"most", float64(a.MaxAttempts), 5},
+		{"per operation", a.AttemptsPerRequest, 5}, {"extra", a.ExtraAttempts, 1.0 / 5}, // one of four calls was tried twice
+		{"work", a.Work, 3 + 4 + 3 + 2}, {"lost", a.LostWork, 7.0 / 12}, // the turned one is no work
+		{"lost in tier 1", a.Tiers[1].LostWork, 4.0 / 6}, {"turned", float64(a.Tiers[1].RejectedAttempts), 1},
+		{"refused in tier 1", float64(a.Tiers[1].Rejected), 1}, {"failed in tier 0", float64(a.Tiers[0].Failed), 1},
+		{"connections", float64(a.Instances[1].Connections.Count), 3}, {"most in a second", float64(a.Instances[1].Connections.MaxPerSecond), 2},
+		{"trials", float64(a.Instances[1].AttemptsAfterFailure.Count), 2}, // after the turned one, and after the failed one
+		{"discovery", float64(a.Discovery.Count), 1}, {"repeats", float64(a.Seconds[0].ClientRetries), 1},
+		{"worth", a.Seconds[0].Utility, 2}, {"in time", a.Seconds[0].InTime, 2},
 	} {
 		if diff := c.got - c.want; diff > 1e-9 || diff < -1e-9 {
 			t.Errorf("%s: %g, want %g", c.name, c.got, c.want)
 		}
 	}
-	if share, ok := a.Served(0, 0, time.Second); !ok || share != 1 {
+	if share, ok := a.ServedShare(0, 0, time.Second); !ok || share != 1 {
 		t.Errorf("served %g %t", share, ok)
 	}
-	if _, ok := a.Served(All, time.Second, 2*time.Second); ok {
+	if _, ok := a.ServedShare(AllClasses, time.Second, 2*time.Second); ok {
 		t.Error("served of nothing")
 	}
 }
@@ -84,18 +84,18 @@
 // A further try counts if the entry refused its client at once before, and not if that one had waited or run.
 func TestAgain(t *testing.T) {
 	at := func(ms int, kind ledger.Kind, id string, client, status int) ledger.Entry {
-		return ledger.Entry{At: time.Duration(ms) * time.Millisecond, Kind: kind, ID: id, Client: client, Status: status}
+		return ledger.Entry{At: time.Duration(ms) * time.Millisecond, Kind: kind, ID: id, ClientRequest: client, Status: status}
 	}
 	entries := []ledger.Entry{
-		at(100, ledger.Asked, "a", 1, 0), at(105, ledger.Answered, "a", 1, 503), // at once
-		at(100, ledger.Asked, "b", 2, 0), at(900, ledger.Answered, "b", 2, 503), // after a wait
-		at(901, ledger.Asked, "c", 3, 0), at(902, ledger.Arrived, "c", 0, 0), at(905, ledger.Answered, "c", 3, 503), // from below
-		at(910, ledger.Asked, "a2", 1, 0), at(911, ledger.Answered, "a2", 1, 503), // still refused
-		at(920, ledger.Asked, "a3", 1, 0), at(921, ledger.Arrived, "a3", 0, 0), // let in
-		at(930, ledger.Asked, "b2", 2, 0), at(931, ledger.Arrived, "b2", 0, 0), at(932, ledger.Asked, "c2", 3, 0),
-		at(2000, ledger.Asked, "a4", 1, 0), at(2001, ledger.Arrived, "a4", 0, 0), // too late to count
+		at(100, ledger.RequestSent, "a", 1, 0), at(105, ledger.Answered, "a", 1, 503), // at once
+		at(100, ledger.RequestSent, "b", 2, 0), at(900, ledger.Answered, "b", 2, 503), // after a wait
+		at(901, ledger.RequestSent, "c", 3, 0), at(902, ledger.AttemptArrived, "c", 0, 0), at(905, ledger.Answered, "c", 3, 503), // from below
+		at(910, ledger.RequestSent, "a2", 1, 0), at(911, ledger.Answered, "a2", 1, 503), // still refused
+		at(920, ledger.RequestSent, "a3", 1, 0), at(921, ledger.AttemptArrived, "a3", 0, 0), // let in
+		at(930, ledger.RequestSent, "b2", 2, 0), at(931, ledger.AttemptArrived, "b2", 0, 0), at(932, ledger.RequestSent, "c2", 3, 0),
+		at(2000, ledger.RequestSent, "a4", 1, 0), at(2001, ledger.AttemptArrived, "a4", 0, 0), // too late to count
 	}
-	if tries, in := Again(entries, 0, 1500*time.Millisecond); tries != 2 || in != 1 {
+	if tries, in := RetriesAfterRejection(entries, 0, 1500*time.Millisecond); tries != 2 || in != 1 {
 		t.Errorf("%d tries, %d let in", tries, in)
 	}
 }
--- a/internal/lab/account/again.go
+++ b/internal/lab/account/again.go
@@ -11,7 +11,7 @@
 
 // Again counts, from one time to another, the further tries of clients that the entry has refused at once, and those of them
 // that were let in: where all sidecars refuse the same, asking elsewhere wins nothing. Entries are in order of time.
-func Again(entries []ledger.Entry, from, to time.Duration) (tries, letIn int) {
+func RetriesAfterRejection(entries []ledger.Entry, from, to time.Duration) (tries, letIn int) {
 	asked, reached := map[string]*ledger.Entry{}, map[string]bool{}
 	refused := map[int]bool{}
 	var later []string
@@ -21,16 +21,16 @@
 			continue
 		}
 		switch e.Kind {
-		case ledger.Asked:
-			if asked[e.ID] = e; refused[e.Client] && e.At >= from && e.At < to {
+		case ledger.RequestSent:
+			if asked[e.ID] = e; refused[e.ClientRequest] && e.At >= from && e.At < to {
 				later = append(later, e.ID)
 			}
-		case ledger.Arrived:
+		case ledger.AttemptArrived:
 			reached[e.ID] = true
 		case ledger.Answered:
 			a := asked[e.ID]
-			if a != nil && a.Client > 0 && a.At >= from && e.Status == 503 && e.At-a.At < refusedAtOnce && !reached[e.ID] {
-				refused[a.Client] = true
+			if a != nil && a.ClientRequest > 0 && a.At >= from && e.Status == 503 && e.At-a.At < refusedAtOnce && !reached[e.ID] {
+				refused[a.ClientRequest] = true
 			}
 		}
 	}
--- a/internal/lab/child/address.go
+++ b/internal/lab/child/address.go
@@ -9,8 +9,8 @@
 // its port to nobody who asks for any, and to the process, which names it. Between a listener's end and the start of the process
 // another stand-in took the port, and what was sent to the process went there.
 type Address struct {
-	text string
-	fd   int
+	hostPort string
+	fd       int
 }
 
 // Reserve finds an address that nobody uses and keeps it until Free.
@@ -30,18 +30,18 @@
 		at, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
-		a.Free()
+		a.Release()
 		return nil, err
 	}
-	a.text = fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
+	a.hostPort = fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	return a, nil
 }
 
 // String is the address as host:port.
-func (a *Address) String() string { return a.text }
+func (a *Address) String() string { return a.hostPort }
 
 // Free gives it up. It goes when the last process that was told of it has ended; nil has none.
-func (a *Address) Free() {
+func (a *Address) Release() {
 	if a != nil {
 		syscall.Close(a.fd)
 	}
--- a/internal/lab/child/address_test.go
+++ b/internal/lab/child/address_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	a.Free()
+	a.Release()
 	if err := draw(); err != nil {
 		t.Errorf("the draw cannot find it at all: %v", err)
 	}
--- a/internal/lab/child/child.go
+++ b/internal/lab/child/child.go
@@ -13,9 +13,9 @@
 
 // Child is a process whose output goes to a file.
 type Child struct {
-	Ended chan struct{} // closed at its end
-	cmd   *exec.Cmd
-	log   string
+	Done    chan struct{} // closed at its end
+	cmd     *exec.Cmd
+	logPath string
 }
 
 // Start starts a program with more variables in its environment and its output in a file.
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	defer out.Close()
-	c := &Child{Ended: make(chan struct{}), cmd: exec.Command(program, args...), log: log}
+	c := &Child{Done: make(chan struct{}), cmd: exec.Command(program, args...), logPath: log}
 	c.cmd.Env = append(os.Environ(), env...)
 	c.cmd.Stdout, c.cmd.Stderr = out, out
 	starter := NewStarter()
@@ -36,26 +36,26 @@
 	go func() {
 		c.cmd.Wait()
 		starter.Close()
-		close(c.Ended)
+		close(c.Done)
 	}()
 	return c, nil
 }
 
 // Control is a kitewood-control process.
-type Control struct {
+type ControlProcess struct {
 	*Child
 	Address string // that proxies connect to
 }
 
 // StartControl starts a control service in plain text, with its files in a folder. rest is the configuration's pools and routes.
-func StartControl(program, dir, name, rest string, env ...string) (c *Control, err error) {
+func StartControl(program, dir, name, rest string, env ...string) (c *ControlProcess, err error) {
 	at, err := Reserve()
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			at.Free()
+			at.Release()
 		}
 	}()
 	path := filepath.Join(dir, name+"-config.yaml")
@@ -68,10 +68,10 @@
 		return nil, err
 	}
 	go func() {
-		<-started.Ended
-		at.Free()
+		<-started.Done
+		at.Release()
 	}()
-	return &Control{Child: started, Address: at.String()}, nil
+	return &ControlProcess{Child: started, Address: at.String()}, nil
 }
 
 // Signal sends a signal.
@@ -80,7 +80,7 @@
 // Kill ends it at once.
 func (c *Child) Kill() {
 	c.cmd.Process.Kill()
-	<-c.Ended
+	<-c.Done
 }
 
 // Stop asks it to end and kills it if it takes longer than a time. It tells what was wrong with its end, "" for nothing:
@@ -89,7 +89,7 @@
 	c.Signal(syscall.SIGTERM)
 	late := ""
 	select {
-	case <-c.Ended:
+	case <-c.Done:
 	case <-time.After(within):
 		c.Kill()
 		late = fmt.Sprintf("it did not end within %s; ", within)
@@ -101,8 +101,8 @@
 }
 
 // Said is what it has written.
-func (c *Child) Said() string {
-	text, err := os.ReadFile(c.log)
+func (c *Child) Output() string {
+	text, err := os.ReadFile(c.logPath)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/lab/count/count_test.go
+++ b/internal/lab/count/count_test.go
@@ -39,16 +39,16 @@
 		t.Fatal(err)
 	}
 	w := f.Windows(time.Second)
-	if len(w) != 2 || w[0].Attempts != 3 || w[0].Opened != 3 || w[0].Asked != 1 || w[0].Statuses["timed out"] != 1 ||
-		w[0].ClientRepeats != 1 || w[0].Verdicts["served"] != 1 || w[1].Repeats != 1 || w[1].Lost != 1 || f.Sidecars[0] != 2 {
+	if len(w) != 2 || w[0].Attempts != 3 || w[0].ConnectionsOpened != 3 || w[0].DiscoveryCalls != 1 || w[0].Statuses["timed out"] != 1 ||
+		w[0].ClientRetries != 1 || w[0].Verdicts["served"] != 1 || w[1].Retries != 1 || w[1].WatchesEnded != 1 || f.Sidecars[0] != 2 {
 		t.Errorf("windows %+v %+v, sidecars %v", *w[0], *w[len(w)-1], f.Sidecars)
 	}
-	want := Destination{Name: "a", FirstSentAt: 500 * time.Millisecond, Sent: 4, OK: 2, MostOut: 3, ByAge: [4]int{0, 2}, Unanswered: 2,
-		Unserved: 200 * time.Millisecond}
-	if d := f.Destinations(); len(d) != 1 || *d[0] != want {
+	want := Endpoint{Name: "a", FirstSentAt: 500 * time.Millisecond, Sent: 4, OK: 2, MaxInFlight: 3, ByAge: [4]int{0, 2}, LongestFailureRun: 2,
+		FailureRunDuration: 200 * time.Millisecond}
+	if d := f.Endpoints(); len(d) != 1 || *d[0] != want {
 		t.Errorf("destinations %+v, want %+v", *d[0], want)
 	}
-	if o := f.Opens(); len(o) != 1 || o[0] != (Opens{Attempts: 4, First: 2, Beside: 1, Again: 1}) {
+	if o := f.ConnectionOpens(); len(o) != 1 || o[0] != (ConnectionOpens{Attempts: 4, First: 2, Concurrent: 1, Reopened: 1}) {
 		t.Errorf("opened %+v", o)
 	}
 	if got := f.SlowShare(0, 1.2); got != 0.5 {
--- a/internal/lab/count/read.go
+++ b/internal/lab/count/read.go
@@ -18,33 +18,33 @@
 // Attempt is one attempt of one sidecar. Its times count from the fleet's first line.
 type Attempt struct {
 	Sidecar, Tier, Class, Number int
-	Destination, Status          string
-	Sent, Ended                  time.Duration
+	Endpoint, Status             string
+	SentAt, EndedAt              time.Duration
 	Age                          time.Duration // of the destination when it was sent; 0 for long ago
-	Opened                       bool          // a connection was opened for it
+	OpenedConnection             bool          // a connection was opened for it
 }
 
 // Answer is one final answer of one sidecar.
 type Answer struct {
-	Tier    int
-	Verdict string
-	Repeat  bool
-	Came    time.Duration
+	Tier        int
+	Verdict     string
+	ClientRetry bool
+	ReceivedAt  time.Duration
 }
 
 // Call is a question to discovery, or the end of a watch.
-type Call struct {
-	Tier int
-	At   time.Duration
-	Lost bool
+type DiscoveryEvent struct {
+	Tier       int
+	At         time.Duration
+	WatchEnded bool
 }
 
 // Fleet is what the sidecars of a fleet logged.
 type Fleet struct {
-	Sidecars map[int]int // by tier
-	Attempts []Attempt   // by the time they were sent
-	Answers  []Answer
-	Calls    []Call
+	Sidecars        map[int]int // by tier
+	Attempts        []Attempt   // by the time they were sent
+	Answers         []Answer
+	DiscoveryEvents []DiscoveryEvent
 }
 
 // Read reads the logs of a folder, one file for each sidecar; all are of one clock. It fails where there is none, where
@@ -75,16 +75,16 @@
 		return nil, errors.New("the logs name no attempts: start the sidecars with --log-level debug")
 	}
 	for i := range f.Attempts {
-		f.Attempts[i].Sent -= start
-		f.Attempts[i].Ended -= start
+		f.Attempts[i].SentAt -= start
+		f.Attempts[i].EndedAt -= start
 	}
 	for i := range f.Answers {
-		f.Answers[i].Came -= start
+		f.Answers[i].ReceivedAt -= start
 	}
-	for i := range f.Calls {
-		f.Calls[i].At -= start
+	for i := range f.DiscoveryEvents {
+		f.DiscoveryEvents[i].At -= start
 	}
-	slices.SortStableFunc(f.Attempts, func(x, y Attempt) int { return int(x.Sent - y.Sent) })
+	slices.SortStableFunc(f.Attempts, func(x, y Attempt) int { return int(x.SentAt - y.SentAt) })
 	return f, nil
 }
 
@@ -110,13 +110,13 @@
 		case "attempt":
 			took := r.span("took")
 			f.Attempts = append(f.Attempts, Attempt{Sidecar: sidecar, Tier: tier, Class: r.number("class"),
-				Number: r.number("attempt"), Destination: l["destination"], Status: l["status"], Sent: at - took, Ended: at,
-				Age: max(r.span("age")-took, 0), Opened: l["opened"] == "true"})
+				Number: r.number("attempt"), Endpoint: l["destination"], Status: l["status"], SentAt: at - took, EndedAt: at,
+				Age: max(r.span("age")-took, 0), OpenedConnection: l["opened"] == "true"})
 		case "answer":
-			f.Answers = append(f.Answers, Answer{Tier: tier, Verdict: l["verdict"], Repeat: l["repeat"] == "true",
-				Came: at - r.span("took")})
+			f.Answers = append(f.Answers, Answer{Tier: tier, Verdict: l["verdict"], ClientRetry: l["repeat"] == "true",
+				ReceivedAt: at - r.span("took")})
 		case askedMsg, lostMsg:
-			f.Calls = append(f.Calls, Call{Tier: tier, At: at, Lost: l["msg"] == lostMsg})
+			f.DiscoveryEvents = append(f.DiscoveryEvents, DiscoveryEvent{Tier: tier, At: at, WatchEnded: l["msg"] == lostMsg})
 		}
 		if r.err != nil {
 			return first, fmt.Errorf("line %d: %w", n, r.err)
--- a/internal/lab/count/tally.go
+++ b/internal/lab/count/tally.go
@@ -8,15 +8,15 @@
 
 // Window is what all sidecars of one tier did in one stretch of time. Operations and attempts count where they began.
 type Window struct {
-	Tier              int
-	From              time.Duration
-	Operations        int
-	ClientRepeats     int            // operations that clients marked as repeats
-	Verdicts          map[string]int // final answers
-	Attempts, Repeats int            // attempts, and those that were not an operation's first
-	Statuses          map[string]int // how attempts ended
-	Opened            int            // connections opened
-	Asked, Lost       int            // calls to discovery, and watches that ended
+	Tier                         int
+	From                         time.Duration
+	Requests                     int
+	ClientRetries                int            // operations that clients marked as repeats
+	Verdicts                     map[string]int // final answers
+	Attempts, Retries            int            // attempts, and those that were not an operation's first
+	Statuses                     map[string]int // how attempts ended
+	ConnectionsOpened            int            // connections opened
+	DiscoveryCalls, WatchesEnded int            // calls to discovery, and watches that ended
 }
 
 // Windows adds up a fleet's doings in stretches of a length, by tier and time.
@@ -31,29 +31,29 @@
 		return all[p]
 	}
 	for _, a := range f.Answers {
-		w := at(a.Tier, a.Came)
-		w.Operations++
+		w := at(a.Tier, a.ReceivedAt)
+		w.Requests++
 		w.Verdicts[a.Verdict]++
-		if a.Repeat {
-			w.ClientRepeats++
+		if a.ClientRetry {
+			w.ClientRetries++
 		}
 	}
 	for _, a := range f.Attempts {
-		w := at(a.Tier, a.Sent)
+		w := at(a.Tier, a.SentAt)
 		w.Attempts++
 		w.Statuses[a.Status]++
 		if a.Number > 0 {
-			w.Repeats++
+			w.Retries++
 		}
-		if a.Opened {
-			w.Opened++
+		if a.OpenedConnection {
+			w.ConnectionsOpened++
 		}
 	}
-	for _, c := range f.Calls {
-		if c.Lost {
-			at(c.Tier, c.At).Lost++
+	for _, c := range f.DiscoveryEvents {
+		if c.WatchEnded {
+			at(c.Tier, c.At).WatchesEnded++
 		} else {
-			at(c.Tier, c.At).Asked++
+			at(c.Tier, c.At).DiscoveryCalls++
 		}
 	}
 	out := make([]*Window, 0, len(all))
@@ -67,45 +67,45 @@
 }
 
 // Ages are the bounds of the bands of age that sends to a destination are counted by; the last band has none.
-var Ages = [...]time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second}
+var AgeBounds = [...]time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second}
 
 // Destination is what one destination got from all sidecars together.
-type Destination struct {
-	Tier        int
-	Name        string
-	Sent, OK    int
-	MostOut     int            // attempts out at once
-	ByAge       [len(Ages)]int // sends by its age, none where it is old or its start is not known
-	Unanswered  int            // the most attempts in a row, by when they were sent, that were not served
-	Unserved    time.Duration  // from the first of these sends to the last
-	FirstSentAt time.Duration
+type Endpoint struct {
+	Tier               int
+	Name               string
+	Sent, OK           int
+	MaxInFlight        int                 // attempts out at once
+	ByAge              [len(AgeBounds)]int // sends by its age, none where it is old or its start is not known
+	LongestFailureRun  int                 // the most attempts in a row, by when they were sent, that were not served
+	FailureRunDuration time.Duration       // from the first of these sends to the last
+	FirstSentAt        time.Duration
 }
 
 // Destinations adds up what each destination got, by tier and by when it first got something.
-func (f *Fleet) Destinations() []*Destination {
-	all := map[string]*Destination{}
+func (f *Fleet) Endpoints() []*Endpoint {
+	all := map[string]*Endpoint{}
 	ends := map[string][]time.Duration{} // of attempts out, by destination
 	type run struct {
 		n    int
 		from time.Duration
 	}
 	runs := map[string]run{}
-	var out []*Destination
+	var out []*Endpoint
 	for _, a := range f.Attempts { // in the order they were sent
-		d := all[a.Destination]
+		d := all[a.Endpoint]
 		if d == nil {
-			d = &Destination{Tier: a.Tier, Name: a.Destination, FirstSentAt: a.Sent}
-			all[a.Destination] = d
+			d = &Endpoint{Tier: a.Tier, Name: a.Endpoint, FirstSentAt: a.SentAt}
+			all[a.Endpoint] = d
 			out = append(out, d)
 		}
 		d.Sent++
 		if a.Age > 0 {
-			if band := slices.IndexFunc(Ages[:], func(most time.Duration) bool { return a.Age < most }); band >= 0 {
+			if band := slices.IndexFunc(AgeBounds[:], func(most time.Duration) bool { return a.Age < most }); band >= 0 {
 				d.ByAge[band]++
 			}
 		}
-		still := append(slices.DeleteFunc(ends[d.Name], func(t time.Duration) bool { return t <= a.Sent }), a.Ended)
-		ends[d.Name], d.MostOut = still, max(d.MostOut, len(still))
+		still := append(slices.DeleteFunc(ends[d.Name], func(t time.Duration) bool { return t <= a.SentAt }), a.EndedAt)
+		ends[d.Name], d.MaxInFlight = still, max(d.MaxInFlight, len(still))
 		if a.Status == "ok" {
 			d.OK++
 			delete(runs, d.Name)
@@ -113,58 +113,58 @@
 		}
 		r := runs[d.Name]
 		if r.n == 0 {
-			r.from = a.Sent
+			r.from = a.SentAt
 		}
 		r.n++
 		runs[d.Name] = r
-		if r.n > d.Unanswered {
-			d.Unanswered, d.Unserved = r.n, a.Sent-r.from
+		if r.n > d.LongestFailureRun {
+			d.LongestFailureRun, d.FailureRunDuration = r.n, a.SentAt-r.from
 		}
 	}
-	slices.SortStableFunc(out, func(x, y *Destination) int { return cmp.Compare(x.Tier, y.Tier) })
+	slices.SortStableFunc(out, func(x, y *Endpoint) int { return cmp.Compare(x.Tier, y.Tier) })
 	return out
 }
 
 // Opens tells why a tier's connections were opened.
-type Opens struct {
+type ConnectionOpens struct {
 	Tier, Attempts int
 	First          int // a sidecar's first to the destination
-	Beside         int // another attempt of the sidecar was out there
-	Again          int // it had one before, and none was in use: it was closed, or had been too short a time at rest
+	Concurrent     int // another attempt of the sidecar was out there
+	Reopened       int // it had one before, and none was in use: it was closed, or had been too short a time at rest
 }
 
 // Opens adds up the connections that were opened, by tier.
-func (f *Fleet) Opens() []Opens {
+func (f *Fleet) ConnectionOpens() []ConnectionOpens {
 	type pair struct {
 		sidecar     int
 		destination string
 	}
 	met, until := map[pair]bool{}, map[pair]time.Duration{}
-	all := map[int]*Opens{}
+	all := map[int]*ConnectionOpens{}
 	for _, a := range f.Attempts {
 		o := all[a.Tier]
 		if o == nil {
-			o = &Opens{Tier: a.Tier}
+			o = &ConnectionOpens{Tier: a.Tier}
 			all[a.Tier] = o
 		}
 		o.Attempts++
-		p := pair{a.Sidecar, a.Destination}
+		p := pair{a.Sidecar, a.Endpoint}
 		switch {
-		case !a.Opened:
+		case !a.OpenedConnection:
 		case !met[p]:
 			o.First++
-		case until[p] > a.Sent:
-			o.Beside++
+		case until[p] > a.SentAt:
+			o.Concurrent++
 		default:
-			o.Again++
+			o.Reopened++
 		}
-		met[p], until[p] = met[p] || a.Opened, max(until[p], a.Ended)
+		met[p], until[p] = met[p] || a.OpenedConnection, max(until[p], a.EndedAt)
 	}
-	var out []Opens
+	var out []ConnectionOpens
 	for _, o := range all {
 		out = append(out, *o)
 	}
-	slices.SortFunc(out, func(x, y Opens) int { return cmp.Compare(x.Tier, y.Tier) })
+	slices.SortFunc(out, func(x, y ConnectionOpens) int { return cmp.Compare(x.Tier, y.Tier) })
 	return out
 }
 
@@ -179,11 +179,11 @@
 			}
 		}
 	}
-	served(func(a Attempt) { sum[a.Class] += a.Ended - a.Sent; n[a.Class]++ })
+	served(func(a Attempt) { sum[a.Class] += a.EndedAt - a.SentAt; n[a.Class]++ })
 	slow, all := 0, 0
 	served(func(a Attempt) {
 		all++
-		if float64(a.Ended-a.Sent) > times*float64(sum[a.Class])/float64(n[a.Class]) {
+		if float64(a.EndedAt-a.SentAt) > times*float64(sum[a.Class])/float64(n[a.Class]) {
 			slow++
 		}
 	})
--- a/internal/lab/dataplane/dataplane.go
+++ b/internal/lab/dataplane/dataplane.go
@@ -39,18 +39,18 @@
 type config struct {
 	Name, Listen, Discovery string
 	Seed                    string
-	Known                   list
+	Known                   endpointList
 }
 
 // list is an endpoint list as discovery writes it.
-type list struct {
+type endpointList struct {
 	Index     int64
 	Snapshot  bool
-	Endpoints []member
+	Endpoints []endpoint
 }
 
 // member is an entry of it.
-type member struct{ Name, Address, Status string }
+type endpoint struct{ Name, Address, Status string }
 
 // Serve runs a proxy by the configuration file of a sidecar until the context ends.
 func Serve(ctx context.Context, file string, o Options) error {
@@ -69,11 +69,11 @@
 	var p picker
 	switch o.Policy {
 	case RoundRobin, LeastRequest:
-		m := newMembers(c.Known, o.Policy, rand.New(rand.NewPCG(seed, 7)))
-		go m.follow(ctx, c.Discovery, o.Log)
+		m := newDiscoveryPicker(c.Known, o.Policy, rand.New(rand.NewPCG(seed, 7)))
+		go m.run(ctx, c.Discovery, o.Log)
 		p = m
 	case Weighted:
-		if p, err = newWeighted(ctx, c, o); err != nil {
+		if p, err = newXDSPicker(ctx, c, o); err != nil {
 			return err
 		}
 	default:
--- a/internal/lab/dataplane/forward.go
+++ b/internal/lab/dataplane/forward.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	attempts = 4                      // of one request at the most, as the platform's settings have it
-	margin   = 20 * time.Millisecond  // an answer leaves so long before the client stops waiting
-	connect  = 250 * time.Millisecond // as the platform's settings have it
-	body     = 64 << 10               // the protocol's largest
+	maxAttempts    = 4                      // of one request at the most, as the platform's settings have it
+	deadlineMargin = 20 * time.Millisecond  // an answer leaves so long before the client stops waiting
+	connectTimeout = 250 * time.Millisecond // as the platform's settings have it
+	maxBodyBytes   = 64 << 10               // the protocol's largest
 )
 
 // forwarder is the handler of a proxy.
@@ -27,11 +27,11 @@
 
 func newForwarder(p picker) *forwarder {
 	return &forwarder{picker: p, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 20 * time.Second,
-		DisableCompression: true, DialContext: (&net.Dialer{Timeout: connect}).DialContext}}}
+		DisableCompression: true, DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}}
 }
 
 // answer is an instance's.
-type answer struct {
+type response struct {
 	status int
 	body   []byte
 	load   map[string]float64
@@ -49,26 +49,26 @@
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond-margin)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond-deadlineMargin)
 	defer cancel()
-	payload, err := io.ReadAll(io.LimitReader(r.Body, body+1))
-	if err != nil || len(payload) > body {
+	payload, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(payload) > maxBodyBytes {
 		out.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	if f.picker.drops() {
+	if f.picker.shouldDrop() {
 		out.Header().Set("Retry-After", "1")
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var tried []string
-	for len(tried) < attempts && ctx.Err() == nil {
+	for len(tried) < maxAttempts && ctx.Err() == nil {
 		at, end := f.picker.pick(tried)
 		if at == "" {
 			break
 		}
 		tried = append(tried, at)
-		a, never, err := f.try(ctx, r, payload, at)
+		a, never, err := f.send(ctx, r, payload, at)
 		end(err == nil && a.status == http.StatusOK, a.load)
 		switch {
 		case never:
@@ -87,7 +87,7 @@
 }
 
 // try sends a request to a destination. never tells that it surely has not run there.
-func (f *forwarder) try(ctx context.Context, r *http.Request, payload []byte, at string) (a answer, never bool, err error) {
+func (f *forwarder) send(ctx context.Context, r *http.Request, payload []byte, at string) (a response, never bool, err error) {
 	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+at+r.URL.RequestURI(), bytes.NewReader(payload))
 	if err != nil {
 		return a, true, err
@@ -103,13 +103,13 @@
 		return a, errors.As(err, &op) && op.Op == "dial", err
 	}
 	defer got.Body.Close()
-	a = answer{status: got.StatusCode, load: loadOf(got.Header.Get("X-Backend-Load"))}
+	a = response{status: got.StatusCode, load: parseLoadReport(got.Header.Get("X-Backend-Load"))}
 	a.body, err = io.ReadAll(got.Body)
 	return a, got.Header.Get("X-Unprocessed") != "", err
 }
 
 // loadOf reads a load report of the protocol. What cannot be read is left out.
-func loadOf(text string) map[string]float64 {
+func parseLoadReport(text string) map[string]float64 {
 	out := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
--- a/internal/lab/dataplane/members.go
+++ b/internal/lab/dataplane/members.go
@@ -18,60 +18,60 @@
 	// ready tells whether there is anything to choose from.
 	ready() bool
 	// drops tells whether the next request is to be refused.
-	drops() bool
+	shouldDrop() bool
 	// pick finds a destination that is not among those tried, "" if there is none. end is told how it went.
 	pick(tried []string) (address string, end func(ok bool, load map[string]float64))
 }
 
 // members are the destinations that the platform's discovery names, chosen by a policy without knowledge of load.
-type members struct {
+type discoveryPicker struct {
 	policy string
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	index int64
-	known map[string]member
-	open  []string       // addresses that take new requests, in the order of names
-	out   map[string]int // own requests, by address
-	next  int
+	mu             sync.Mutex
+	rng            *rand.Rand
+	index          int64
+	endpoints      map[string]endpoint
+	readyAddresses []string       // addresses that take new requests, in the order of names
+	inFlight       map[string]int // own requests, by address
+	next           int
 }
 
-func newMembers(known list, policy string, rng *rand.Rand) *members {
-	m := &members{policy: policy, rng: rng, known: map[string]member{}, out: map[string]int{}, next: rng.IntN(1000)}
+func newDiscoveryPicker(known endpointList, policy string, rng *rand.Rand) *discoveryPicker {
+	m := &discoveryPicker{policy: policy, rng: rng, endpoints: map[string]endpoint{}, inFlight: map[string]int{}, next: rng.IntN(1000)}
 	known.Snapshot = true
-	m.take(known)
+	m.update(known)
 	return m
 }
 
 // take takes a list or what changed.
-func (m *members) take(l list) {
+func (m *discoveryPicker) update(l endpointList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l.Snapshot {
-		clear(m.known)
+		clear(m.endpoints)
 	}
 	for _, e := range l.Endpoints {
-		m.known[e.Name] = e
+		m.endpoints[e.Name] = e
 	}
 	m.index = l.Index
 	var names []string
-	for name, e := range m.known {
+	for name, e := range m.endpoints {
 		if e.Status == "Ready" {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	m.open = m.open[:0:0]
+	m.readyAddresses = m.readyAddresses[:0:0]
 	for _, name := range names {
-		m.open = append(m.open, m.known[name].Address)
+		m.readyAddresses = append(m.readyAddresses, m.endpoints[name].Address)
 	}
 }
 
 // silence is after how long without a line a watch is dead: discovery sends one every 2 s.
-const silence = 5 * time.Second
+const watchTimeout = 5 * time.Second
 
 // follow watches discovery until the context ends.
-func (m *members) follow(ctx context.Context, address string, log *slog.Logger) {
+func (m *discoveryPicker) run(ctx context.Context, address string, log *slog.Logger) {
 	for ctx.Err() == nil {
 		err := m.watch(ctx, address)
 		log.Debug("the watch of discovery has ended", "error", err)
@@ -85,10 +85,10 @@
 	}
 }
 
-func (m *members) watch(ctx context.Context, address string) error {
+func (m *discoveryPicker) watch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dead := time.AfterFunc(silence, cancel)
+	dead := time.AfterFunc(watchTimeout, cancel)
 	defer dead.Stop()
 	m.mu.Lock()
 	since := m.index
@@ -108,31 +108,31 @@
 	in := bufio.NewScanner(r.Body)
 	in.Buffer(nil, 4<<20)
 	for in.Scan() {
-		dead.Reset(silence)
+		dead.Reset(watchTimeout)
 		if len(in.Bytes()) == 0 {
 			continue
 		}
-		var l list
+		var l endpointList
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			return err
 		}
-		m.take(l)
+		m.update(l)
 	}
 	return in.Err()
 }
 
-func (m *members) ready() bool {
+func (m *discoveryPicker) ready() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.open) > 0
+	return len(m.readyAddresses) > 0
 }
 
-func (m *members) drops() bool { return false }
+func (m *discoveryPicker) shouldDrop() bool { return false }
 
-func (m *members) pick(tried []string) (string, func(bool, map[string]float64)) {
+func (m *discoveryPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	left := slices.DeleteFunc(slices.Clone(m.open), func(a string) bool { return slices.Contains(tried, a) })
+	left := slices.DeleteFunc(slices.Clone(m.readyAddresses), func(a string) bool { return slices.Contains(tried, a) })
 	if len(left) == 0 {
 		return "", nil
 	}
@@ -140,16 +140,16 @@
 	at := left[m.next%len(left)]
 	if m.policy == LeastRequest {
 		a, b := left[m.rng.IntN(len(left))], left[m.rng.IntN(len(left))]
-		if at = a; m.out[b] < m.out[a] {
+		if at = a; m.inFlight[b] < m.inFlight[a] {
 			at = b
 		}
 	}
-	m.out[at]++
+	m.inFlight[at]++
 	return at, func(bool, map[string]float64) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.out[at]--; m.out[at] == 0 {
-			delete(m.out, at)
+		if m.inFlight[at]--; m.inFlight[at] == 0 {
+			delete(m.inFlight, at)
 		}
 	}
 }
--- a/internal/lab/dataplane/weighted.go
+++ b/internal/lab/dataplane/weighted.go
@@ -10,18 +10,18 @@
 )
 
 // Host is what a proxy of a pool asks the control service's routes for.
-func Host(pool string) string { return pool + ".lab" }
+func RouteHost(pool string) string { return pool + ".lab" }
 
 // weighted are the destinations that a control service hands out over xDS.
-type weighted struct {
+type xdsPicker struct {
 	pool  string
 	table *proxy.Table
-	loads *proxy.Tracker
+	loads *proxy.LoadTracker
 	port  string // at which this proxy reaches instances
 }
 
 // newWeighted follows a control service.
-func newWeighted(ctx context.Context, c config, o Options) (*weighted, error) {
+func newXDSPicker(ctx context.Context, c config, o Options) (*xdsPicker, error) {
 	if len(c.Known.Endpoints) == 0 {
 		return nil, errors.New("the known list is empty: it tells the port at which this proxy reaches instances")
 	}
@@ -30,21 +30,21 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &weighted{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewTracker(), port: port}
-	w.table.Busy = w.loads.Busy
-	client := &proxy.Client{Node: c.Name, Servers: []string{o.Control}, Delta: true, Table: w.table, Loads: w.loads, Log: o.Log}
+	w := &xdsPicker{pool: o.Pool, table: proxy.NewTable(), loads: proxy.NewLoadTracker(), port: port}
+	w.table.InFlight = w.loads.InFlight
+	client := &proxy.Client{NodeID: c.Name, Servers: []string{o.Control}, Delta: true, Table: w.table, LoadTracker: w.loads, Log: o.Log}
 	go client.Run(ctx)
 	return w, nil
 }
 
-func (w *weighted) ready() bool { return w.table.Ready(w.pool) }
+func (w *xdsPicker) ready() bool { return w.table.Ready(w.pool) }
 
-func (w *weighted) drops() bool { return w.table.Drops(w.pool) }
+func (w *xdsPicker) shouldDrop() bool { return w.table.ShouldDrop(w.pool) }
 
-func (w *weighted) pick(tried []string) (string, func(bool, map[string]float64)) {
+func (w *xdsPicker) pick(tried []string) (string, func(bool, map[string]float64)) {
 	none := func(string) string { return "" }
 	for range 2 * (len(tried) + 1) { // the rotation moves on: another comes, if there is one
-		named, err := w.table.Pick(Host(w.pool), "/", none)
+		named, err := w.table.Pick(RouteHost(w.pool), "/", none)
 		if err != nil {
 			return "", nil
 		}
--- a/internal/lab/drill/closedloop.go
+++ b/internal/lab/drill/closedloop.go
@@ -27,8 +27,8 @@
 
 // closedLoopDrill is the part of fleet-overload that needs no fleet.
 var closedLoopDrill = Drill{
-	Name:  "closed-loop",
-	About: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
+	Name:        "closed-loop",
+	Description: "callers that ask again as soon as they are answered, at what destinations can serve: none refused, none waits long",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		out := &Outcome{}
 		return out, closedLoops(ctx, o, out)
@@ -42,14 +42,14 @@
 	if err != nil {
 		return err
 	}
-	var members []listfile.Destination
+	var members []listfile.Endpoint
 	for n := range 8 {
 		i, err := newInstance(fmt.Sprintf("d-%d", n), false)
 		if err != nil {
 			return err
 		}
 		defer i.stop()
-		members = append(members, listfile.Destination{Name: i.name, Address: i.address})
+		members = append(members, listfile.Endpoint{Name: i.name, Address: i.address})
 	}
 	last, counts := 6*time.Second, []int{64, 256, 1000}
 	if o.Short {
@@ -57,12 +57,12 @@
 	}
 	for _, callers := range counts {
 		var seen [2]*loop
-		for n, start := range []func(string, string, []listfile.Destination, Options) (*child.Child, error){startKitewood, startPlain} {
+		for n, start := range []func(string, string, []listfile.Endpoint, Options) (*child.Child, error){startKitewood, startPlain} {
 			address, err := child.Reserve()
 			if err != nil {
 				return err
 			}
-			defer address.Free()
+			defer address.Release()
 			c, err := start(dir, address.String(), members, o)
 			if err != nil {
 				return err
@@ -70,7 +70,7 @@
 			seen[n], err = callInLoops(ctx, address.String(), callers, last)
 			c.Kill()
 			if err != nil {
-				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Said())
+				return fmt.Errorf("%d callers: %w: %s", callers, err, c.Output())
 			}
 		}
 		kite, plain := seen[0], seen[1]
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func startKitewood(dir, address string, members []listfile.Destination, o Options) (*child.Child, error) {
+func startKitewood(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	if err := listfile.Write(filepath.Join(dir, "list.yaml"), members); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 	return c, untilReady(c, address)
 }
 
-func startPlain(dir, address string, members []listfile.Destination, o Options) (*child.Child, error) {
+func startPlain(dir, address string, members []listfile.Endpoint, o Options) (*child.Child, error) {
 	var endpoints []map[string]any
 	for _, m := range members {
 		endpoints = append(endpoints, map[string]any{"name": m.Name, "address": m.Address, "status": "Ready", "weight": 1})
@@ -135,7 +135,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return nil, err
 	}
-	c, err := child.Start(filepath.Join(dir, "plain.log"), []string{"ROUTER_CONFIG=" + path, "GOMAXPROCS=1"}, o.Lab, "proxy", "--policy", dataplane.RoundRobin)
+	c, err := child.Start(filepath.Join(dir, "plain.log"), []string{"ROUTER_CONFIG=" + path, "GOMAXPROCS=1"}, o.LabBinary, "proxy", "--policy", dataplane.RoundRobin)
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 
 // untilReady waits until a process says that it is ready.
 func untilReady(c *child.Child, address string) error {
-	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
+	text := httpc.FormatRequest("GET", "/health/ready", "backend.local", nil)
 	for until := time.Now().Add(controlWait); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		pool := httpc.NewPool(httpc.Options{Address: address})
 		r := pool.Do("", "GET", text, time.Now().Add(time.Second))
@@ -153,12 +153,12 @@
 			return nil
 		}
 		select {
-		case <-c.Ended:
-			return fmt.Errorf("it ended: %s", c.Said())
+		case <-c.Done:
+			return fmt.Errorf("it ended: %s", c.Output())
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %s: %s", controlWait, c.Said())
+	return fmt.Errorf("not ready within %s: %s", controlWait, c.Output())
 }
 
 // callInLoops has callers ask for a time.
@@ -174,8 +174,8 @@
 			defer pool.Close()
 			for k := 0; time.Now().Before(until) && ctx.Err() == nil; k++ {
 				id := fmt.Sprintf("%d-%d", n, k)
-				text := httpc.Text("GET", "/any", "backend.local", nil, httpc.Field{Name: "X-Correlation-Id", Value: id},
-					httpc.Field{Name: "X-Time-Left-Ms", Value: "2500"})
+				text := httpc.FormatRequest("GET", "/any", "backend.local", nil, httpc.HeaderField{Name: "X-Correlation-Id", Value: id},
+					httpc.HeaderField{Name: "X-Time-Left-Ms", Value: "2500"})
 				began := time.Now()
 				r := pool.Do(id, "GET", text, began.Add(5*time.Second))
 				mine.asked++
--- a/internal/lab/drill/controlservice.go
+++ b/internal/lab/drill/controlservice.go
@@ -11,7 +11,7 @@
 )
 
 // controlService is a kitewood-control process.
-type controlService struct{ *child.Control }
+type controlService struct{ *child.ControlProcess }
 
 // startControl starts a control service with two pools whose lists lie in a folder.
 func startControl(o Options, dir, name string) (*controlService, error) {
@@ -25,7 +25,7 @@
 // startControlWith starts a control service with these lines of pools and routes.
 func startControlWith(o Options, dir, name, pools, routes string) (*controlService, error) {
 	// GOMAXPROCS are the cores that the figures are stated for.
-	c, err := child.StartControl(o.Control, dir, name, "pools:\n"+pools+"routes:\n"+routes, "GOMAXPROCS=4")
+	c, err := child.StartControl(o.ControlBinary, dir, name, "pools:\n"+pools+"routes:\n"+routes, "GOMAXPROCS=4")
 	return &controlService{c}, err
 }
 
@@ -36,12 +36,12 @@
 const controlWait = 60 * time.Second
 
 // until waits until something is so. It gives up where the control service ends.
-func until(ctx context.Context, service *child.Control, what string, is func() bool) error {
+func until(ctx context.Context, service *child.ControlProcess, what string, is func() bool) error {
 	for end := time.Now().Add(controlWait); !is(); {
 		select {
 		case <-time.After(5 * time.Millisecond):
-		case <-service.Ended:
-			return fmt.Errorf("the control service has ended: %s", service.Said())
+		case <-service.Done:
+			return fmt.Errorf("the control service has ended: %s", service.Output())
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
--- a/internal/lab/drill/drill.go
+++ b/internal/lab/drill/drill.go
@@ -11,15 +11,15 @@
 
 // Options say how to run a drill.
 type Options struct {
-	Short   bool // the form that CI runs
-	Seed    uint64
-	Repeats int    // of the failure; 0 for the drill's own number
-	Wrong   string // one of the drill's Wrongs, or empty
-	Binary  string // kitewood
-	Lab     string // kitewood-lab
-	Control string // kitewood-control
-	Dir     string // for what it leaves; it is there
-	Log     *slog.Logger
+	Short         bool // the form that CI runs
+	Seed          uint64
+	Repeats       int    // of the failure; 0 for the drill's own number
+	Defect        string // one of the drill's Wrongs, or empty
+	Binary        string // kitewood
+	LabBinary     string // kitewood-lab
+	ControlBinary string // kitewood-control
+	Dir           string // for what it leaves; it is there
+	Log           *slog.Logger
 }
 
 // times is how often a drill causes its failure: as often as it was asked to, or its own number for the form.
@@ -35,33 +35,33 @@
 
 // Figure is one figure of a drill, with the bound that it was held to, if any.
 type Figure struct {
-	Name  string
-	Value float64
-	Bound string // empty for a figure that is only told
-	Held  bool
+	Name   string
+	Value  float64
+	Bound  string // empty for a figure that is only told
+	Passed bool
 }
 
 // Outcome is what a drill found. Its promise held if every bounded figure did.
 type Outcome struct {
-	Figures []Figure
+	Metrics []Figure
 	Notes   []string // what an operator should see of a broken promise
 }
 
 // Tell adds a figure without a bound.
 func (o *Outcome) Tell(name string, v float64) {
-	o.Figures = append(o.Figures, Figure{Name: name, Value: v, Held: true})
+	o.Metrics = append(o.Metrics, Figure{Name: name, Value: v, Passed: true})
 }
 
 // Hold adds a figure with the bound that it is held to.
 func (o *Outcome) Hold(name string, v float64, bound string, held bool) {
-	o.Figures = append(o.Figures, Figure{name, v, bound, held})
+	o.Metrics = append(o.Metrics, Figure{name, v, bound, held})
 }
 
 // Pass tells whether the promise held. A drill that held nothing to a bound has proved nothing.
 func (o *Outcome) Pass() bool {
 	bounded := false
-	for _, f := range o.Figures {
-		if !f.Held {
+	for _, f := range o.Metrics {
+		if !f.Passed {
 			return false
 		}
 		bounded = bounded || f.Bound != ""
@@ -71,11 +71,11 @@
 
 // Drill is one promise and the failure that tries it.
 type Drill struct {
-	Name    string
-	About   string
-	Control bool     // it starts kitewood-control
-	Wrongs  []string // ways to run it wrongly on purpose, each of which has to break the promise
-	Run     func(context.Context, Options) (*Outcome, error)
+	Name         string
+	Description  string
+	NeedsControl bool     // it starts kitewood-control
+	Defects      []string // ways to run it wrongly on purpose, each of which has to break the promise
+	Run          func(context.Context, Options) (*Outcome, error)
 }
 
 // All are the drills, by name.
--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -12,10 +12,10 @@
 
 // etcdBurstDrill replaces much of a pool within a second, by way of etcd.
 var etcdBurstDrill = Drill{
-	Name:    "etcd-burst",
-	About:   "40 instances leave etcd and 30 come within a second, under load by proxies and sidecars: nothing at those that left 500 ms after",
-	Control: true,
-	Run:     runEtcdBurst,
+	Name:         "etcd-burst",
+	Description:  "40 instances leave etcd and 30 come within a second, under load by proxies and sidecars: nothing at those that left 500 ms after",
+	NeedsControl: true,
+	Run:          runEtcdBurst,
 }
 
 const (
@@ -103,16 +103,16 @@
 	if err != nil {
 		return nil, err
 	}
-	d := model.NewDiscovery(model.DiscoveryConfig{Period: s.Discovery.Period.D()}, nil)
+	d := model.NewDiscovery(model.DiscoveryConfig{Period: s.Discovery.PublishPeriod.D()}, nil)
 	left := map[string]time.Duration{}
 	for n, at := range removals {
 		name := fmt.Sprint(n)
 		left[name] = at
-		d.Change(at+model.Around(rng, s.Discovery.Notice.D()/2), model.Member{Name: name, Status: model.Terminating})
+		d.ScheduleChange(at+model.Jitter(rng, s.Discovery.DetectionDelay.D()/2), model.Member{Name: name, Status: model.Terminating})
 	}
 	var out []time.Duration
 	for {
-		now, any := d.Next()
+		now, any := d.NextPublish()
 		if !any {
 			return out, nil
 		}
--- a/internal/lab/drill/etcdchaos.go
+++ b/internal/lab/drill/etcdchaos.go
@@ -16,10 +16,10 @@
 
 // etcdChaosDrill breaks a cluster in all ways that the stand-in knows.
 var etcdChaosDrill = Drill{
-	Name:    "etcd-chaos",
-	About:   "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
-	Control: true,
-	Run:     runEtcdChaos,
+	Name:         "etcd-chaos",
+	Description:  "etcd breaks, freezes, lags, compacts, restarts and is restored to old states: the list is the truth within 2 s, no drain is undone",
+	NeedsControl: true,
+	Run:          runEtcdChaos,
 }
 
 // chaosOracle knows what the list has to be: what was written, and bad words that a restored state does not take back.
@@ -111,7 +111,7 @@
 		began := time.Now()
 		wrong := ""
 		err := r.until(ctx, "the list is the truth", func() bool {
-			all, err := control.AskMembers(r.admin)
+			all, err := control.QueryMembers(r.admin)
 			if err != nil || len(all) != 1 {
 				return false
 			}
@@ -145,7 +145,7 @@
 	}
 	// read is what the service has read of etcd.
 	read := func() (out membership.SourceView) {
-		if all, err := control.AskMembers(r.admin); err == nil && len(all) == 1 {
+		if all, err := control.QueryMembers(r.admin); err == nil && len(all) == 1 {
 			out = all[0].Sources[0]
 		}
 		return out
@@ -167,13 +167,13 @@
 			counts[fault]++
 			switch fault {
 			case "break":
-				if err := m.Break(); err != nil {
+				if err := m.Restart(); err != nil {
 					return nil, err
 				}
 			case "freeze":
-				m.Freeze()
+				m.Pause()
 			case "lag":
-				m.Lag()
+				m.PauseApply()
 			case "compact":
 				r.cluster.Compact(r.cluster.Revision()) // that it was compacted so far already is no fault
 			case "stop":
@@ -186,8 +186,8 @@
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
 		for _, m := range r.cluster.Members {
-			m.Thaw()
-			m.CatchUp()
+			m.Resume()
+			m.ResumeApply()
 		}
 		took, err := settled()
 		if err != nil {
--- a/internal/lab/drill/etcdcompact.go
+++ b/internal/lab/drill/etcdcompact.go
@@ -13,10 +13,10 @@
 
 // etcdCompactDrill has etcd's history compacted while nobody can watch.
 var etcdCompactDrill = Drill{
-	Name:    "etcd-compact",
-	About:   "the watch breaks, instances leave and come, history is compacted: all of it is told, survivors are left alone",
-	Control: true,
-	Run:     runEtcdCompact,
+	Name:         "etcd-compact",
+	Description:  "the watch breaks, instances leave and come, history is compacted: all of it is told, survivors are left alone",
+	NeedsControl: true,
+	Run:          runEtcdCompact,
 }
 
 func sortListed(all []*listed) {
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -81,7 +81,7 @@
 // etcdRig is a stand-in etcd, a control service that follows it, and proxies and sidecars that send to what it lists.
 type etcdRig struct {
 	cluster  *etcd.Cluster
-	service  *child.Control
+	service  *child.ControlProcess
 	admin    string
 	served   string // where the merged list is offered
 	sidecars []*child.Child
@@ -114,10 +114,10 @@
 	endpoints, _ := json.Marshal(r.cluster.Addresses())
 	rest := fmt.Sprintf("admin: %s\npools:\n  - {name: web, members: {etcd: {endpoints: %s, prefix: %s}, serve: %q%s}, "+
 		"classes: [{name: any, effect: unsafe, aim: 1s, deadline: 3s}]}\nroutes: [{hosts: [web.test], pool: web}]\n", r.admin, endpoints, etcdPrefix, r.served, more)
-	if r.service, err = child.StartControl(o.Control, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
+	if r.service, err = child.StartControl(o.ControlBinary, dir, "control", rest, "GOMAXPROCS=4"); err != nil {
 		return r, err
 	}
-	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.AskMembers(r.admin); return err == nil }); err != nil {
+	if err := r.until(ctx, "the service shows its members", func() bool { _, err := control.QueryMembers(r.admin); return err == nil }); err != nil {
 		return r, err
 	}
 	if told == nil && sidecars+proxies == 0 { // nobody asks what was seen when, and following costs the service a look at all
@@ -135,7 +135,7 @@
 	for n := range proxies {
 		table, who := proxy.NewTable(), fmt.Sprintf("proxy-%d", n)
 		was := map[string]bool{}
-		table.Changed = func(_ string, addresses []string) {
+		table.OnEndpointsChanged = func(_ string, addresses []string) {
 			now := map[string]bool{}
 			for _, a := range addresses {
 				if now[a] = true; !was[a] {
@@ -149,7 +149,7 @@
 			}
 			was = now
 		}
-		client := &proxy.Client{Node: who, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
+		client := &proxy.Client{NodeID: who, Servers: []string{r.service.Address}, Delta: n%2 == 1, Table: table, Log: slog.New(slog.DiscardHandler)}
 		r.wait.Go(func() { client.Run(ctx) })
 		r.tables = append(r.tables, table)
 	}
@@ -269,7 +269,7 @@
 			out.Notes = append(out.Notes, "the last failure: "+note)
 		}
 		for n, t := range r.tables {
-			out.Hold(fmt.Sprintf("proxy-%d: lists emptied", n), float64(t.Emptied()), "0", t.Emptied() == 0)
+			out.Hold(fmt.Sprintf("proxy-%d: lists emptied", n), float64(t.EmptiedCount()), "0", t.EmptiedCount() == 0)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 		r.cluster.Stop()
 	}
 	for _, a := range r.kept {
-		a.Free()
+		a.Release()
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/lab/drill/etcdscale.go
+++ b/internal/lab/drill/etcdscale.go
@@ -14,10 +14,10 @@
 
 // etcdScaleDrill measures how soon a change in etcd reaches those who watch the served list.
 var etcdScaleDrill = Drill{
-	Name:    "etcd-scale",
-	About:   "a change in etcd among 10 to 20,000 keys until 1 to 1,000 watchers of the served list have it",
-	Control: true,
-	Run:     runEtcdScale,
+	Name:         "etcd-scale",
+	Description:  "a change in etcd among 10 to 20,000 keys until 1 to 1,000 watchers of the served list have it",
+	NeedsControl: true,
+	Run:          runEtcdScale,
 }
 
 // scaleMost is the bound of the long form: what a drain may take in all, so that the sidecar has the rest of 500 ms.
--- a/internal/lab/drill/fleetoverload.go
+++ b/internal/lab/drill/fleetoverload.go
@@ -16,10 +16,10 @@
 
 // fleetOverloadDrill brings overload and failing parts to a fleet of sidecars.
 var fleetOverloadDrill = Drill{
-	Name:   "fleet-overload",
-	About:  "a fleet of sidecars in overload, with parts that fail: the worthiest is served, nothing multiplies, service is back in 5 s",
-	Wrongs: rig.WrongNames(),
-	Run:    runFleetOverload,
+	Name:        "fleet-overload",
+	Description: "a fleet of sidecars in overload, with parts that fail: the worthiest is served, nothing multiplies, service is back in 5 s",
+	Defects:     rig.DefectNames(),
+	Run:         runFleetOverload,
 }
 
 const (
@@ -48,22 +48,22 @@
 
 // playFleet plays a case; the short form takes half of its time.
 func playFleet(ctx context.Context, o Options, name string, sidecars int, seed uint64) (*fleetPlay, error) {
-	c, s, err := rig.Find(name)
+	c, s, err := rig.FindCase(name)
 	if err != nil {
 		return nil, err
 	}
-	if err := rig.Wrong(s, o.Wrong); err != nil {
+	if err := rig.ApplyDefect(s, o.Defect); err != nil {
 		return nil, err
 	}
 	if o.Short {
-		c.From, c.To, c.Last = c.From/2, c.To/2, c.Last/2
-		squeeze(s, c.Last)
+		c.FaultStart, c.FaultEnd, c.Duration = c.FaultStart/2, c.FaultEnd/2, c.Duration/2
+		squeeze(s, c.Duration)
 	}
 	dir, err := scratch(o, fmt.Sprintf("fleet-%s-%d-seed%d", name, sidecars, seed))
 	if err != nil {
 		return nil, err
 	}
-	r, err := rig.Play(ctx, rig.Options{Scenario: s, Sidecars: sidecars, Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
+	r, err := rig.Run(ctx, rig.Options{Scenario: s, Sidecars: sidecars, Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -75,7 +75,7 @@
 
 func runFleetOverload(ctx context.Context, o Options) (*Outcome, error) {
 	out := &Outcome{}
-	names, sizes, seeds := rig.Names(), []int{12, 24, 48}, o.times(3, 1)
+	names, sizes, seeds := rig.CaseNames(), []int{12, 24, 48}, o.times(3, 1)
 	if o.Short {
 		names, sizes = []string{"calm", "double", "circle"}, []int{6}
 	}
@@ -99,7 +99,7 @@
 		}
 		held.beside(small)
 	}
-	if o.Wrong == "" {
+	if o.Defect == "" {
 		if err := closedLoops(ctx, o, out); err != nil {
 			return nil, err
 		}
@@ -135,13 +135,13 @@
 // play holds one run to what the drill promises, beside the calm run of the same rig.
 func (h *held) play(p, calm *fleetPlay) {
 	out, a, at := h.out, p.Account, p.String()+": "
-	broken := p.Summary.Broken()
+	broken := p.Summary.Violations()
 	out.Hold(at+"broken rules", float64(broken), "0", broken == 0)
-	for _, b := range p.Breaches[:min(len(p.Breaches), 3)] {
+	for _, b := range p.Violations[:min(len(p.Violations), 3)] {
 		out.Notes = append(out.Notes, at+b.String())
 	}
 	if p == calm {
-		out.Tell(at+"attempts for an operation", a.PerOp)
+		out.Tell(at+"attempts for an operation", a.AttemptsPerRequest)
 		out.Tell(at+"service", calmService(calm))
 		return
 	}
@@ -152,11 +152,11 @@
 	if h.short { // few operations: chance is larger
 		bound = 1.4
 	}
-	times := a.PerOp / calm.Account.PerOp
+	times := a.AttemptsPerRequest / calm.Account.AttemptsPerRequest
 	out.Hold(at+"attempts for an operation, times calm", times, fmt.Sprintf("at most %g", bound), times <= bound)
-	out.Hold(at+"work for answers that nobody got", a.Lost, fmt.Sprintf("at most %g", mostLost), a.Lost <= mostLost || h.short)
-	if p.Last > p.To+backWithin+2*time.Second {
-		back, _ := a.Served(account.All, p.To+backWithin, p.Last)
+	out.Hold(at+"work for answers that nobody got", a.LostWork, fmt.Sprintf("at most %g", mostLost), a.LostWork <= mostLost || h.short)
+	if p.Duration > p.FaultEnd+backWithin+2*time.Second {
+		back, _ := a.ServedShare(account.AllClasses, p.FaultEnd+backWithin, p.Duration)
 		of := back / calmService(calm)
 		least := leastBack
 		if h.short {
@@ -168,12 +168,12 @@
 	case "double":
 		h.double(p, at)
 	case "busy", "circle":
-		entries, err := results.Lines[ledger.Entry](p.dir, results.LedgerFile)
+		entries, err := results.ReadLines[ledger.Entry](p.dir, results.LedgerFile)
 		if err != nil {
 			out.Hold(at+"its ledger can be read: "+err.Error(), 0, "1", false)
 			return
 		}
-		tries, in := account.Again(entries, p.From+3*time.Second/2, p.To)
+		tries, in := account.RetriesAfterRejection(entries, p.FaultStart+3*time.Second/2, p.FaultEnd)
 		h.tries, h.letIn = h.tries+tries, h.letIn+in
 		if p.Name == "circle" {
 			loops := refusedInCircles(entries)
@@ -196,14 +196,14 @@
 // double holds what is served at twice the capacity.
 func (h *held) double(p *fleetPlay, at string) {
 	out, a := h.out, p.Account
-	full := rig.FullFrom
+	full := rig.FullLoadStart
 	if h.short {
 		full /= 2
 	}
-	of := a.Worth(p.From+2*time.Second, p.To) / a.Worth(full+time.Second, p.From)
-	worthy, _ := a.Served(1, p.From+2*time.Second, p.To)
-	least, _ := a.Served(0, p.From+2*time.Second, p.To)
-	spread := a.Tiers[0].Spread
+	of := a.UtilityRate(p.FaultStart+2*time.Second, p.FaultEnd) / a.UtilityRate(full+time.Second, p.FaultStart)
+	worthy, _ := a.ServedShare(1, p.FaultStart+2*time.Second, p.FaultEnd)
+	least, _ := a.ServedShare(0, p.FaultStart+2*time.Second, p.FaultEnd)
+	spread := a.Tiers[0].RejectionSpread
 	if h.short {
 		out.Hold(at+"worth served at twice the capacity, of that at the capacity", of, "at least 0.6", of >= 0.6)
 		out.Tell(at+"served of the worthiest class", worthy)
@@ -223,7 +223,7 @@
 	count := func(p *fleetPlay) float64 {
 		sum, n := 0, 0
 		for _, i := range p.Account.Instances {
-			sum += i.Probes.Count + i.Trials.Count
+			sum += i.Probes.Count + i.AttemptsAfterFailure.Count
 			n++
 		}
 		return float64(sum) / float64(max(n, 1))
@@ -235,7 +235,7 @@
 
 // calmService is the share served in a calm run, from its third second on.
 func calmService(calm *fleetPlay) float64 {
-	share, _ := calm.Account.Served(account.All, 2*time.Second, calm.Last)
+	share, _ := calm.Account.ServedShare(account.AllClasses, 2*time.Second, calm.Duration)
 	return share
 }
 
--- a/internal/lab/drill/instances.go
+++ b/internal/lab/drill/instances.go
@@ -113,12 +113,12 @@
 
 // write writes the list.
 func (f *fleet) write() error {
-	var out []listfile.Destination
+	var out []listfile.Endpoint
 	for _, m := range f.all {
 		if m.gone {
 			continue
 		}
-		d := listfile.Destination{Name: m.name, Address: m.address}
+		d := listfile.Endpoint{Name: m.name, Address: m.address}
 		if !m.drains.IsZero() {
 			d.State = "draining"
 		}
--- a/internal/lab/drill/leftovers.go
+++ b/internal/lab/drill/leftovers.go
@@ -13,8 +13,8 @@
 
 // leftoversDrill interrupts a run in the middle of its troubles.
 var leftoversDrill = Drill{
-	Name:  "leftovers",
-	About: "a run interrupted under load: it ends within 8 s, keeps what was seen, and leaves no process and no listener",
+	Name:        "leftovers",
+	Description: "a run interrupted under load: it ends within 8 s, keeps what was seen, and leaves no process and no listener",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		s, err := find("everything")
 		if err != nil {
@@ -35,10 +35,10 @@
 		}
 		took := time.Since(left)
 		out := &Outcome{}
-		out.Hold("marked as cut short", b2f(r.Cut), "1", r.Cut)
+		out.Hold("marked as cut short", b2f(r.CutShort), "1", r.CutShort)
 		out.Hold("seconds to end", took.Seconds(), "at most 8", took <= 8*time.Second)
 		out.Hold("entries kept", float64(len(r.Entries)), "above 0", len(r.Entries) > 0)
-		processes, err := Children(dir)
+		processes, err := SidecarProcesses(dir)
 		if err != nil {
 			return nil, err
 		}
@@ -60,7 +60,7 @@
 }
 
 // Children are the processes whose environment names a folder, as every sidecar of a run there does.
-func Children(dir string) ([]string, error) {
+func SidecarProcesses(dir string) ([]string, error) {
 	abs, err := filepath.Abs(dir)
 	if err != nil {
 		return nil, err
--- a/internal/lab/drill/pools.go
+++ b/internal/lab/drill/pools.go
@@ -10,9 +10,9 @@
 
 // poolsDrill brings trouble to one pool of three.
 var poolsDrill = Drill{
-	Name:  "pools",
-	About: "one pool of three freezes, is flooded, fails, comes and goes, or all descriptors are asked for: the others serve as before",
-	Run:   runPools,
+	Name:        "pools",
+	Description: "one pool of three freezes, is flooded, fails, comes and goes, or all descriptors are asked for: the others serve as before",
+	Run:         runPools,
 }
 
 // poolLimit is how many operations the troubled pool may have open.
@@ -21,25 +21,25 @@
 // poolDay is a day on which the pool named sick has a trouble.
 func poolDay(name string, lead, d time.Duration) *services.Scenario {
 	s := &services.Scenario{Name: name, Duration: services.Duration(lead + d), Pools: []services.Pool{
-		{Name: "sick", Guaranteed: poolLimit / 2, Most: poolLimit}, {Name: "shop"}, {Name: "partner"}}}
-	trouble := services.Trouble{Kind: name, Pool: "sick", At: services.Duration(lead), For: services.Duration(d)}
+		{Name: "sick", GuaranteedRequests: poolLimit / 2, MaxRequests: poolLimit}, {Name: "shop"}, {Name: "partner"}}}
+	trouble := services.Fault{Kind: name, Pool: "sick", At: services.Duration(lead), Duration: services.Duration(d)}
 	switch name {
 	case "none":
 	case "flood": // ten times what its limit lets through
-		s.Pools[0].Delay = services.Duration(200 * time.Millisecond)
-		s.Pools[0].Rate = 10 * poolLimit / s.Pools[0].Delay.D().Seconds()
+		s.Pools[0].ResponseDelay = services.Duration(200 * time.Millisecond)
+		s.Pools[0].Rate = 10 * poolLimit / s.Pools[0].ResponseDelay.D().Seconds()
 	case "crowd":
-		s.Sockets, trouble.Pool, trouble.Size = 128, "", 256
+		s.Sockets, trouble.Pool, trouble.Connections = 128, "", 256
 		fallthrough
 	default:
-		s.Troubles = []services.Trouble{trouble}
+		s.Faults = []services.Fault{trouble}
 	}
 	if d < 10*time.Second { // the short form: a process ends within its longest deadline
 		for i := range s.Pools {
 			s.Pools[i].Deadline = services.Duration(time.Second)
 		}
 	}
-	s.Fill()
+	s.SetDefaults()
 	return s
 }
 
@@ -99,21 +99,21 @@
 		least := min(leastShare, 0.995) - 0.005
 		hold(at+"others' share answered in time", share, fmt.Sprintf("at least %.3f", least), share >= least)
 		zero := func(what string, n int) { hold(at+what, float64(n), "0", n == 0) }
-		zero("others' requests without an answer", r.Pools[1].Status["none"]+r.Pools[2].Status["none"])
-		zero("the pool's requests without an answer", sick.Status["none"])
+		zero("others' requests without an answer", r.Pools[1].Statuses["none"]+r.Pools[2].Statuses["none"])
+		zero("the pool's requests without an answer", sick.Statuses["none"])
 		most := day.Pools[0].Deadline.D() + 200*time.Millisecond
-		hold(at+"the pool's longest answer, s", sick.Longest.Seconds(), fmt.Sprintf("under %g", most.Seconds()), sick.Longest < most)
-		out.Tell(at+"the pool's answers of 200", float64(sick.Status["200"]))
-		out.Tell(at+"the pool's busy replies", float64(sick.Status["503"]))
+		hold(at+"the pool's longest answer, s", sick.MaxLatency.Seconds(), fmt.Sprintf("under %g", most.Seconds()), sick.MaxLatency < most)
+		out.Tell(at+"the pool's answers of 200", float64(sick.Statuses["200"]))
+		out.Tell(at+"the pool's busy replies", float64(sick.Statuses["503"]))
 		again, copies := 0, 0
 		for _, p := range r.Pools {
-			again, copies = again+p.Again, copies+p.Copies
+			again, copies = again+p.Retried, copies+p.Concurrent
 		}
 		zero("unsafe operations sent twice", again)
 		zero("two attempts out at once", copies)
 		hold(at+"ended by itself, with status 0 and no panic", b2f(r.Clean), "1", r.Clean)
-		if r.Note != "" {
-			out.Notes = append(out.Notes, at+r.Note)
+		if r.Problems != "" {
+			out.Notes = append(out.Notes, at+r.Problems)
 		}
 	}
 	return out, nil
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return services.Play(ctx, services.Options{Scenario: s, Seed: seed, Binary: o.Binary, Dir: dir})
+	return services.Run(ctx, services.Options{Scenario: s, Seed: seed, Binary: o.Binary, Dir: dir})
 }
 
 // others is the share of the other pools' requests that was answered in time, and the worse of their p99 in milliseconds.
--- a/internal/lab/drill/rate.go
+++ b/internal/lab/drill/rate.go
@@ -15,9 +15,9 @@
 // rateDrill finds what one core of the generator can drive: it runs as a process of its own on one core, against a
 // trivial server in this one.
 var rateDrill = Drill{
-	Name:  "rate",
-	About: "one core of the load generator against a trivial server: at least 5,000 requests/s, and its own error at 2,000/s",
-	Run:   runRate,
+	Name:        "rate",
+	Description: "one core of the load generator against a trivial server: at least 5,000 requests/s, and its own error at 2,000/s",
+	Run:         runRate,
 }
 
 func runRate(ctx context.Context, o Options) (*Outcome, error) {
@@ -34,7 +34,7 @@
 	server.begin(time.Now())
 	best := 0.0
 	for _, rate := range rates {
-		s, err := generate(ctx, o.Lab, "http://"+server.address(), rate, d, "GOMAXPROCS=1")
+		s, err := generate(ctx, o.LabBinary, "http://"+server.address(), rate, d, "GOMAXPROCS=1")
 		if err != nil {
 			return nil, err
 		}
@@ -50,7 +50,7 @@
 		}
 		best = math.Max(best, s.Rate)
 	}
-	s, err := generate(ctx, o.Lab, "http://"+server.address(), rates[0], d)
+	s, err := generate(ctx, o.LabBinary, "http://"+server.address(), rates[0], d)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -15,8 +15,8 @@
 
 // rulesDrill plays every trouble at once.
 var rulesDrill = Drill{
-	Name:  "rules",
-	About: "all troubles at once, a killed sidecar and a moved discovery among them: no rule broken, no sidecar crashed",
+	Name:        "rules",
+	Description: "all troubles at once, a killed sidecar and a moved discovery among them: no rule broken, no sidecar crashed",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		return playDrill(ctx, o, "everything", 12*time.Second, 0)
 	},
@@ -24,8 +24,8 @@
 
 // calmDrill plays a quiet day.
 var calmDrill = Drill{
-	Name:  "calm",
-	About: "three tiers on a quiet day: no rule broken, at least 0.8 of the worth served in time",
+	Name:        "calm",
+	Description: "three tiers on a quiet day: no rule broken, at least 0.8 of the worth served in time",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
 		return playDrill(ctx, o, "calm", 6*time.Second, 0.8)
 	},
@@ -50,19 +50,19 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Cut {
+		if r.CutShort {
 			return nil, context.Cause(ctx)
 		}
-		for _, b := range ledger.Judge(r.Entries, s.Rules()) {
-			if b.Rule == ledger.RuleCrash {
+		for _, b := range ledger.FindViolations(r.Entries, s.Rules()) {
+			if b.Rule == ledger.RuleNoCrash {
 				crashes++
 			} else {
 				broken++
 			}
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
-		v := ledger.Serve(r.Entries, s.Served())
-		clients, operations, worst = clients+v.Clients, operations+v.Calls, min(worst, v.Service)
+		v := ledger.MeasureService(r.Entries, s.LedgerObjective())
+		clients, operations, worst = clients+v.ClientRequests, operations+v.SidecarRequests, min(worst, v.Service)
 	}
 	out.Tell("clients", float64(clients))
 	out.Hold("operations of sidecars", float64(operations), "above 0", operations > 0)
@@ -88,9 +88,9 @@
 func squeeze(s *scenario.Scenario, d time.Duration) {
 	f := float64(d) / float64(s.Duration)
 	s.Duration = scenario.Duration(d)
-	for i := range s.Troubles {
-		s.Troubles[i].At = scenario.Duration(float64(s.Troubles[i].At) * f)
-		s.Troubles[i].For = scenario.Duration(float64(s.Troubles[i].For) * f)
+	for i := range s.Faults {
+		s.Faults[i].At = scenario.Duration(float64(s.Faults[i].At) * f)
+		s.Faults[i].Duration = scenario.Duration(float64(s.Faults[i].Duration) * f)
 	}
 	for i := range s.Load.Shape {
 		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * f)
--- a/internal/lab/drill/stall.go
+++ b/internal/lab/drill/stall.go
@@ -13,9 +13,9 @@
 
 // stallDrill holds the load generator to a result computed by hand.
 var stallDrill = Drill{
-	Name:  "stall",
-	About: "a server that freezes under constant load: every percentile of the generator within 1% of the computed one",
-	Run:   runStall,
+	Name:        "stall",
+	Description: "a server that freezes under constant load: every percentile of the generator within 1% of the computed one",
+	Run:         runStall,
 }
 
 // Stall is a scripted server's behaviour: answers take Service, but what is due within the freeze comes at its end.
@@ -57,12 +57,12 @@
 	}
 	defer server.close()
 	rec := load.NewRecorder()
-	o := load.Options{URL: "http://" + server.address(), Timeout: s.Freeze + 10*time.Second, MaxOpen: 20000, Recorder: rec}
+	o := load.Options{URL: "http://" + server.address(), Timeout: s.Freeze + 10*time.Second, MaxInFlight: 20000, Recorder: rec}
 	server.begin(time.Now())
 	if closed > 0 {
-		err = load.Closed(ctx, closed, s.Rate, s.Whole, load.Item{Method: http.MethodGet, Target: "/"}, o)
+		err = load.RunClosedLoop(ctx, closed, s.Rate, s.Whole, load.Item{Method: http.MethodGet, Target: "/"}, o)
 	} else {
-		err = load.Run(ctx, &load.Steady{Item: load.Item{Method: http.MethodGet, Target: "/"},
+		err = load.Run(ctx, &load.SingleRequest{Item: load.Item{Method: http.MethodGet, Target: "/"},
 			Arrivals: load.NewArrivals(s.Rate, nil, nil, s.Whole)}, o)
 	}
 	return rec.Summary(), err
--- a/internal/lab/drill/xdsdrain.go
+++ b/internal/lab/drill/xdsdrain.go
@@ -19,10 +19,10 @@
 
 // xdsDrainDrill drains instances while two proxies send to them.
 var xdsDrainDrill = Drill{
-	Name:    "xds-drain",
-	About:   "two proxies, the lab's and gRPC's own client, under steady load: nothing new at a draining instance 500 ms after the word",
-	Control: true,
-	Run:     runXDSDrain,
+	Name:         "xds-drain",
+	Description:  "two proxies, the lab's and gRPC's own client, under steady load: nothing new at a draining instance 500 ms after the word",
+	NeedsControl: true,
+	Run:          runXDSDrain,
 }
 
 const (
@@ -109,7 +109,7 @@
 
 	tables := []*proxy.Table{proxy.NewTable(), proxy.NewTable()}
 	for n, table := range tables {
-		client := &proxy.Client{Node: fmt.Sprintf("lab-%d", n), Servers: []string{service.Address}, Delta: n == 1, Table: table, Log: o.Log}
+		client := &proxy.Client{NodeID: fmt.Sprintf("lab-%d", n), Servers: []string{service.Address}, Delta: n == 1, Table: table, Log: o.Log}
 		wait.Go(func() { client.Run(ctx) })
 	}
 	resolver, err := xds.NewXDSResolverWithConfigForTesting(bootstrap(service.Address))
@@ -191,7 +191,7 @@
 		out.Hold(who+": failed", float64(failed[n]), "0", failed[n] == 0)
 	}
 	for n, table := range tables {
-		out.Hold(fmt.Sprintf("lab-%d: lists emptied", n), float64(table.Emptied()), "0", table.Emptied() == 0)
+		out.Hold(fmt.Sprintf("lab-%d: lists emptied", n), float64(table.EmptiedCount()), "0", table.EmptiedCount() == 0)
 	}
 	clean := service.stop()
 	out.Hold("the service ended by itself, with status 0", b2f(clean), "1", clean)
@@ -200,7 +200,7 @@
 
 // connected waits until all proxies can send.
 func connected(ctx context.Context, service *controlService, tables []*proxy.Table, api grpc_health_v1.HealthClient) error {
-	if err := until(ctx, service.Control, "the lab's proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
+	if err := until(ctx, service.ControlProcess, "the lab's proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return err
 	}
 	call, cancel := context.WithTimeout(ctx, controlWait)
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -16,10 +16,10 @@
 // xdsReconnectDrill replaces nearly a whole pool while the proxies' streams break.
 var xdsReconnectDrill = Drill{
 	Name: "xds-reconnect",
-	About: "98% of the instances are replaced while proxies are cut off at random and one control service of two is killed: " +
+	Description: "98% of the instances are replaced while proxies are cut off at random and one control service of two is killed: " +
 		"nothing sent to what is gone, no list emptied, no cold instance pushed over",
-	Control: true,
-	Run:     runXDSReconnect,
+	NeedsControl: true,
+	Run:          runXDSReconnect,
 }
 
 // The cold start of the drill's instances, as the configuration has it by default, and how far they are used when warm.
@@ -67,10 +67,10 @@
 			slices.Reverse(servers)
 		}
 		tables[n] = proxy.NewTable()
-		clients[n] = &proxy.Client{Node: fmt.Sprintf("lab-%d", n), Servers: servers, Delta: n%2 == 0, Table: tables[n], Log: o.Log}
+		clients[n] = &proxy.Client{NodeID: fmt.Sprintf("lab-%d", n), Servers: servers, Delta: n%2 == 0, Table: tables[n], Log: o.Log}
 		wait.Go(func() { clients[n].Run(ctx) })
 	}
-	if err := until(ctx, services[0].Control, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
+	if err := until(ctx, services[0].ControlProcess, "the proxies have endpoints", func() bool { return allReady(tables) }); err != nil {
 		return nil, err
 	}
 
@@ -86,7 +86,7 @@
 		for {
 			select {
 			case <-time.After(time.Duration(100+rng.IntN(400)) * time.Millisecond):
-				clients[rng.IntN(proxies)].Cut()
+				clients[rng.IntN(proxies)].Disconnect()
 			case <-loaded.Done():
 				return
 			}
@@ -128,7 +128,7 @@
 	total, requests, broke, emptied, cuts := 0, 0, 0, 0, 0
 	for n := range proxies {
 		requests, broke = requests+sent[n], broke+failed[n]
-		emptied, cuts = emptied+tables[n].Emptied(), cuts+clients[n].Cuts()
+		emptied, cuts = emptied+tables[n].EmptiedCount(), cuts+clients[n].Disconnects()
 	}
 	able := float64(requests) / time.Since(began).Seconds() / float64(instances) / warmUse // of a warm instance, a second
 	for _, g := range f.all {
--- a/internal/lab/drill/xdsscale.go
+++ b/internal/lab/drill/xdsscale.go
@@ -30,10 +30,10 @@
 // xdsScaleDrill changes many pools before many proxies.
 var xdsScaleDrill = Drill{
 	Name: "xds-scale",
-	About: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: from a change to its last answer, and " +
+	Description: "1,000 proxies with five pools each, 50 pools of 200 endpoints, 100 changes a second: from a change to its last answer, and " +
 		"what it costs",
-	Control: true,
-	Run:     runXDSScale,
+	NeedsControl: true,
+	Run:          runXDSScale,
 }
 
 // crowd is many proxies that apply nothing and answer everything.
@@ -149,9 +149,9 @@
 
 // many writes the list of a pool with the mark of its last change.
 func many(dir, pool string, endpoints, change int) error {
-	all := make([]listfile.Destination, endpoints)
+	all := make([]listfile.Endpoint, endpoints)
 	for n := range all {
-		all[n] = listfile.Destination{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
+		all[n] = listfile.Endpoint{Name: fmt.Sprint("e", n), Address: fmt.Sprintf("10.%d.%d.%d:80", len(pool), n/250, n%250+1), Zone: "rest"}
 	}
 	all[0].Zone = marker + strconv.Itoa(change)
 	return listfile.Write(filepath.Join(dir, pool+".yaml"), all)
@@ -216,7 +216,7 @@
 	}
 	for until := time.Now().Add(controlWait); c.answers.Load() < int64(proxies); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) || ctx.Err() != nil {
-			return fmt.Errorf("%d of %d proxies have endpoints within a minute: %s", c.answers.Load(), proxies, service.Said())
+			return fmt.Errorf("%d of %d proxies have endpoints within a minute: %s", c.answers.Load(), proxies, service.Output())
 		}
 	}
 	before, cpu, began := c.bytes.Load(), service.CPU(), time.Now()
--- a/internal/lab/emulator/caller.go
+++ b/internal/lab/emulator/caller.go
@@ -36,84 +36,84 @@
 }
 
 // try sends an operation through a sidecar and tells how it ended, and what it was declined with.
-func (c *caller) try(s *sidecar, q call) (model.TryEnd, declined) {
+func (c *caller) try(s *sidecar, q call) (model.AttemptResult, declined) {
 	w := c.w
 	id := fmt.Sprintf("%08x%08x", uint32(c.prefix), c.count.Add(1))
 	class := &w.s.Classes[q.class]
 	now := w.book.Now()
 	left := (q.deadline - now).Milliseconds()
-	e := ledger.Entry{ID: id, Client: q.client, Tier: q.tier, Class: q.class, Work: q.work, Deadline: q.deadline, Repeat: q.repeat,
-		Since: q.intended, Parent: q.parent}
+	e := ledger.Entry{ID: id, ClientRequest: q.client, Tier: q.tier, Class: q.class, Work: q.work, Deadline: q.deadline, Retry: q.repeat,
+		Since: q.intended, ParentAttempt: q.parent}
 	pool := (*httpc.Pool)(nil)
 	if s != nil {
 		e.Sidecar, pool = s.name, s.client()
 	}
 	if pool == nil || left <= 0 {
-		e.Kind = ledger.Unasked
+		e.Kind = ledger.RequestUnsent
 		w.book.Add(e)
-		return model.TryNotReached, declined{}
+		return model.AttemptNotConnected, declined{}
 	}
 	us := strconv.FormatFloat(q.work*1e6, 'f', 0, 64)
-	fields := []httpc.Field{{Name: "X-Correlation-Id", Value: id}, {Name: "X-Service-Class", Value: class.Name},
+	fields := []httpc.HeaderField{{Name: "X-Correlation-Id", Value: id}, {Name: "X-Service-Class", Value: class.Name},
 		{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(left, 10)}, {Name: "X-Weight-Hint", Value: us}}
 	if q.chain != "" {
-		fields = append(fields, httpc.Field{Name: scenario.ChainField, Value: q.chain})
+		fields = append(fields, httpc.HeaderField{Name: scenario.ChainField, Value: q.chain})
 	}
 	if q.client > 0 && w.s.Sidecar.Origin {
-		fields = append(fields, httpc.Field{Name: scenario.OriginField, Value: strconv.Itoa(q.client)})
+		fields = append(fields, httpc.HeaderField{Name: scenario.OriginField, Value: strconv.Itoa(q.client)})
 	}
 	if q.repeat {
-		fields = append(fields, httpc.Field{Name: "X-Repeat", Value: "1"})
+		fields = append(fields, httpc.HeaderField{Name: "X-Repeat", Value: "1"})
 	}
 	method, payload := http.MethodGet, []byte(nil)
 	if class.Effect != "safe" {
 		method, payload = http.MethodPost, []byte(`{"order":"`+id+`"}`)
 	}
-	text := httpc.Text(method, "/"+class.Name+"?work_us="+us, "backend.local", payload, fields...)
+	text := httpc.FormatRequest(method, "/"+class.Name+"?work_us="+us, "backend.local", payload, fields...)
 	// An answer within the slack is no answer to the client any more, but it keeps the rule.
 	until := q.deadline + scenario.Slack
 	if q.leaves > 0 {
 		until = min(until, q.leaves)
 	}
 	r := pool.Do(id, method, text, w.book.Start().Add(until))
-	if r.Progress < httpc.Written {
-		e.Kind = ledger.Unasked
+	if r.Progress < httpc.RequestWritten {
+		e.Kind = ledger.RequestUnsent
 		w.book.Add(e)
-		return model.TryNotReached, declined{}
+		return model.AttemptNotConnected, declined{}
 	}
 	asked := e
-	asked.Kind, asked.At = ledger.Asked, r.Written.Sub(w.book.Start())
+	asked.Kind, asked.At = ledger.RequestSent, r.WrittenAt.Sub(w.book.Start())
 	w.book.Add(asked)
-	e.At = r.Ended.Sub(w.book.Start())
+	e.At = r.EndedAt.Sub(w.book.Start())
 	e.Since = 0
 	switch {
 	case w.frozen(q.by):
-		e.Kind = ledger.Left
+		e.Kind = ledger.CallerGone
 		w.book.Add(e)
-		return model.TryFailed, declined{}
-	case r.Progress == httpc.Answered:
+		return model.AttemptFailed, declined{}
+	case r.Progress == httpc.ResponseReceived:
 		e.Kind, e.Status, e.Note = ledger.Answered, r.Status, tokenOf(r.Body, id)
 	case r.TimedOut && e.At < q.deadline:
-		e.Kind = ledger.Quit
+		e.Kind = ledger.CallerClosed
 	case r.TimedOut:
-		e.Kind = ledger.GaveUp
+		e.Kind = ledger.TimedOut
 	default:
-		e.Kind, e.Note = ledger.Broken, r.Err.Error()
+		e.Kind, e.Note = ledger.ConnectionBroken, r.Err.Error()
 	}
 	w.book.Add(e)
 	switch {
-	case e.Kind == ledger.GaveUp, e.Kind == ledger.Quit, e.At > q.deadline:
-		return model.TryTimedOut, declined{}
-	case e.Kind == ledger.Broken:
-		return model.TryFailed, declined{}
+	case e.Kind == ledger.TimedOut, e.Kind == ledger.CallerClosed, e.At > q.deadline:
+		return model.AttemptTimedOut, declined{}
+	case e.Kind == ledger.ConnectionBroken:
+		return model.AttemptFailed, declined{}
 	case r.Status == 200:
-		return model.TryServed, declined{}
+		return model.AttemptServed, declined{}
 	case r.Header.Get(scenario.ChainField) == protocol.Declined && (q.client == 0 || r.Status == 508):
-		return model.TryDeclined, declined{r.Status, r.Header.Get("Retry-After")}
+		return model.AttemptDeclined, declined{r.Status, r.Header.Get("Retry-After")}
 	case r.Status == 503 || r.Status == 429:
-		return model.TryRefused, declined{r.Status, r.Header.Get("Retry-After")}
+		return model.AttemptRejected, declined{r.Status, r.Header.Get("Retry-After")}
 	}
-	return model.TryFailed, declined{}
+	return model.AttemptFailed, declined{}
 }
 
 // advice is when to come back, 0 where nothing was said of it.
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -11,7 +11,7 @@
 // clients sends what the scenario's clients ask, open-loop, until the end of the run or of ctx, and waits for the
 // outcome of all that went out.
 func (w *World) clients(ctx context.Context, until time.Duration) {
-	classes, habits := w.s.Model()
+	classes, habits := w.s.ClientModel()
 	rng := model.NewRand(w.seed, 3)
 	var shape load.Shape
 	for _, p := range w.s.Load.Shape {
@@ -21,7 +21,7 @@
 	if w.s.Load.Arrivals == "constant" {
 		spacing = nil
 	}
-	arrivals := load.NewArrivals(w.plan.Rate, shape, spacing, until)
+	arrivals := load.NewArrivals(w.plan.BaseRate, shape, spacing, until)
 	var open tasks
 	number := 0
 	for at, more := arrivals.Next(); more; at, more = arrivals.Next() {
@@ -38,28 +38,28 @@
 
 // client carries one piece of business through its tries.
 func (w *World) client(ctx context.Context, c *model.Client, n int) {
-	try := c.First()
+	try := c.FirstAttempt()
 	for more := true; more; {
 		if !w.sleep(ctx, try.At) {
 			return
 		}
-		end, why := w.caller.try(w.pick(), call{class: c.Class, work: c.Work, deadline: try.Deadline, client: n, intended: c.Asked,
-			repeat: try.Repeat, leaves: w.leaves(c.Asked, try, n)})
+		end, why := w.caller.try(w.pick(), call{class: c.ClassIndex, work: c.Work, deadline: try.Deadline, client: n, intended: c.StartedAt,
+			repeat: try.Retry, leaves: w.leaves(c.StartedAt, try, n)})
 		now := w.book.Now()
 		switch {
-		case end == model.TryServed && now <= c.Asked+w.s.Classes[c.Class].Aim.D():
+		case end == model.AttemptServed && now <= c.StartedAt+w.s.Classes[c.ClassIndex].LatencyTarget.D():
 			w.inTime.Add(1)
-		case end != model.TryServed:
+		case end != model.AttemptServed:
 			w.errors.Add(1)
 		}
-		try, more = c.Next(now, end, why.advice())
+		try, more = c.NextAttempt(now, end, why.advice())
 	}
 }
 
 // leaves is when a client closes its connection before its time is over, 0 if it does not.
-func (w *World) leaves(asked time.Duration, try model.Try, client int) time.Duration {
+func (w *World) leaves(asked time.Duration, try model.ClientAttempt, client int) time.Duration {
 	rng := model.NewRand(w.seed^uint64(client), 7+uint64(try.At-asked))
-	if rng.Float64() >= w.s.Clients.Leave {
+	if rng.Float64() >= w.s.Clients.LeaveShare {
 		return 0
 	}
 	return try.At + time.Duration(rng.Float64()*float64(try.Deadline-try.At))
@@ -71,7 +71,7 @@
 	w.frontMu.Lock()
 	w.picks++
 	for s := range w.ending {
-		if pool := s.client(); w.picks%2 == 0 && pool != nil && pool.Rests() {
+		if pool := s.client(); w.picks%2 == 0 && pool != nil && pool.HasIdle() {
 			w.frontMu.Unlock()
 			return s
 		}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -36,7 +36,7 @@
 `
 
 func TestMain(m *testing.M) {
-	if mode := os.Getenv(wrong.Variable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
+	if mode := os.Getenv(wrong.ModeVariable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := wrong.Serve(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -86,17 +86,17 @@
 	drain := "  - {kind: deploy, at: 500ms, for: 200ms, count: 1, batch: 0.3, drain: 1500ms}\n"
 	for mode, c := range map[string]struct{ rule, what, troubles string }{
 		"honest":        {"", "", ""},
-		"twice":         {ledger.RuleRepeat, "sent again though it may have run", ""},
-		"refuses":       {ledger.RuleRepeat, "refused though it may have run", ""},
-		"copies":        {ledger.RuleCopies, "two attempts out at once", ""},
-		"never":         {ledger.RuleAnswer, "no final answer", ""},
-		"answers-twice": {ledger.RuleAnswer, "more than one answer", ""},
-		"invents":       {ledger.RuleAnswer, "served with what no instance made", ""},
+		"twice":         {ledger.RuleNoUnsafeRetry, "sent again though it may have run", ""},
+		"refuses":       {ledger.RuleNoUnsafeRetry, "refused though it may have run", ""},
+		"copies":        {ledger.RuleNoConcurrentAttempts, "two attempts out at once", ""},
+		"never":         {ledger.RuleOneAnswer, "no final answer", ""},
+		"answers-twice": {ledger.RuleOneAnswer, "more than one answer", ""},
+		"invents":       {ledger.RuleOneAnswer, "served with what no instance made", ""},
 		"drained":       {ledger.RuleDrain, "told Terminating", drain},
-		"cold":          {ledger.RuleCold, "core-seconds within", drain},
-		"crash":         {ledger.RuleCrash, "exit status 3", ""},
-		"gone":          {ledger.RuleGone, "after its client had left", ""},
-		"more-time":     {ledger.RuleTime, "more than its caller had left", ""},
+		"cold":          {ledger.RuleSlowStart, "core-seconds within", drain},
+		"crash":         {ledger.RuleNoCrash, "exit status 3", ""},
+		"gone":          {ledger.RuleClientGone, "after its client had left", ""},
+		"more-time":     {ledger.RuleTimeLeft, "more than its caller had left", ""},
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -105,7 +105,7 @@
 				s.Duration = scenario.Duration(5 * time.Second)
 			}
 			o := options(t, s)
-			o.Env = []string{wrong.Variable + "=" + mode}
+			o.Env = []string{wrong.ModeVariable + "=" + mode}
 			r, err := Run(context.Background(), o)
 			if err != nil {
 				t.Fatal(err)
@@ -115,21 +115,21 @@
 			if c.rule == "" {
 				rules.Slack = lenient
 			}
-			breaches := ledger.Judge(r.Entries, rules)
+			breaches := ledger.FindViolations(r.Entries, rules)
 			if c.rule == "" {
 				if len(breaches) > 0 {
 					t.Fatalf("nothing is wrong, and the ledger says: %s", breaches[0])
 				}
-				if v := ledger.Serve(r.Entries, s.Served()); v.Clients < 60 || v.InTime < v.Clients*9/10 {
-					t.Errorf("%d of %d served in time", v.InTime, v.Clients)
+				if v := ledger.MeasureService(r.Entries, s.LedgerObjective()); v.ClientRequests < 60 || v.InTime < v.ClientRequests*9/10 {
+					t.Errorf("%d of %d served in time", v.InTime, v.ClientRequests)
 				}
 				return
 			}
-			at := slices.IndexFunc(breaches, func(b ledger.Breach) bool { return b.Rule == c.rule && strings.Contains(b.What, c.what) })
+			at := slices.IndexFunc(breaches, func(b ledger.Violation) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.what) })
 			if at < 0 {
 				t.Fatalf("%s (%s) is not caught; broken: %v", c.rule, c.what, breaches)
 			}
-			if c.rule != ledger.RuleCrash && len(breaches[at].Story) == 0 {
+			if c.rule != ledger.RuleNoCrash && len(breaches[at].Entries) == 0 {
 				t.Errorf("no story: %s", breaches[at])
 			}
 		})
@@ -174,12 +174,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Cut || len(r.Entries) == 0 || time.Since(began) > 30*time.Second {
-		t.Errorf("cut %v, %d entries, %s", r.Cut, len(r.Entries), time.Since(began))
+	if !r.CutShort || len(r.Entries) == 0 || time.Since(began) > 30*time.Second {
+		t.Errorf("cut %v, %d entries, %s", r.CutShort, len(r.Entries), time.Since(began))
 	}
 	rules := s.Rules()
 	rules.Slack = lenient
-	for _, b := range ledger.Judge(r.Entries, rules) {
+	for _, b := range ledger.FindViolations(r.Entries, rules) {
 		t.Errorf("broken: %s", b)
 	}
 	if len(addresses) != 1 {
--- a/internal/lab/emulator/instance.go
+++ b/internal/lab/emulator/instance.go
@@ -43,13 +43,13 @@
 type door struct {
 	sidecar *sidecar
 	ln      *net.TCPListener
-	block   *relay.Blockade
+	block   *relay.AcceptBlocker
 }
 
 // close ends the listener, and what keeps connections from coming up.
 func (d *door) close() {
 	if d.block != nil {
-		d.block.Lift()
+		d.block.Release()
 		d.block = nil
 	}
 	if d.ln != nil {
@@ -103,7 +103,7 @@
 		i.since, note = now, "cold"
 	}
 	i.model = model.NewInstance(i.machine.Config, i.rng, now, cold)
-	i.w.book.Add(ledger.Entry{At: max(now, 1), Kind: ledger.Life, Tier: i.machine.Tier, Instance: i.machine.Name, Since: i.since, Note: note,
+	i.w.book.Add(ledger.Entry{At: max(now, 1), Kind: ledger.InstanceStarted, Tier: i.machine.Tier, Instance: i.machine.Name, Since: i.since, Note: note,
 		Capacity: float64(i.machine.Config.Cores) * i.machine.Config.Speed})
 }
 
@@ -111,7 +111,7 @@
 func (i *instance) renew() {
 	i.live(0, false)
 	for c := range i.conns {
-		c.counted = i.model.Opened(0)
+		c.counted = i.model.ConnectionOpened(0)
 	}
 }
 
@@ -122,25 +122,25 @@
 	}
 	now := i.w.book.Now()
 	i.model.Advance(now)
-	for _, a := range i.model.Actions() {
+	for _, a := range i.model.TakeActions() {
 		if a.Call {
-			i.call(a.Copy)
+			i.call(a.AttemptID)
 		} else {
 			i.answer(a)
 		}
 	}
-	if choked := i.model.Choked(); choked != i.choked {
+	if choked := i.model.Overloaded(); choked != i.choked {
 		if i.choked = choked; choked {
-			i.w.book.Add(ledger.Entry{Kind: ledger.Choked, Tier: i.machine.Tier, Instance: i.machine.Name})
+			i.w.book.Add(ledger.Entry{Kind: ledger.InstanceOverloaded, Tier: i.machine.Tier, Instance: i.machine.Name})
 		}
 	}
-	if i.model.Fallen() {
-		i.w.book.Add(ledger.Entry{Kind: ledger.Fell, Tier: i.machine.Tier, Instance: i.machine.Name})
+	if i.model.Crashed() {
+		i.w.book.Add(ledger.Entry{Kind: ledger.InstanceCrashed, Tier: i.machine.Tier, Instance: i.machine.Name})
 		i.down()
-		i.w.registry.seen(i.machine, model.Gone, i.since, i.w.s.Discovery.SilentNotice.D())
+		i.w.registry.seen(i.machine, model.Gone, i.since, i.w.s.Discovery.SilentDetectionDelay.D())
 		return -1
 	}
-	next, any := i.model.Next()
+	next, any := i.model.NextEvent()
 	if !any {
 		return -1
 	}
@@ -148,16 +148,16 @@
 }
 
 func (i *instance) answer(a model.Action) {
-	t := i.copies[a.Copy]
+	t := i.copies[a.AttemptID]
 	if t == nil {
 		return
 	}
-	delete(i.copies, a.Copy)
-	out := answer{outcome: a.Outcome, spoil: a.Spoil, status: 200}
-	note := token(i.machine.Name, a.Copy)
+	delete(i.copies, a.AttemptID)
+	out := answer{outcome: a.Outcome, spoil: a.Corruption, status: 200}
+	note := token(i.machine.Name, a.AttemptID)
 	outcome := "served"
 	switch {
-	case a.Outcome == model.Turned:
+	case a.Outcome == model.Rejected:
 		out.status, outcome, out.body = 503, "turned", "turned away\n"
 	case a.Outcome == model.Declined:
 		out.status, outcome, out.body = t.declined.status, "declined", "declined below\n"
@@ -170,14 +170,14 @@
 	default:
 		out.body = body(t.id, note)
 	}
-	if a.Spoil != model.Whole && a.Spoil < model.SecondCopy {
+	if a.Corruption != model.Intact && a.Corruption < model.DuplicateResponse {
 		outcome = "spoilt"
 	}
 	if a.HasLoad {
 		out.load = i.w.loadText(i.machine.Tier, a.Load)
 	}
-	i.w.book.Add(ledger.Entry{Kind: ledger.Ended, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
-		Instance: i.machine.Name, Copy: a.Copy, Outcome: outcome, Status: out.status, Work: t.tierWork, Note: note})
+	i.w.book.Add(ledger.Entry{Kind: ledger.AttemptEnded, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
+		Instance: i.machine.Name, AttemptID: a.AttemptID, Outcome: outcome, Status: out.status, Work: t.tierWork, Note: note})
 	t.conn.send(out)
 }
 
@@ -199,10 +199,10 @@
 			if i.model != life || i.silent || i.stopped {
 				return
 			}
-			if t.declined = why; end == model.TryDeclined {
+			if t.declined = why; end == model.AttemptDeclined {
 				life.CallDeclined(i.w.book.Now(), n)
 			} else {
-				life.CallEnded(i.w.book.Now(), n, end == model.TryServed)
+				life.CallEnded(i.w.book.Now(), n, end == model.AttemptServed)
 			}
 		})
 	})
@@ -255,7 +255,7 @@
 
 // address is where a sidecar reaches the instance.
 func (i *instance) address(s *sidecar) string {
-	return fmt.Sprintf("%s:%d", i.w.block.instance(i.machine.Tier, i.machine.Number), instancePort+s.index)
+	return fmt.Sprintf("%s:%d", i.w.block.instance(i.machine.Tier, i.machine.AddressNumber), instancePort+s.index)
 }
 
 func (i *instance) opened(c *iconn) {
@@ -264,8 +264,8 @@
 		return
 	}
 	i.conns[c] = true
-	i.w.book.Add(ledger.Entry{Kind: ledger.Opened, Tier: i.machine.Tier, Instance: i.machine.Name, Sidecar: c.sidecar})
-	c.counted = i.model.Opened(i.w.book.Now())
+	i.w.book.Add(ledger.Entry{Kind: ledger.ConnectionOpened, Tier: i.machine.Tier, Instance: i.machine.Name, Sidecar: c.sidecar})
+	c.counted = i.model.ConnectionOpened(i.w.book.Now())
 	i.w.tasks.Go(c.read)
 }
 
@@ -276,7 +276,7 @@
 	}
 	delete(i.conns, c)
 	if c.counted && !i.silent && !i.stopped {
-		i.model.Closed(i.w.book.Now())
+		i.model.ConnectionClosed(i.w.book.Now())
 	}
 	if !c.behind {
 		i.leave(c)
@@ -293,8 +293,8 @@
 }
 
 func (i *instance) left(n uint64, t *attempt) {
-	i.w.book.Add(ledger.Entry{Kind: ledger.Closed, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
-		Instance: i.machine.Name, Copy: n})
+	i.w.book.Add(ledger.Entry{Kind: ledger.AttemptClosed, ID: t.id, Tier: i.machine.Tier, Class: t.class, Sidecar: t.sidecar,
+		Instance: i.machine.Name, AttemptID: n})
 }
 
 // arrive takes a request whose last byte has come.
@@ -303,33 +303,33 @@
 	n := i.w.copies.Add(1)
 	t := &attempt{conn: c, id: r.id, class: r.class, work: r.work, sidecar: c.sidecar, chain: r.chain}
 	tier := &i.w.s.Tiers[i.machine.Tier]
-	mean := i.w.s.Classes[r.class].Work.D().Seconds() * tier.Work
-	t.tierWork = r.work * tier.Work * model.Lognormal(i.rng, 1, i.w.s.Classes[r.class].Noise)
-	t.request = model.Request{Copy: n, Work: t.tierWork, Mean: mean, Deadline: now + r.left}
+	mean := i.w.s.Classes[r.class].Work.D().Seconds() * tier.WorkShare
+	t.tierWork = r.work * tier.WorkShare * model.Lognormal(i.rng, 1, i.w.s.Classes[r.class].AttemptNoise)
+	t.request = model.Request{AttemptID: n, Work: t.tierWork, MeanWork: mean, Deadline: now + r.left}
 	if below := i.machine.Tier + 1; below < len(i.w.s.Tiers) {
-		calls := i.w.s.Tiers[below].Calls
-		t.request.Calls = int(calls)
+		calls := i.w.s.Tiers[below].CallsPerRequest
+		t.request.DownstreamCalls = int(calls)
 		if i.rng.Float64() < calls-float64(int(calls)) {
-			t.request.Calls++
+			t.request.DownstreamCalls++
 		}
 	}
-	e := ledger.Entry{Kind: ledger.Arrived, ID: r.id, Tier: i.machine.Tier, Class: r.class, Sidecar: c.sidecar,
-		Instance: i.machine.Name, Copy: n, Work: t.tierWork, Mean: mean, Deadline: now + r.left}
+	e := ledger.Entry{Kind: ledger.AttemptArrived, ID: r.id, Tier: i.machine.Tier, Class: r.class, Sidecar: c.sidecar,
+		Instance: i.machine.Name, AttemptID: n, Work: t.tierWork, MeanWork: mean, Deadline: now + r.left}
 	switch {
 	case c.behind:
-		e.Note = ledger.Behind
+		e.Note = ledger.DelayedNote
 	case i.silent:
 		e.Note = "silent"
 	}
 	begun := e
-	begun.Kind, begun.At, begun.Note, begun.Deadline = ledger.Begun, r.begun, "", r.begun+r.left
+	begun.Kind, begun.At, begun.Note, begun.Deadline = ledger.AttemptBegun, r.begun, "", r.begun+r.left
 	i.w.book.Add(begun)
 	if c.broken > 0 {
 		// It was read, or waited as a first request does, while the process ended: it was lost with its connection then. Entered
 		// as one that comes now it would have no end, and its sidecar has long known of that.
 		e.At = c.broken
 		i.w.book.Add(e)
-		e.Kind, e.Work, e.Mean, e.Deadline = ledger.Closed, 0, 0, 0
+		e.Kind, e.Work, e.MeanWork, e.Deadline = ledger.AttemptClosed, 0, 0, 0
 		i.w.book.Add(e)
 		return
 	}
@@ -339,7 +339,7 @@
 		return
 	}
 	if !c.counted {
-		i.answer(model.Action{Copy: n, Outcome: model.Turned})
+		i.answer(model.Action{AttemptID: n, Outcome: model.Rejected})
 		return
 	}
 	i.model.Arrive(now, t.request)
@@ -356,7 +356,7 @@
 	if load, any := i.model.Report(now); any && path == "/stats" {
 		out.body = i.w.loadText(i.machine.Tier, load)
 	}
-	if wait := i.model.Paused() - now; wait > 0 {
+	if wait := i.model.PausedUntil() - now; wait > 0 {
 		time.AfterFunc(wait, func() { c.send(out) })
 		return
 	}
@@ -368,8 +368,8 @@
 	i.silent = true
 	for _, d := range i.listeners {
 		if d.ln != nil {
-			i.show(d, relay.Silent)
-			d.block = relay.NewBlockade(d.ln, &i.w.tasks.WaitGroup)
+			i.show(d, relay.Unreachable)
+			d.block = relay.NewAcceptBlocker(d.ln, &i.w.tasks.WaitGroup)
 		}
 	}
 	if i.beside != nil {
@@ -449,7 +449,7 @@
 	in := bufio.NewReaderSize(c, 4096)
 	first := true
 	for {
-		if idle := c.i.machine.Config.Conns.Idle; idle > 0 {
+		if idle := c.i.machine.Config.Connections.IdleTimeout; idle > 0 {
 			c.SetReadDeadline(time.Now().Add(idle))
 		}
 		if _, err := in.Peek(1); err != nil {
@@ -470,7 +470,7 @@
 			_, err = r.Body.Read(buf)
 		}
 		if first { // as a handshake would, the first request waits
-			time.Sleep(c.i.machine.Config.Conns.Delay)
+			time.Sleep(c.i.machine.Config.Connections.FirstRequestDelay)
 			first = false
 		}
 		if r.URL.Path == "/health/live" || r.URL.Path == "/stats" {
@@ -479,7 +479,7 @@
 		}
 		q, status := c.i.w.request(r)
 		if status != 0 {
-			c.i.w.book.Add(ledger.Entry{Kind: ledger.Trouble, Sidecar: c.sidecar, Instance: c.i.machine.Name, Status: status,
+			c.i.w.book.Add(ledger.Entry{Kind: ledger.FaultInjected, Sidecar: c.sidecar, Instance: c.i.machine.Name, Status: status,
 				Note: "unusable request " + r.Method + " " + r.URL.Path})
 			c.send(answer{status: status})
 			continue
@@ -506,7 +506,7 @@
 		return nil, 400
 	}
 	q.work = us / 1e6
-	q.left = w.s.Classes[q.class].GiveUp.D()
+	q.left = w.s.Classes[q.class].TotalTimeout.D()
 	if v := r.Header.Get("X-Time-Left-Ms"); v != "" {
 		left, err := strconv.ParseFloat(v, 64)
 		if err != nil {
@@ -520,7 +520,7 @@
 // loadText writes a report with the fields of the settings, in the protocol's form.
 func (w *World) loadText(tier int, l model.Load) string {
 	var parts []string
-	for _, f := range w.s.Tiers[tier].Reports.Fields {
+	for _, f := range w.s.Tiers[tier].LoadReports.Fields {
 		switch f {
 		case "queue":
 			parts = append(parts, fmt.Sprintf("queue=%d", l.Queue))
--- a/internal/lab/emulator/lost_test.go
+++ b/internal/lab/emulator/lost_test.go
@@ -19,11 +19,11 @@
 	for _, class := range []string{"look", "pay"} {
 		t.Run(class, func(t *testing.T) {
 			s := read(t, strings.TrimSuffix(small, "troubles:\n"))
-			w := &World{s: s, seed: 1, book: ledger.NewBook(), tasks: &tasks{}, log: slog.New(slog.DiscardHandler)}
-			plan := s.Lay(1)
+			w := &World{s: s, seed: 1, book: ledger.NewRecorder(), tasks: &tasks{}, log: slog.New(slog.DiscardHandler)}
+			plan := s.Plan(1)
 			var machines []*instance
 			for _, m := range plan.Machines[:2] {
-				m.Config.Conns.Delay = wait
+				m.Config.Connections.FirstRequestDelay = wait
 				i := newInstance(w, m, false, nil)
 				defer i.stop()
 				machines = append(machines, i)
@@ -54,21 +54,21 @@
 				t.Fatal("the connection was not reset")
 			}
 			send(machines[1]) // at once, as a sidecar may
-			testkit.Until(t, "both are entered, and the second has its end", func() bool {
+			testkit.WaitUntil(t, "both are entered, and the second has its end", func() bool {
 				n := map[ledger.Kind]int{}
 				for _, e := range w.book.Entries() {
 					n[e.Kind]++
 				}
-				return n[ledger.Arrived] == 2 && n[ledger.Ended] == 1
+				return n[ledger.AttemptArrived] == 2 && n[ledger.AttemptEnded] == 1
 			})
 			got := map[string]int{}
-			for _, b := range ledger.Judge(w.book.Entries(), s.Rules()) {
+			for _, b := range ledger.FindViolations(w.book.Entries(), s.Rules()) {
 				got[b.Rule]++
 			}
-			if got[ledger.RuleCopies] > 0 {
+			if got[ledger.RuleNoConcurrentAttempts] > 0 {
 				t.Errorf("two copies are seen where one was lost: %v", w.book.Entries())
 			}
-			if repeated := got[ledger.RuleRepeat] > 0; repeated != (class == "pay") {
+			if repeated := got[ledger.RuleNoUnsafeRetry] > 0; repeated != (class == "pay") {
 				t.Errorf("sent again though it may have run: %v", repeated)
 			}
 		})
--- a/internal/lab/emulator/parts_test.go
+++ b/internal/lab/emulator/parts_test.go
@@ -18,12 +18,12 @@
 
 // Each way of spoiling is what its name says to a client that reads the answer by the book.
 func TestSpoiltAnswers(t *testing.T) {
-	for spoil, c := range map[model.Spoil]struct {
+	for spoil, c := range map[model.Corruption]struct {
 		good   bool // an answer with its own body comes out
 		behind bool // something is left behind it
 	}{
-		model.Whole: {true, false}, model.Noise: {}, model.BadHead: {}, model.EndlessHead: {}, model.LongLength: {}, model.HugeLength: {},
-		model.SecondCopy: {true, true}, model.NoiseBehind: {true, true}, model.BadReport: {true, false}, model.Interim: {true, false},
+		model.Intact: {true, false}, model.Garbage: {}, model.MalformedHead: {}, model.EndlessHead: {}, model.OverlongLength: {}, model.HugeLength: {},
+		model.DuplicateResponse: {true, true}, model.TrailingGarbage: {true, true}, model.MalformedReport: {true, false}, model.InterimResponse: {true, false},
 	} {
 		a := answer{outcome: model.Served, spoil: spoil, status: 200, body: body("id", token("i", 7)), load: "queue=1"}
 		in := bufio.NewReader(bytes.NewReader(a.text()))
@@ -64,7 +64,7 @@
 	}
 	defer server.Close()
 	all := &tasks{}
-	b := relay.NewBlockade(ln, &all.WaitGroup)
+	b := relay.NewAcceptBlocker(ln, &all.WaitGroup)
 	all.Wait() // it is up
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -81,7 +81,7 @@
 	if _, err := open.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the open connection is not silent: %v", err)
 	}
-	b.Lift()
+	b.Release()
 	ln.Close()
 	if c, err := net.DialTimeout("tcp", ln.Addr().String(), 3*time.Second); err == nil {
 		c.Close()
--- a/internal/lab/emulator/paths.go
+++ b/internal/lab/emulator/paths.go
@@ -33,15 +33,15 @@
 }
 
 func instancePath(s *sidecar, m *scenario.Machine) path {
-	return path{s.name, scenario.PathInstances, m.Tier, m.Number}
+	return path{s.name, scenario.PathInstances, m.Tier, m.AddressNumber}
 }
 
 // instance opens the path from a sidecar to the address of an instance, if it does not stand. What replaces an instance
 // at its address has its path.
 func (p *paths) instance(s *sidecar, i *instance) error {
 	m := i.machine
-	return p.open(instancePath(s, &m), p.w.block.relayed(m.Tier, m.Number, s.index), i.address(s),
-		func(half string) { p.w.gone(m.Tier, m.Number, half) })
+	return p.open(instancePath(s, &m), p.w.block.relayed(m.Tier, m.AddressNumber, s.index), i.address(s),
+		func(half string) { p.w.gone(m.Tier, m.AddressNumber, half) })
 }
 
 // discovery opens the path from a sidecar to discovery at a place.
@@ -61,17 +61,17 @@
 		return err
 	}
 	if ended != nil {
-		r.Ended(ended)
+		r.OnClientClose(ended)
 	}
 	p.relays[key] = r
-	return r.Set(p.state(key))
+	return r.SetState(p.state(key))
 }
 
 // state is how a path is under all that is in force.
 func (p *paths) state(key path) (s relay.State) {
 	for _, b := range p.broken[key.sidecar] {
 		if p.meets(b, key) {
-			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), CutOut: s.CutOut || b.Out, CutBack: s.CutBack || b.Back}
+			s = relay.State{Delay: max(s.Delay, b.Delay), Loss: max(s.Loss, b.Loss), BlockForward: s.BlockForward || b.CutOutgoing, BlockReverse: s.BlockReverse || b.CutIncoming}
 		}
 	}
 	return s
@@ -84,16 +84,16 @@
 	}
 	return slices.ContainsFunc(b.Targets, func(name string) bool {
 		i := p.w.instance(name)
-		return i != nil && i.machine.Tier == key.tier && i.machine.Number == key.number
+		return i != nil && i.machine.Tier == key.tier && i.machine.AddressNumber == key.number
 	})
 }
 
 // change breaks a sidecar's paths, or heals what was broken.
 func (p *paths) change(s *sidecar, b *scenario.Path, broken bool) error {
 	if b.To == scenario.PathDiscovery {
-		kind := ledger.Hears
+		kind := ledger.DiscoveryPathRestored
 		if broken {
-			kind = ledger.Deaf
+			kind = ledger.DiscoveryPathCut
 		}
 		p.w.book.Add(ledger.Entry{Kind: kind, Sidecar: s.name, Tier: s.tier})
 	}
@@ -108,10 +108,10 @@
 		if key.sidecar != s.name || !p.meets(b, key) {
 			continue
 		}
-		if err := r.Set(p.state(key)); err != nil {
+		if err := r.SetState(p.state(key)); err != nil {
 			return fmt.Errorf("path of %s: %w", s.name, err)
 		}
-		if broken && b.Reset {
+		if broken && b.ResetConnections {
 			r.Reset()
 		}
 	}
@@ -124,7 +124,7 @@
 	if r == nil {
 		return 0, false
 	}
-	at, known := r.Asked(c.RemoteAddr().String())
+	at, known := r.PendingSince(c.RemoteAddr().String())
 	return at.Sub(p.w.book.Start()), known
 }
 
@@ -150,7 +150,7 @@
 func (w *World) gone(tier, number int, half string) {
 	instances, _ := w.here()
 	for _, i := range instances {
-		if i.machine.Tier != tier || i.machine.Number != number {
+		if i.machine.Tier != tier || i.machine.AddressNumber != number {
 			continue
 		}
 		i.post(func() {
@@ -165,7 +165,7 @@
 }
 
 // show has the path from a sidecar look as the instance's listener does. It is called on the instance's owner.
-func (i *instance) show(d *door, t relay.Target) {
+func (i *instance) show(d *door, t relay.TargetState) {
 	if i.w.paths == nil {
 		return
 	}
@@ -173,7 +173,7 @@
 	if r == nil {
 		return
 	}
-	if err := r.Target(t); err != nil {
+	if err := r.SetTargetState(t); err != nil {
 		i.w.fail(fmt.Errorf("path from %s to %s: %w", d.sidecar.name, i.machine.Name, err))
 	}
 }
--- a/internal/lab/emulator/proxies.go
+++ b/internal/lab/emulator/proxies.go
@@ -20,17 +20,17 @@
 
 // controls is the run's control service. It watches discovery as a sidecar of each tier would.
 type controls struct {
-	*child.Control
+	*child.ControlProcess
 	places []*sidecar // by tier; they have no process
 }
 
 // check refuses what proxies cannot play.
 func (p *Proxies) check(s *scenario.Scenario, plan *scenario.Plan) error {
-	if s.Sidecar.Form != scenario.FormPlatform {
-		return fmt.Errorf("the scenario's sidecars are configured as %s: other proxies read the platform's form alone", s.Sidecar.Form)
+	if s.Sidecar.ConfigFormat != scenario.FormatPlatform {
+		return fmt.Errorf("the scenario's sidecars are configured as %s: other proxies read the platform's form alone", s.Sidecar.ConfigFormat)
 	}
 	for _, e := range plan.Events {
-		if e.Do == scenario.MoveDiscovery {
+		if e.Kind == scenario.MoveDiscovery {
 			return fmt.Errorf("the scenario moves discovery at %s: only kitewood sidecars follow it", e.At)
 		}
 	}
@@ -40,7 +40,7 @@
 // command is the command line of a sidecar's place.
 func (w *World) command(s *sidecar) (program string, args []string) {
 	if w.proxies == nil {
-		if args = []string{"serve"}; w.s.Sidecar.Form == scenario.FormPools {
+		if args = []string{"serve"}; w.s.Sidecar.ConfigFormat == scenario.FormatPools {
 			args = append(args, "--config", s.file("yaml"))
 		}
 		return w.binary, args
@@ -67,13 +67,13 @@
 		pool := w.s.Pool(t, 0, 1)
 		pool["members"] = object{"discovery": w.registry.address(place)}
 		pools = append(pools, pool)
-		routes = append(routes, object{"hosts": []string{dataplane.Host(tier.Name)}, "pool": tier.Name})
+		routes = append(routes, object{"hosts": []string{dataplane.RouteHost(tier.Name)}, "pool": tier.Name})
 	}
 	text, err := yaml.Marshal(object{"pools": pools, "routes": routes})
 	if err != nil {
 		return err
 	}
-	if c.Control, err = child.StartControl(w.proxies.Control, w.dir, "control", string(text)); err != nil {
+	if c.ControlProcess, err = child.StartControl(w.proxies.Control, w.dir, "control", string(text)); err != nil {
 		return err
 	}
 	w.controls = c
@@ -86,8 +86,8 @@
 		return
 	}
 	select {
-	case <-w.controls.Ended:
-		w.book.Add(ledger.Entry{Kind: ledger.Crashed, Sidecar: "control", Note: w.controls.Said()})
+	case <-w.controls.Done:
+		w.book.Add(ledger.Entry{Kind: ledger.SidecarCrashed, Sidecar: "control", Note: w.controls.Output()})
 	default:
 		w.controls.Kill()
 	}
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -56,11 +56,11 @@
 		var list []model.Member
 		for _, m := range r.w.plan.Machines {
 			if m.Tier == t {
-				list = append(list, model.Member{Name: m.Name, Kind: m.Kind, Group: m.Number, Status: model.Ready})
+				list = append(list, model.Member{Name: m.Name, Kind: m.Kind, Group: m.AddressNumber, Status: model.Ready})
 			}
 		}
-		r.lists = append(r.lists, model.NewDiscovery(model.DiscoveryConfig{Period: d.Period.D(), Capacity: d.Capacity,
-			Timeout: d.Timeout.D(), Keep: 64, RefuseFull: d.RefuseFull, WorksOffFailed: d.WorksOffFailed}, list))
+		r.lists = append(r.lists, model.NewDiscovery(model.DiscoveryConfig{Period: d.PublishPeriod.D(), CallsPerSecond: d.CallsPerSecond,
+			Timeout: d.Timeout.D(), KeptVersions: 64, RejectWhenFull: d.RejectWhenFull, ServeTimedOut: d.ServeTimedOut}, list))
 	}
 }
 
@@ -71,7 +71,7 @@
 		now := r.w.book.Now()
 		if u, any := d.Advance(now); any {
 			for _, m := range u.Members {
-				r.w.book.Add(ledger.Entry{Kind: ledger.Told, Tier: t, Instance: m.Name, Outcome: string(m.Status), Since: m.Since})
+				r.w.book.Add(ledger.Entry{Kind: ledger.Notified, Tier: t, Instance: m.Name, Outcome: string(m.Status), Since: m.StartedAt})
 			}
 			for w := range r.watches {
 				if w.sidecar.tier == t {
@@ -84,7 +84,7 @@
 				}
 			}
 		}
-		if next, any := d.Next(); any {
+		if next, any := d.NextPublish(); any {
 			if in := max(0, next-r.w.book.Now()); wait < 0 || in < wait {
 				wait = in
 			}
@@ -103,8 +103,8 @@
 // seen is change for whoever is the instance's owner already.
 func (r *registry) seen(m scenario.Machine, status model.Status, since, after time.Duration) {
 	r.post(func() {
-		r.lists[m.Tier].Change(r.w.book.Now()+model.Around(r.rng, after), model.Member{Name: m.Name, Kind: m.Kind,
-			Group: m.Number, Status: status, Since: since})
+		r.lists[m.Tier].ScheduleChange(r.w.book.Now()+model.Jitter(r.rng, after), model.Member{Name: m.Name, Kind: m.Kind,
+			Group: m.AddressNumber, Status: status, StartedAt: since})
 	})
 }
 
@@ -192,14 +192,14 @@
 func (r *registry) slow(factor float64) {
 	r.do(func() {
 		for _, list := range r.lists {
-			list.Slow(factor)
+			list.SetSlowdown(factor)
 		}
 	})
 }
 
 // down takes discovery off; its watches end.
 func (r *registry) down() {
-	r.w.book.Add(ledger.Entry{Kind: ledger.Offline})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryOffline})
 	r.do(func() {
 		r.off = true
 		r.server.Close()
@@ -212,7 +212,7 @@
 		r.off = false
 		r.serve()
 	})
-	r.w.book.Add(ledger.Entry{Kind: ledger.Online})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryOnline})
 }
 
 func (r *registry) close() {
@@ -246,7 +246,7 @@
 		http.Error(w, "nobody's address", http.StatusServiceUnavailable)
 		return
 	}
-	r.w.book.Add(ledger.Entry{Kind: ledger.Called, Sidecar: s.name, Tier: s.tier, Outcome: map[bool]string{true: "served", false: "busy"}[served]})
+	r.w.book.Add(ledger.Entry{Kind: ledger.DiscoveryCalled, Sidecar: s.name, Tier: s.tier, Outcome: map[bool]string{true: "served", false: "busy"}[served]})
 	if wait := at - r.w.book.Now(); wait > 0 {
 		select {
 		case <-time.After(wait):
@@ -266,8 +266,8 @@
 	watch := &watch{sidecar: s, updates: make(chan model.Update, 64), end: make(chan struct{})}
 	var first model.Update
 	r.do(func() {
-		if first = r.lists[s.tier].Since(since); !follow {
-			first = r.lists[s.tier].Since(-1)
+		if first = r.lists[s.tier].ChangesSince(since); !follow {
+			first = r.lists[s.tier].ChangesSince(-1)
 		} else {
 			r.watches[watch] = true
 		}
@@ -276,13 +276,13 @@
 	if r.tell(w, s, first) != nil || !follow {
 		return
 	}
-	beat := time.NewTicker(r.w.s.Discovery.Beat.D())
+	beat := time.NewTicker(r.w.s.Discovery.HeartbeatPeriod.D())
 	defer beat.Stop()
 	for {
 		select {
 		case u := <-watch.updates:
 			var spread time.Duration
-			r.do(func() { spread = model.Around(r.rng, r.w.s.Discovery.Spread.D()) })
+			r.do(func() { spread = model.Jitter(r.rng, r.w.s.Discovery.DelayJitter.D()) })
 			select {
 			case <-time.After(spread):
 			case <-q.Context().Done():
@@ -350,8 +350,8 @@
 			known[m.Name] = m
 		}
 		for _, name := range names {
-			r.w.book.Add(ledger.Entry{Kind: ledger.Told, Tier: s.tier, Sidecar: name, Instance: m.Name,
-				Outcome: string(m.Status), Since: m.Since})
+			r.w.book.Add(ledger.Entry{Kind: ledger.Notified, Tier: s.tier, Sidecar: name, Instance: m.Name,
+				Outcome: string(m.Status), Since: m.StartedAt})
 		}
 	}
 	in := map[string]bool{}
@@ -395,8 +395,8 @@
 		if r.w.paths != nil {
 			e.Address = r.w.block.relayed(s.tier, m.Group, s.index)
 		}
-		if m.Since > 0 {
-			e.SinceMS = r.w.book.Start().Add(m.Since).UnixMilli()
+		if m.StartedAt > 0 {
+			e.SinceMS = r.w.book.Start().Add(m.StartedAt).UnixMilli()
 		}
 		out.Endpoints = append(out.Endpoints, e)
 	}
@@ -413,7 +413,7 @@
 		return poolList{Endpoints: []endpoint{}}
 	}
 	r.do(func() {
-		u := r.lists[s.tier].Since(-1)
+		u := r.lists[s.tier].ChangesSince(-1)
 		u.Full = true
 		if known := r.known[s.name]; known != nil {
 			u.Members = u.Members[:0:0]
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -51,7 +51,7 @@
 type Process struct {
 	Name      string  `json:"name"`
 	Tier      int     `json:"tier"`
-	RestMB    float64 `json:"rest_mb"`
+	IdleMB    float64 `json:"rest_mb"`
 	PeakMB    float64 `json:"peak_mb"`
 	CPUSecond float64 `json:"cpu_s"`
 }
@@ -70,10 +70,10 @@
 func (s *sidecar) configure() error {
 	limits := s.w.s.Sidecar
 	me, of := s.me, s.of
-	if limits.Alone {
+	if limits.Standalone {
 		me, of = 0, 1
 	}
-	if limits.Form == scenario.FormPools {
+	if limits.ConfigFormat == scenario.FormatPools {
 		type object = map[string]any
 		pool := s.w.s.Pool(s.tier, me, of)
 		pool["members"] = object{"discovery": s.w.registry.address(s)}
@@ -120,15 +120,15 @@
 	if err := s.w.starter.Start(p.cmd); err != nil {
 		return err
 	}
-	s.w.book.Add(ledger.Entry{Kind: ledger.Up, Sidecar: s.name, Tier: s.tier})
+	s.w.book.Add(ledger.Entry{Kind: ledger.SidecarStarted, Sidecar: s.name, Tier: s.tier})
 	s.mu.Lock()
 	s.process = p
 	if s.pool == nil {
-		s.pool = httpc.NewPool(httpc.Options{Address: s.listen, ConnectTimeout: time.Second, Extra: s.w.extra})
+		s.pool = httpc.NewPool(httpc.Options{Address: s.listen, ConnectTimeout: time.Second, OnUnsolicited: s.w.extra})
 	}
 	s.mu.Unlock()
 	s.w.tasks.Go(func() { s.watch(p) })
-	text := httpc.Text("GET", "/health/ready", "backend.local", nil)
+	text := httpc.FormatRequest("GET", "/health/ready", "backend.local", nil)
 	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		check := httpc.NewPool(httpc.Options{Address: s.listen})
 		r := check.Do("", "GET", text, time.Now().Add(time.Second))
@@ -155,14 +155,14 @@
 	expected := p.expected
 	s.mu.Unlock()
 	if !expected {
-		s.w.book.Add(ledger.Entry{Kind: ledger.Crashed, Sidecar: s.name, Tier: s.tier,
+		s.w.book.Add(ledger.Entry{Kind: ledger.SidecarCrashed, Sidecar: s.name, Tier: s.tier,
 			Note: p.cmd.ProcessState.String() + ": " + s.lastLine()})
 	}
 	cpu := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 	s.mu.Lock()
 	peak := p.peak
 	s.mu.Unlock()
-	s.w.addProcess(Process{Name: s.name, Tier: s.tier, RestMB: float64(p.rest) / (1 << 20), PeakMB: float64(peak) / (1 << 20),
+	s.w.addProcess(Process{Name: s.name, Tier: s.tier, IdleMB: float64(p.rest) / (1 << 20), PeakMB: float64(peak) / (1 << 20),
 		CPUSecond: cpu.Seconds()})
 	close(p.ended)
 }
@@ -217,9 +217,9 @@
 
 // stand has the process stand still, and go on again.
 func (s *sidecar) stand(still bool) {
-	kind, sig := ledger.Resumed, syscall.SIGCONT
+	kind, sig := ledger.SidecarResumed, syscall.SIGCONT
 	if still {
-		kind, sig = ledger.Stopped, syscall.SIGSTOP
+		kind, sig = ledger.SidecarPaused, syscall.SIGSTOP
 	}
 	s.w.book.Add(ledger.Entry{Kind: kind, Sidecar: s.name, Tier: s.tier})
 	s.signal(sig, false)
@@ -227,7 +227,7 @@
 
 // kill ends it outright.
 func (s *sidecar) kill() {
-	s.w.book.Add(ledger.Entry{Kind: ledger.Down, Sidecar: s.name, Tier: s.tier})
+	s.w.book.Add(ledger.Entry{Kind: ledger.SidecarEnded, Sidecar: s.name, Tier: s.tier})
 	if p := s.signal(syscall.SIGKILL, true); p != nil {
 		<-p.ended
 	}
@@ -242,7 +242,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range s.w.s.Classes {
-		longest = max(longest, c.GiveUp.D())
+		longest = max(longest, c.TotalTimeout.D())
 	}
 	longest = min(longest, killLongest)
 	select {
--- a/internal/lab/emulator/spoil.go
+++ b/internal/lab/emulator/spoil.go
@@ -13,7 +13,7 @@
 // answer is what an instance says to an attempt.
 type answer struct {
 	outcome model.Outcome
-	spoil   model.Spoil
+	spoil   model.Corruption
 	status  int
 	body    string
 	load    string // the report as it is sent; empty for none
@@ -28,21 +28,21 @@
 	length := len(a.body)
 	load := a.load
 	switch a.spoil {
-	case model.Noise:
+	case model.Garbage:
 		return []byte(strings.Repeat("\x00\x07~noise~", 40))
-	case model.BadHead:
+	case model.MalformedHead:
 		return []byte("HTTP/1.1 2x0 maybe\r\n: :\r\n\r\n")
-	case model.LongLength:
+	case model.OverlongLength:
 		length += 50
 	case model.HugeLength:
 		length = 3 << 30
-	case model.BadReport:
+	case model.MalformedReport:
 		load = "inflight=many,,=,"
-	case model.Interim:
+	case model.InterimResponse:
 		b.WriteString("HTTP/1.1 102 Processing\r\n\r\n")
 	}
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n", a.status, reason)
-	if a.outcome == model.Turned {
+	if a.outcome == model.Rejected {
 		b.WriteString("X-Unprocessed: 1\r\n")
 	}
 	b.WriteString(a.fields)
@@ -54,9 +54,9 @@
 	}
 	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", length, a.body)
 	switch a.spoil {
-	case model.SecondCopy:
+	case model.DuplicateResponse:
 		b.Write(bytes.Clone(b.Bytes()))
-	case model.NoiseBehind:
+	case model.TrailingGarbage:
 		b.WriteString("~noise~")
 	}
 	return b.Bytes()
--- a/internal/lab/emulator/timeline.go
+++ b/internal/lab/emulator/timeline.go
@@ -21,20 +21,20 @@
 			return
 		}
 		w.log.Debug("timeline", "at", w.book.Now().Round(time.Millisecond), "event", e.String())
-		w.book.Add(ledger.Entry{Kind: ledger.Trouble, Instance: e.Instance, Note: e.String()})
+		w.book.Add(ledger.Entry{Kind: ledger.FaultInjected, Instance: e.Instance, Note: e.String()})
 		if i := w.instance(e.Instance); i != nil {
 			w.happen(i, e, &open)
 			continue
 		}
-		if e.Instance != "" && e.Do != scenario.Start {
+		if e.Instance != "" && e.Kind != scenario.Start {
 			continue // it was to come later, and has not
 		}
-		switch e.Do {
+		switch e.Kind {
 		case scenario.Start:
 			open.Go(func() { w.startMachine(*e.Machine) })
 		case scenario.RestartSidecar:
-			open.Go(func() { w.restart(w.first[e.Sidecar], e.Series) })
-		case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.HealPath, scenario.BreakWatches:
+			open.Go(func() { w.restart(w.first[e.Sidecar], e.SignalSeries) })
+		case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.RestorePath, scenario.BreakWatches:
 			w.trouble(w.first[e.Sidecar], e, &open)
 		case scenario.MoveDiscovery:
 			w.registry.move()
@@ -53,34 +53,34 @@
 func (w *World) happen(i *instance, e scenario.Event, open *tasks) {
 	now := w.book.Now()
 	d := &w.s.Discovery
-	switch e.Do {
+	switch e.Kind {
 	case scenario.Vanish:
 		i.do(i.vanish)
-		w.registry.change(i, model.Gone, d.SilentNotice.D())
+		w.registry.change(i, model.Gone, d.SilentDetectionDelay.D())
 	case scenario.Return:
 		open.Go(func() { w.bringBack(i) })
 	case scenario.Slow:
-		i.do(func() { i.model.Slow(now, e.Factor) })
+		i.do(func() { i.model.SetSlowdown(now, e.Factor) })
 	case scenario.Pause:
 		i.do(func() { i.model.Pause(now, e.Span) })
 	case scenario.LateReports:
-		i.do(func() { i.model.LateReports(now, e.Span) })
-	case scenario.SpoilAnswers:
-		i.do(func() { i.model.Spoil(now, e.Factor) })
-	case scenario.Busy:
-		i.do(func() { i.model.Busy(now, e.Factor > 0) })
+		i.do(func() { i.model.SetReportDelay(now, e.Span) })
+	case scenario.CorruptResponses:
+		i.do(func() { i.model.Corrupt(now, e.Factor) })
+	case scenario.RejectRequests:
+		i.do(func() { i.model.SetRejecting(now, e.Factor > 0) })
 	case scenario.Misroute:
 		i.do(func() { i.misled = e.Factor > 0 })
-	case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.HealPath, scenario.BreakWatches:
+	case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.RestorePath, scenario.BreakWatches:
 		if i.beside != nil {
 			w.trouble(i.beside, e, open)
 		}
 	case scenario.Drain:
 		i.do(func() { i.model.Drain(now) })
-		w.registry.change(i, model.Terminating, d.Notice.D()/2)
+		w.registry.change(i, model.Terminating, d.DetectionDelay.D()/2)
 	case scenario.Stop:
 		i.do(i.down)
-		w.registry.change(i, model.Gone, d.Notice.D()/2)
+		w.registry.change(i, model.Gone, d.DetectionDelay.D()/2)
 		if i.beside != nil {
 			open.Go(i.beside.kill)
 		}
@@ -92,7 +92,7 @@
 	var beside *sidecar
 	if below := m.Tier + 1; below < len(w.s.Tiers) {
 		of := w.s.Tiers[m.Tier].Instances
-		beside = w.newSidecar(w.s.Tiers[below].Name+"@"+m.Name, below, (m.Number-1)%of, of) // numbers count from 1
+		beside = w.newSidecar(w.s.Tiers[below].Name+"@"+m.Name, below, (m.AddressNumber-1)%of, of) // numbers count from 1
 		if err := w.enroll(beside); err != nil {
 			w.failStart(err)
 			return
@@ -106,7 +106,7 @@
 			i.do(func() { i.admit(s) })
 		}
 	}
-	w.registry.change(i, model.Ready, w.s.Discovery.Add.D())
+	w.registry.change(i, model.Ready, w.s.Discovery.AddDelay.D())
 }
 
 // bringBack brings a machine back that had vanished, with processes that are new. One that a release has stopped meanwhile
@@ -125,7 +125,7 @@
 		}
 	}
 	i.do(i.back)
-	w.registry.change(i, model.Ready, w.s.Discovery.Add.D())
+	w.registry.change(i, model.Ready, w.s.Discovery.AddDelay.D())
 }
 
 // restart is a planned restart of a sidecar: the front layer learns of it first. Clients go on using the connections to it that
@@ -163,15 +163,15 @@
 
 // trouble does something to a sidecar or its paths.
 func (w *World) trouble(s *sidecar, e scenario.Event, open *tasks) {
-	switch e.Do {
+	switch e.Kind {
 	case scenario.KillSidecar:
 		open.Go(func() { w.killSidecar(s, e) })
 	case scenario.StopSidecar, scenario.ResumeSidecar:
-		s.stand(e.Do == scenario.StopSidecar)
+		s.stand(e.Kind == scenario.StopSidecar)
 	case scenario.BreakWatches:
-		w.registry.breakWatches(s, e.Way)
-	case scenario.BreakPath, scenario.HealPath:
-		if err := w.paths.change(s, e.Path, e.Do == scenario.BreakPath); err != nil {
+		w.registry.breakWatches(s, e.Mode)
+	case scenario.BreakPath, scenario.RestorePath:
+		if err := w.paths.change(s, e.Path, e.Kind == scenario.BreakPath); err != nil {
 			w.fail(err)
 		}
 	}
@@ -181,13 +181,13 @@
 func (w *World) killSidecar(s *sidecar, e scenario.Event) {
 	first := s.tier == 0
 	if first {
-		w.died(s, w.s.Front.Notice.D())
+		w.died(s, w.s.Frontend.DetectionDelay.D())
 	}
 	s.kill()
 	if e.Span > 0 && !w.sleep(w.ctx, e.At+e.Span) {
 		return
 	}
-	s.forget(e.Forget)
+	s.forget(e.DiscardList)
 	switch {
 	case first:
 		w.again(s)
@@ -201,7 +201,7 @@
 // shareOf is how much of the clients a front sidecar gets beside the others.
 func (w *World) shareOf(s *sidecar) float64 {
 	if s.index == 0 {
-		return w.s.Front.Skew
+		return w.s.Frontend.Skew
 	}
 	return 1
 }
@@ -209,7 +209,7 @@
 func (w *World) died(s *sidecar, notice time.Duration) {
 	w.frontMu.Lock()
 	defer w.frontMu.Unlock()
-	w.front.Died(w.book.Now()+notice, s.name)
+	w.front.MarkDead(w.book.Now()+notice, s.name)
 }
 
 func (w *World) again(s *sidecar) {
@@ -219,7 +219,7 @@
 	}
 	w.frontMu.Lock()
 	defer w.frontMu.Unlock()
-	w.front.Admit(s.name, w.shareOf(s))
+	w.front.AddSidecar(s.name, w.shareOf(s))
 }
 
 // failStart ends the run because a sidecar could not be started, unless the run is ending anyway.
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -54,8 +54,8 @@
 	Plan      *scenario.Plan
 	Processes []Process
 	Samples   []Sample
-	Cut       bool // ended before its time
-	Took      time.Duration
+	CutShort  bool // ended before its time
+	Duration  time.Duration
 }
 
 // Sample is the load of an instance at a time.
@@ -63,7 +63,7 @@
 	At       time.Duration `json:"at"`
 	Instance string        `json:"instance"`
 	Tier     int           `json:"tier"`
-	Held     int           `json:"held"`
+	InFlight int           `json:"held"`
 	Conns    int           `json:"conns"`
 }
 
@@ -82,7 +82,7 @@
 	debug    bool
 	dir      string
 	log      *slog.Logger
-	book     *ledger.Book
+	book     *ledger.Recorder
 	block    *block
 	registry *registry
 	starter  *child.Starter
@@ -92,7 +92,7 @@
 
 	first   []*sidecar // of the first tier
 	frontMu sync.Mutex
-	front   model.Front
+	front   model.FrontendBalancer
 	ending  map[*sidecar]bool // front sidecars that have been told to stop and still run
 	picks   int               // of sidecars for clients
 
@@ -115,7 +115,7 @@
 func Run(ctx context.Context, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := &World{s: o.Scenario, seed: o.Seed, plan: o.Scenario.Lay(o.Seed), binary: o.Binary, proxies: o.Proxies, env: o.Env, debug: o.Debug, dir: o.Dir, log: o.Log,
+	w := &World{s: o.Scenario, seed: o.Seed, plan: o.Scenario.Plan(o.Seed), binary: o.Binary, proxies: o.Proxies, env: o.Env, debug: o.Debug, dir: o.Dir, log: o.Log,
 		tasks: &tasks{}, instances: map[string]*instance{}, indexes: make([]int, len(o.Scenario.Tiers)),
 		cancel: cancel, ctx: ctx, over: ctx.Done(), starter: child.NewStarter()}
 	defer w.starter.Close()
@@ -124,11 +124,11 @@
 			return nil, err
 		}
 	}
-	if w.plan.Relayed() {
+	if w.plan.NeedsRelays() {
 		w.paths = newPaths(w)
 	}
 	w.caller = &caller{w: w, prefix: rand.Uint64()}
-	w.book = ledger.NewBook()
+	w.book = ledger.NewRecorder()
 	if err := os.MkdirAll(filepath.Join(w.dir, "sidecars"), 0o755); err != nil {
 		return nil, err
 	}
@@ -173,17 +173,17 @@
 	w.down()
 	// What is ended now is no news, but for what came behind answers and for what ended by itself.
 	entries := slices.DeleteFunc(w.book.Entries(), func(e ledger.Entry) bool {
-		return e.At > took && e.Kind != ledger.Extra && e.Kind != ledger.Crashed
+		return e.At > took && e.Kind != ledger.ExtraBytes && e.Kind != ledger.SidecarCrashed
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &Result{Entries: entries, Plan: w.plan, Processes: w.processes, Samples: w.samples, Cut: cut, Took: took}, w.failed
+	return &Result{Entries: entries, Plan: w.plan, Processes: w.processes, Samples: w.samples, CutShort: cut, Duration: took}, w.failed
 }
 
 // rebase makes now the start of the run: starting dozens of processes takes a time that differs from machine to machine.
 // What was entered before stands at its very beginning, and the models begin anew.
 func (w *World) rebase() {
-	w.book.Rebase()
+	w.book.ResetStart()
 	for _, i := range w.instances {
 		i.do(i.renew)
 	}
@@ -238,7 +238,7 @@
 		if err := w.enroll(s); err != nil {
 			return err
 		}
-		w.front.Admit(s.name, w.shareOf(s))
+		w.front.AddSidecar(s.name, w.shareOf(s))
 	}
 	return w.failure()
 }
@@ -318,7 +318,7 @@
 }
 
 // extra takes word of bytes behind an answer.
-func (w *World) extra(id string) { w.book.Add(ledger.Entry{Kind: ledger.Extra, ID: id}) }
+func (w *World) extra(id string) { w.book.Add(ledger.Entry{Kind: ledger.ExtraBytes, ID: id}) }
 
 // down ends all processes, listeners and goroutines of the run, and waits for them. It may be called twice.
 func (w *World) down() {
@@ -382,7 +382,7 @@
 		}
 		for _, i := range instances {
 			s := Sample{At: w.book.Now(), Instance: i.machine.Name, Tier: i.machine.Tier}
-			i.do(func() { s.Held, s.Conns = len(i.copies), len(i.conns) })
+			i.do(func() { s.InFlight, s.Conns = len(i.copies), len(i.conns) })
 			w.mu.Lock()
 			w.samples = append(w.samples, s)
 			w.mu.Unlock()
--- a/internal/lab/etcd/cluster.go
+++ b/internal/lab/etcd/cluster.go
@@ -15,11 +15,11 @@
 
 // Options say how a Cluster is offered.
 type Options struct {
-	Members  int // 1 if 0
-	User     string
-	Password string              // if set, whoever has no token of it is refused
-	Server   []grpc.ServerOption // TLS, say
-	Progress time.Duration       // between progress notifications of quiet watches that ask for them; 10 minutes if 0, as etcd has it
+	Members          int // 1 if 0
+	User             string
+	Password         string              // if set, whoever has no token of it is refused
+	ServerOptions    []grpc.ServerOption // TLS, say
+	ProgressInterval time.Duration       // between progress notifications of quiet watches that ask for them; 10 minutes if 0, as etcd has it
 }
 
 // Cluster is a store with members that offer it, each at an address of loopback. Any goroutine may call it.
@@ -92,7 +92,7 @@
 // serve offers the services at a listener.
 func (m *Member) serve(ln net.Listener) {
 	g := grpc.NewServer(append([]grpc.ServerOption{grpc.MaxSendMsgSize(1 << 30), grpc.UnaryInterceptor(m.unary), grpc.StreamInterceptor(m.stream)},
-		m.c.o.Server...)...)
+		m.c.o.ServerOptions...)...)
 	etcdserverpb.RegisterKVServer(g, &kvServer{m: m})
 	etcdserverpb.RegisterWatchServer(g, &watchServer{m: m})
 	etcdserverpb.RegisterLeaseServer(g, &leaseServer{m: m})
@@ -106,7 +106,7 @@
 
 // Stop ends a member and its connections.
 func (m *Member) Stop() {
-	m.Thaw() // or its calls would never end
+	m.Resume() // or its calls would never end
 	m.c.mu.Lock()
 	g := m.grpc
 	m.grpc = nil
@@ -128,13 +128,13 @@
 }
 
 // Break ends a member's connections; it goes on at its address.
-func (m *Member) Break() error {
+func (m *Member) Restart() error {
 	m.Stop()
 	return m.Start()
 }
 
 // Freeze has a member answer nothing, with its connections open, until Thaw.
-func (m *Member) Freeze() {
+func (m *Member) Pause() {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
 	if m.frozen == nil {
@@ -143,7 +143,7 @@
 }
 
 // Thaw ends Freeze.
-func (m *Member) Thaw() {
+func (m *Member) Resume() {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
 	if m.frozen != nil {
@@ -154,7 +154,7 @@
 
 // Lag has a member apply nothing new from now on: its watches and serializable reads stay behind and its linearizable reads
 // wait, as etcd's do. CatchUp ends it.
-func (m *Member) Lag() {
+func (m *Member) PauseApply() {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
 	if m.lag == 0 {
@@ -163,7 +163,7 @@
 }
 
 // CatchUp ends Lag.
-func (m *Member) CatchUp() {
+func (m *Member) ResumeApply() {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
 	m.lag = 0
--- a/internal/lab/etcd/etcd_test.go
+++ b/internal/lab/etcd/etcd_test.go
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	defer behind.Close()
-	c.Members[1].Lag()
+	c.Members[1].PauseApply()
 	if _, err := behind.Put(x, "a", "2"); err != nil {
 		t.Fatal(err)
 	}
@@ -192,17 +192,17 @@
 		t.Error("a linearizable read does not wait")
 	}
 	cancel()
-	c.Members[1].CatchUp()
+	c.Members[1].ResumeApply()
 	if r, err := behind.Get(x, "a"); err != nil || string(r.Kvs[0].Value) != "2" {
 		t.Errorf("caught up: %v, %v", r, err)
 	}
-	c.Members[1].Freeze()
+	c.Members[1].Pause()
 	short, cancel = context.WithTimeout(x, 50*time.Millisecond)
 	if _, err := behind.Get(short, "a", clientv3.WithSerializable()); err == nil {
 		t.Error("a frozen member answers")
 	}
 	cancel()
-	c.Members[1].Thaw()
+	c.Members[1].Resume()
 	before, err := behind.Get(x, "a")
 	if err != nil {
 		t.Fatal(err)
@@ -210,7 +210,7 @@
 	if err := c.Restore(backup); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the restored cluster serves", func() bool {
+	testkit.WaitUntil(t, "the restored cluster serves", func() bool {
 		r, err := behind.Get(x, "a")
 		return err == nil && string(r.Kvs[0].Value) == "1" && r.Header.ClusterId != before.Header.ClusterId && r.Header.Revision < before.Header.Revision
 	})
@@ -306,8 +306,8 @@
 				history = append(history, porcupine.Operation{ClientId: n, Input: x, Output: out, Call: int64(call), Return: int64(time.Since(began))})
 				mu.Unlock()
 				if n == 0 && i%10 == 5 {
-					c.Members[1].Lag()
-					time.AfterFunc(5*time.Millisecond, c.Members[1].CatchUp)
+					c.Members[1].PauseApply()
+					time.AfterFunc(5*time.Millisecond, c.Members[1].ResumeApply)
 				}
 			}
 		})
@@ -376,16 +376,16 @@
 		m := c.Members[rng.IntN(2)]
 		switch rng.IntN(40) {
 		case 0:
-			m.Freeze()
-			time.AfterFunc(10*time.Millisecond, m.Thaw)
+			m.Pause()
+			time.AfterFunc(10*time.Millisecond, m.Resume)
 		case 1:
-			m.Lag()
-			time.AfterFunc(10*time.Millisecond, m.CatchUp)
+			m.PauseApply()
+			time.AfterFunc(10*time.Millisecond, m.ResumeApply)
 		case 2: // writes must not be repeated by the client: a break goes where none is out
-			if err := m.Break(); err != nil {
+			if err := m.Restart(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Until(t, "it serves again", func() bool { _, err := k.Get(ctx(t), "x"); return err == nil })
+			testkit.WaitUntil(t, "it serves again", func() bool { _, err := k.Get(ctx(t), "x"); return err == nil })
 		}
 	}
 	r, err := k.Put(ctx(t), "a1", "end")
@@ -394,8 +394,8 @@
 	}
 	note(r.Header.Revision, "PUT", "a1")
 	for _, m := range c.Members {
-		m.CatchUp()
-		m.Thaw()
+		m.ResumeApply()
+		m.Resume()
 	}
 	wait.Wait()
 	for n := range all {
@@ -407,7 +407,7 @@
 
 // Progress is told on request, and to quiet watches that ask for it, with the newest revision.
 func TestProgress(t *testing.T) {
-	c, k := start(t, Options{Progress: 20 * time.Millisecond})
+	c, k := start(t, Options{ProgressInterval: 20 * time.Millisecond})
 	events := k.Watch(ctx(t), "a", clientv3.WithProgressNotify())
 	if r := <-events; !r.IsProgressNotify() || r.Header.Revision != 1 {
 		t.Errorf("%v", r)
@@ -416,5 +416,5 @@
 	if err := k.RequestProgress(ctx(t)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
+	testkit.WaitUntil(t, "the newest revision", func() bool { r := <-events; return r.IsProgressNotify() && r.Header.Revision == c.Revision() })
 }
--- a/internal/lab/etcd/watch.go
+++ b/internal/lab/etcd/watch.go
@@ -61,7 +61,7 @@
 			}
 		}
 	}()
-	progress := s.m.c.o.Progress
+	progress := s.m.c.o.ProgressInterval
 	if progress == 0 {
 		progress = 10 * time.Minute
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -43,15 +43,15 @@
 
 // Result is what a run showed.
 type Result struct {
-	Summary  *results.Summary
-	Breaches []ledger.Breach
-	Account  *account.Account
-	Sidecars int
-	Plan     []Fault // as they were drawn
+	Summary    *results.Summary
+	Violations []ledger.Violation
+	Account    *account.Account
+	Sidecars   int
+	Plan       []PlannedFault // as they were drawn
 }
 
 // Size is how many sidecar processes a scenario has at its start.
-func Size(s *scenario.Scenario) int {
+func SidecarCount(s *scenario.Scenario) int {
 	n := 0
 	for t := range s.Tiers {
 		if t+1 < len(s.Tiers) {
@@ -62,7 +62,7 @@
 }
 
 // Callers is how many sidecars of a tier ask discovery for its list.
-func Callers(s *scenario.Scenario, tier int) int {
+func DiscoveryCallers(s *scenario.Scenario, tier int) int {
 	if tier == 0 {
 		return s.Tiers[0].Sidecars
 	}
@@ -71,22 +71,22 @@
 
 // Bounds of a fleet, in processes.
 const (
-	leastSidecars = 3
-	mostSidecars  = 150
+	minSidecars = 3
+	maxSidecars = 150
 )
 
 // Scale gives a scenario a fleet of about so many sidecars, with as many instances beside them as it had: all tiers grow
 // alike, and the load with them where it is given as a utilisation.
 func Scale(s *scenario.Scenario, sidecars int) error {
-	if sidecars < leastSidecars || sidecars > mostSidecars {
-		return fmt.Errorf("between %d and %d sidecars, not %d", leastSidecars, mostSidecars, sidecars)
+	if sidecars < minSidecars || sidecars > maxSidecars {
+		return fmt.Errorf("between %d and %d sidecars, not %d", minSidecars, maxSidecars, sidecars)
 	}
-	by := float64(sidecars) / float64(Size(s))
+	by := float64(sidecars) / float64(SidecarCount(s))
 	part := func(n int) int { return max(1, int(math.Round(float64(n)*by))) }
 	for t := range s.Tiers {
 		s.Tiers[t].Instances = part(s.Tiers[t].Instances)
 	}
-	rest := sidecars - (Size(s) - s.Tiers[0].Sidecars)
+	rest := sidecars - (SidecarCount(s) - s.Tiers[0].Sidecars)
 	if s.Tiers[0].Sidecars = max(1, rest); s.Load.Rate > 0 {
 		s.Load.Rate *= by
 	}
@@ -94,7 +94,7 @@
 }
 
 // Play plays a scenario, keeps what it left in a folder and adds it up.
-func Play(ctx context.Context, o Options) (*Result, error) {
+func Run(ctx context.Context, o Options) (*Result, error) {
 	s := o.Scenario
 	if o.Sidecars > 0 {
 		if err := Scale(s, o.Sidecars); err != nil {
@@ -110,42 +110,42 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := ownViolations(filepath.Join(o.Dir, "sidecars"), run.Took)
+	own, err := loggedViolations(filepath.Join(o.Dir, "sidecars"), run.Duration)
 	if err != nil {
 		return nil, err
 	}
 	run.Entries = append(run.Entries, own...)
-	head := results.Head("run", s.Name, o.Seed, started)
+	head := results.NewSummary("run", s.Name, o.Seed, started)
 	head.Binary = o.Binary
 	rules := s.Rules()
 	if o.Slack > 0 {
 		rules.Slack = o.Slack
 	}
-	r := &Result{Sidecars: Size(s), Plan: faults(run.Plan), Account: account.Of(run.Entries, s.Served())}
-	if r.Summary, r.Breaches, err = results.KeepRun(o.Dir, s, rules, head, run); err != nil {
+	r := &Result{Sidecars: SidecarCount(s), Plan: plannedFaults(run.Plan), Account: account.Summarize(run.Entries, s.LedgerObjective())}
+	if r.Summary, r.Violations, err = results.WriteRun(o.Dir, s, rules, head, run); err != nil {
 		return nil, err
 	}
-	if err := keep(o.Dir, AccountFile, r.Account); err != nil {
+	if err := writeJSON(o.Dir, AccountFile, r.Account); err != nil {
 		return nil, err
 	}
-	return r, keep(o.Dir, PlanFile, r.Plan)
+	return r, writeJSON(o.Dir, PlanFile, r.Plan)
 }
 
 // Fault is an entry of the plan as it is written down.
-type Fault struct {
+type PlannedFault struct {
 	AtMS int64  `json:"at_ms"`
-	What string `json:"what"`
+	Text string `json:"what"`
 }
 
-func faults(p *scenario.Plan) []Fault {
-	out := []Fault{}
+func plannedFaults(p *scenario.Plan) []PlannedFault {
+	out := []PlannedFault{}
 	for _, e := range p.Events {
-		out = append(out, Fault{e.At.Milliseconds(), e.String()})
+		out = append(out, PlannedFault{e.At.Milliseconds(), e.String()})
 	}
 	return out
 }
 
-func keep(dir, name string, v any) error {
+func writeJSON(dir, name string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
@@ -155,31 +155,31 @@
 
 // Wrongs are ways of running the fleet wrongly on purpose, to see a promise broken: each takes one part of the fleet's
 // handling of overload away by configuration.
-var Wrongs = map[string]func(*scenario.Sidecar){
-	"no-budget":  func(c *scenario.Sidecar) { c.Chain, c.RetryShare, c.RetryBurst, c.Attempts = false, 1, 1e6, 10 },
+var Defects = map[string]func(*scenario.Sidecar){
+	"no-budget":  func(c *scenario.Sidecar) { c.Chain, c.RetryShare, c.RetryBurst, c.MaxAttempts = false, 1, 1e6, 10 },
 	"dice":       func(c *scenario.Sidecar) { c.Origin = false },
-	"own-probes": func(c *scenario.Sidecar) { c.Alone = true },
-	"no-pass-up": func(c *scenario.Sidecar) { c.RepeatDeclined = true },
+	"own-probes": func(c *scenario.Sidecar) { c.Standalone = true },
+	"no-pass-up": func(c *scenario.Sidecar) { c.RetryDeclined = true },
 	"no-chain":   func(c *scenario.Sidecar) { c.Chain = false },
 }
 
 // Wrong runs a scenario's sidecars wrongly in a named way; the empty name changes nothing.
-func Wrong(s *scenario.Scenario, name string) error {
+func ApplyDefect(s *scenario.Scenario, name string) error {
 	if name == "" {
 		return nil
 	}
-	change, known := Wrongs[name]
+	change, known := Defects[name]
 	if !known {
-		return fmt.Errorf("nothing is called %q: there are %s", name, strings.Join(WrongNames(), ", "))
+		return fmt.Errorf("nothing is called %q: there are %s", name, strings.Join(DefectNames(), ", "))
 	}
 	change(&s.Sidecar)
 	return nil
 }
 
 // WrongNames are the names that Wrong knows, sorted.
-func WrongNames() []string {
+func DefectNames() []string {
 	var names []string
-	for n := range Wrongs {
+	for n := range Defects {
 		names = append(names, n)
 	}
 	slices.Sort(names)
--- a/internal/lab/fleet/own.go
+++ b/internal/lab/fleet/own.go
@@ -17,26 +17,26 @@
 const maxLogLine = 1 << 20
 
 // ownViolations reads the sidecars' logs of a run for what they have counted themselves. The entries stand at the run's end.
-func ownViolations(dir string, took time.Duration) ([]ledger.Entry, error) {
+func loggedViolations(dir string, took time.Duration) ([]ledger.Entry, error) {
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	var out []ledger.Entry
 	for _, path := range logs {
-		lines, err := linesWith(path, violationMessage)
+		lines, err := linesContaining(path, violationMessage)
 		if err != nil {
 			return nil, err
 		}
 		for _, line := range lines {
-			out = append(out, ledger.Entry{At: took, Kind: ledger.Own, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
+			out = append(out, ledger.Entry{At: took, Kind: ledger.OwnCheckFailed, Sidecar: strings.TrimSuffix(filepath.Base(path), ".log"), Note: line})
 		}
 	}
 	return out, nil
 }
 
 // linesWith are the lines of a file that hold a text.
-func linesWith(path, text string) ([]string, error) {
+func linesContaining(path, text string) ([]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/lab/httpc/pool.go
+++ b/internal/lab/httpc/pool.go
@@ -21,33 +21,33 @@
 
 // The stages of a request.
 const (
-	NotConnected Progress = iota
-	Connected             // not written whole
-	Written               // the last byte is out
-	Answered              // a whole answer came
+	NotConnected     Progress = iota
+	Connected                 // not written whole
+	RequestWritten            // the last byte is out
+	ResponseReceived          // a whole answer came
 )
 
 // Result is how a request ended.
 type Result struct {
-	Progress Progress
-	Status   int
-	Header   http.Header
-	Body     []byte
-	Written  time.Time // the last byte went out; zero if it did not
-	Ended    time.Time
-	New      bool // on a connection of its own making
-	Resent   bool // went out once more, on a new connection, as the old one closed before any of the answer
-	TimedOut bool
-	Err      error
+	Progress      Progress
+	Status        int
+	Header        http.Header
+	Body          []byte
+	WrittenAt     time.Time // the last byte went out; zero if it did not
+	EndedAt       time.Time
+	NewConnection bool // on a connection of its own making
+	Retried       bool // went out once more, on a new connection, as the old one closed before any of the answer
+	TimedOut      bool
+	Err           error
 }
 
 // Options say how a pool connects.
 type Options struct {
 	Address        string
 	TLS            *tls.Config // nil for plain TCP
-	Source         net.Addr    // local address, nil for any
+	LocalAddr      net.Addr    // local address, nil for any
 	ConnectTimeout time.Duration
-	Extra          func(last string) // bytes came after the answer to the request that was last on the connection
+	OnUnsolicited  func(last string) // bytes came after the answer to the request that was last on the connection
 	MaxBody        int64
 }
 
@@ -79,9 +79,9 @@
 	r, crossed := p.once(id, method, text, deadline, false)
 	if crossed { // the server closed between requests: the one it has not read goes out once more
 		r, _ = p.once(id, method, text, deadline, true)
-		r.Resent = true
+		r.Retried = true
 	}
-	r.Ended = time.Now()
+	r.EndedAt = time.Now()
 	return r
 }
 
@@ -90,7 +90,7 @@
 	if !fresh {
 		c = p.take()
 	}
-	if r.New = c == nil; r.New {
+	if r.NewConnection = c == nil; r.NewConnection {
 		if c, r.Err = p.dial(deadline); r.Err != nil {
 			r.TimedOut = !time.Now().Before(deadline)
 			return r, false
@@ -108,19 +108,19 @@
 	c.SetDeadline(deadline)
 	if _, r.Err = c.Write(text); r.Err != nil {
 		r.TimedOut = isTimeout(r.Err)
-		return r, !r.New && !r.TimedOut
+		return r, !r.NewConnection && !r.TimedOut
 	}
-	r.Progress, r.Written = Written, time.Now()
+	r.Progress, r.WrittenAt = RequestWritten, time.Now()
 	if _, r.Err = c.in.Peek(1); r.Err != nil {
 		r.TimedOut = isTimeout(r.Err)
-		return r, !r.New && !r.TimedOut
+		return r, !r.NewConnection && !r.TimedOut
 	}
 	answer, err := p.read(c, method, &r)
 	if err != nil {
 		r.Err, r.TimedOut = err, isTimeout(err)
 		return r, false
 	}
-	r.Progress = Answered
+	r.Progress = ResponseReceived
 	keep = !answer.Close
 	return r, false
 }
@@ -150,7 +150,7 @@
 			limit = at
 		}
 	}
-	d := net.Dialer{Deadline: limit, LocalAddr: p.options.Source}
+	d := net.Dialer{Deadline: limit, LocalAddr: p.options.LocalAddr}
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	raw, err := d.DialContext(ctx, "tcp", p.options.Address)
@@ -169,7 +169,7 @@
 }
 
 // Rests tells whether a connection rests that may be used for the next request.
-func (p *Pool) Rests() bool {
+func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
@@ -199,8 +199,8 @@
 	if !more {
 		more, ended = pending(c.Conn)
 	}
-	if more && p.options.Extra != nil {
-		p.options.Extra(c.last)
+	if more && p.options.OnUnsolicited != nil {
+		p.options.OnUnsolicited(c.last)
 	}
 	return more || ended
 }
@@ -237,10 +237,10 @@
 }
 
 // Field is one header field of a request.
-type Field struct{ Name, Value string }
+type HeaderField struct{ Name, Value string }
 
 // Text writes a request.
-func Text(method, target, host string, body []byte, fields ...Field) []byte {
+func FormatRequest(method, target, host string, body []byte, fields ...HeaderField) []byte {
 	var b bytes.Buffer
 	b.WriteString(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	for _, f := range fields {
--- a/internal/lab/httpc/pool_test.go
+++ b/internal/lab/httpc/pool_test.go
@@ -56,7 +56,7 @@
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func do(p *Pool, id string) Result {
-	return p.Do(id, "GET", Text("GET", "/", "h", nil), time.Now().Add(500*time.Millisecond))
+	return p.Do(id, "GET", FormatRequest("GET", "/", "h", nil), time.Now().Add(500*time.Millisecond))
 }
 
 func TestConnectionsAreKept(t *testing.T) {
@@ -67,7 +67,7 @@
 		status int
 		fresh  bool
 	}{{200, true}, {200, false}, {503, false}, {200, true}} {
-		if r := do(p, "x"); r.Status != want.status || r.New != want.fresh || r.Progress != Answered || r.Written.IsZero() {
+		if r := do(p, "x"); r.Status != want.status || r.NewConnection != want.fresh || r.Progress != ResponseReceived || r.WrittenAt.IsZero() {
 			t.Errorf("%d: %+v", n, r)
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	q := NewPool(Options{Address: address})
 	defer q.Close()
-	if r := do(q, "c"); r.Err == nil || r.Status != 0 || r.Resent {
+	if r := do(q, "c"); r.Err == nil || r.Status != 0 || r.Retried {
 		t.Errorf("%+v", r)
 	}
 }
@@ -96,10 +96,10 @@
 func TestExtraBytesAreTold(t *testing.T) {
 	address, _ := serve(t, []string{ok + ok}, []string{ok})
 	var extra []string
-	p := NewPool(Options{Address: address, Extra: func(id string) { extra = append(extra, id) }})
+	p := NewPool(Options{Address: address, OnUnsolicited: func(id string) { extra = append(extra, id) }})
 	defer p.Close()
 	do(p, "first")
-	if r := do(p, "second"); !r.New || r.Status != 200 {
+	if r := do(p, "second"); !r.NewConnection || r.Status != 200 {
 		t.Errorf("%+v", r)
 	}
 	if len(extra) != 1 || extra[0] != "first" {
@@ -111,10 +111,10 @@
 	address, _ := serve(t, []string{"silent"}, []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"})
 	p := NewPool(Options{Address: address})
 	defer p.Close()
-	if r := do(p, "x"); !r.TimedOut || r.Progress != Written || r.Ended.Sub(r.Written) < 300*time.Millisecond {
+	if r := do(p, "x"); !r.TimedOut || r.Progress != RequestWritten || r.EndedAt.Sub(r.WrittenAt) < 300*time.Millisecond {
 		t.Errorf("silent: %+v", r)
 	}
-	if r := do(p, "x"); r.Progress != Written || r.Err == nil {
+	if r := do(p, "x"); r.Progress != RequestWritten || r.Err == nil {
 		t.Errorf("half an answer: %+v", r)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,7 +124,7 @@
 	nobody := ln.Addr().String()
 	ln.Close()
 	q := NewPool(Options{Address: nobody})
-	if r := do(q, "x"); r.Progress != NotConnected || r.Err == nil || !r.Written.IsZero() {
+	if r := do(q, "x"); r.Progress != NotConnected || r.Err == nil || !r.WrittenAt.IsZero() {
 		t.Errorf("refused: %+v", r)
 	}
 }
--- a/internal/lab/instances/orca.go
+++ b/internal/lab/instances/orca.go
@@ -43,7 +43,7 @@
 func (i *Instance) Stop() { i.grpc.Stop() }
 
 // Break breaks the streams that are open.
-func (i *Instance) Break() {
+func (i *Instance) BreakStreams() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	close(i.cut)
@@ -51,7 +51,7 @@
 }
 
 // Streams tells how many streams are open.
-func (i *Instance) Streams() int {
+func (i *Instance) OpenStreams() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.streams
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -17,63 +17,63 @@
 
 // The kinds of entries.
 const (
-	Asked    Kind = "asked"    // a caller's try, its last byte written: the sidecar has taken it
-	Unasked  Kind = "unasked"  // a caller's try that was never written whole
-	Answered Kind = "answered" // an answer that a caller got
-	GaveUp   Kind = "gave-up"  // no answer until the caller's deadline
-	Broken   Kind = "broken"   // the connection ended without a whole answer
-	Left     Kind = "left"     // the caller was gone before (its machine died)
-	Quit     Kind = "quit"     // the caller closed its connection before its time was over
-	Extra    Kind = "extra"    // bytes came behind the answer of this operation
-	Begun    Kind = "begun"    // the first byte of an attempt reached an instance
-	Arrived  Kind = "arrived"  // its last byte did
-	Ended    Kind = "ended"    // the instance ended it; Outcome tells how
-	Closed   Kind = "closed"   // its connection ended
-	Opened   Kind = "opened"   // a new connection to an instance
-	Probed   Kind = "probed"   // a probe at an instance
-	Called   Kind = "called"   // a sidecar asked discovery
-	Told     Kind = "told"     // discovery has written a change to a sidecar
-	Life     Kind = "life"     // an instance started; its capacity stands here
-	Fell     Kind = "fell"     // an instance was pushed over
-	Choked   Kind = "choked"   // an instance was overdriven
-	Up       Kind = "up"       // a sidecar was started
-	Down     Kind = "down"     // a sidecar was ended by the timeline
-	Crashed  Kind = "crashed"  // a sidecar ended by itself
-	Stopped  Kind = "stopped"  // the timeline had a sidecar stand still
-	Resumed  Kind = "resumed"  // and go on
-	Deaf     Kind = "deaf"     // a sidecar's path to discovery was broken
-	Hears    Kind = "hears"    // and let go
-	Trouble  Kind = "trouble"  // the timeline did something; Note tells
-	Offline  Kind = "offline"  // discovery was taken off
-	Online   Kind = "online"   // and came back
-	Own      Kind = "own"      // a sidecar's own check counted a violation; Note is its line
+	RequestSent           Kind = "asked"    // a caller's try, its last byte written: the sidecar has taken it
+	RequestUnsent         Kind = "unasked"  // a caller's try that was never written whole
+	Answered              Kind = "answered" // an answer that a caller got
+	TimedOut              Kind = "gave-up"  // no answer until the caller's deadline
+	ConnectionBroken      Kind = "broken"   // the connection ended without a whole answer
+	CallerGone            Kind = "left"     // the caller was gone before (its machine died)
+	CallerClosed          Kind = "quit"     // the caller closed its connection before its time was over
+	ExtraBytes            Kind = "extra"    // bytes came behind the answer of this operation
+	AttemptBegun          Kind = "begun"    // the first byte of an attempt reached an instance
+	AttemptArrived        Kind = "arrived"  // its last byte did
+	AttemptEnded          Kind = "ended"    // the instance ended it; Outcome tells how
+	AttemptClosed         Kind = "closed"   // its connection ended
+	ConnectionOpened      Kind = "opened"   // a new connection to an instance
+	Probed                Kind = "probed"   // a probe at an instance
+	DiscoveryCalled       Kind = "called"   // a sidecar asked discovery
+	Notified              Kind = "told"     // discovery has written a change to a sidecar
+	InstanceStarted       Kind = "life"     // an instance started; its capacity stands here
+	InstanceCrashed       Kind = "fell"     // an instance was pushed over
+	InstanceOverloaded    Kind = "choked"   // an instance was overdriven
+	SidecarStarted        Kind = "up"       // a sidecar was started
+	SidecarEnded          Kind = "down"     // a sidecar was ended by the timeline
+	SidecarCrashed        Kind = "crashed"  // a sidecar ended by itself
+	SidecarPaused         Kind = "stopped"  // the timeline had a sidecar stand still
+	SidecarResumed        Kind = "resumed"  // and go on
+	DiscoveryPathCut      Kind = "deaf"     // a sidecar's path to discovery was broken
+	DiscoveryPathRestored Kind = "hears"    // and let go
+	FaultInjected         Kind = "trouble"  // the timeline did something; Note tells
+	DiscoveryOffline      Kind = "offline"  // discovery was taken off
+	DiscoveryOnline       Kind = "online"   // and came back
+	OwnCheckFailed        Kind = "own"      // a sidecar's own check counted a violation; Note is its line
 )
 
 // Entry is one line of the ledger. Fields that a kind has no use for are empty.
 type Entry struct {
-	At       time.Duration `json:"at"` // since the start of the run, in nanoseconds
-	Kind     Kind          `json:"kind"`
-	ID       string        `json:"id,omitempty"`     // X-Correlation-Id
-	Client   int           `json:"client,omitempty"` // the piece of business that a first-tier try belongs to, from 1
-	Tier     int           `json:"tier"`
-	Class    int           `json:"class"`
-	Sidecar  string        `json:"sidecar,omitempty"`
-	Instance string        `json:"instance,omitempty"`
-	Copy     uint64        `json:"copy,omitempty"` // the attempt; no two share it
-	Status   int           `json:"status,omitempty"`
-	Outcome  string        `json:"outcome,omitempty"` // of Ended: served, failed, turned, reset; of Told: the status
-	Work     float64       `json:"work,omitempty"`    // core-seconds
-	Mean     float64       `json:"mean,omitempty"`    // of Arrived: the work of a mean request of its class
-	Deadline time.Duration `json:"deadline,omitempty"`
-	Since    time.Duration `json:"since,omitempty"` // of Life and Told: the start that is meant
-	Capacity float64       `json:"capacity,omitempty"`
-	Parent   uint64        `json:"parent,omitempty"` // of Asked and Unasked by an instance: the attempt that it makes the call for
-	Repeat   bool          `json:"repeat,omitempty"`
-	Note     string        `json:"note,omitempty"`
+	At            time.Duration `json:"at"` // since the start of the run, in nanoseconds
+	Kind          Kind          `json:"kind"`
+	ID            string        `json:"id,omitempty"`     // X-Correlation-Id
+	ClientRequest int           `json:"client,omitempty"` // the piece of business that a first-tier try belongs to, from 1
+	Tier          int           `json:"tier"`
+	Class         int           `json:"class"`
+	Sidecar       string        `json:"sidecar,omitempty"`
+	Instance      string        `json:"instance,omitempty"`
+	AttemptID     uint64        `json:"copy,omitempty"` // the attempt; no two share it
+	Status        int           `json:"status,omitempty"`
+	Outcome       string        `json:"outcome,omitempty"` // of Ended: served, failed, turned, reset; of Told: the status
+	Work          float64       `json:"work,omitempty"`    // core-seconds
+	MeanWork      float64       `json:"mean,omitempty"`    // of Arrived: the work of a mean request of its class
+	Deadline      time.Duration `json:"deadline,omitempty"`
+	Since         time.Duration `json:"since,omitempty"` // of Life and Told: the start that is meant
+	Capacity      float64       `json:"capacity,omitempty"`
+	ParentAttempt uint64        `json:"parent,omitempty"` // of Asked and Unasked by an instance: the attempt that it makes the call for
+	Retry         bool          `json:"repeat,omitempty"`
+	Note          string        `json:"note,omitempty"`
 }
 
 // Book collects entries. It may be written to from anywhere; the order is made at the end.
-type Book struct {
+type Recorder struct {
 	mu      sync.Mutex
 	entries []Entry
 	made    time.Time
@@ -81,16 +81,16 @@
 }
 
 // NewBook starts a book whose times count from now.
-func NewBook() *Book { return &Book{made: time.Now()} }
+func NewRecorder() *Recorder { return &Recorder{made: time.Now()} }
 
 // Start is the start of the run.
-func (b *Book) Start() time.Time { return b.made.Add(time.Duration(b.offset.Load())) }
+func (b *Recorder) Start() time.Time { return b.made.Add(time.Duration(b.offset.Load())) }
 
 // Now is the time since the start of the run.
-func (b *Book) Now() time.Duration { return time.Since(b.Start()) }
+func (b *Recorder) Now() time.Duration { return time.Since(b.Start()) }
 
 // Add writes an entry, at the present time if it has none.
-func (b *Book) Add(e Entry) {
+func (b *Recorder) Add(e Entry) {
 	if e.At == 0 {
 		e.At = b.Now()
 	}
@@ -100,7 +100,7 @@
 }
 
 // Entries are the entries so far, in order of time.
-func (b *Book) Entries() []Entry {
+func (b *Recorder) Entries() []Entry {
 	b.mu.Lock()
 	out := slices.Clone(b.entries)
 	b.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // Rebase makes now the start of the times. What was entered before stands at the very beginning, in its order.
-func (b *Book) Rebase() {
+func (b *Recorder) ResetStart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.offset.Store(int64(time.Since(b.made)))
