--- a/internal/lab/ledger/rules.go
+++ b/internal/lab/ledger/rules.go
@@ -11,49 +11,49 @@
 
 // Rules are the figures by which a ledger is judged.
 type Rules struct {
-	Safe       []bool        // by class: may be repeated
-	Slack      time.Duration // every time limit is longer by this
-	DrainGrace time.Duration // after word that an instance drains or is gone nothing new goes there
-	ToldWithin time.Duration // what discovery published counts as told after this; 0 for never
-	Cold       []Cold        // by tier
+	RetrySafe      []bool        // by class: may be repeated
+	Slack          time.Duration // every time limit is longer by this
+	DrainGrace     time.Duration // after word that an instance drains or is gone nothing new goes there
+	NotifiedWithin time.Duration // what discovery published counts as told after this; 0 for never
+	SlowStart      []SlowStart   // by tier
 }
 
 // Cold is what a cold instance bears: work of all sidecars within Window, each request at the mean of its class.
-type Cold struct {
-	Share        float64
-	Time, Window time.Duration
-	Budget       func(capacity float64) float64 // nil for no such rule
+type SlowStart struct {
+	InitialShare     float64
+	Duration, Window time.Duration
+	WorkBudget       func(capacity float64) float64 // nil for no such rule
 }
 
 // The names of the rules.
 const (
-	RuleAnswer = "one-answer"  // exactly one final answer in time
-	RuleRepeat = "no-repeat"   // nothing that may have run is sent again or refused unless its class allows it
-	RuleCopies = "no-copies"   // never two attempts out at once
-	RuleDrain  = "drain"       // nothing new to what drains or is gone
-	RuleCold   = "cold"        // no cold instance pushed over
-	RuleCrash  = "no-crash"    // no sidecar ends by itself
-	RuleGone   = "gone-client" // nothing begins for a client that has left
-	RuleTime   = "time-left"   // no instance is told more time than the caller has left
-	RuleOwn    = "own-check"   // no sidecar counts a violation of its own invariants
-	MaxStories = 5             // broken rules whose story is printed, of each rule
+	RuleOneAnswer            = "one-answer"  // exactly one final answer in time
+	RuleNoUnsafeRetry        = "no-repeat"   // nothing that may have run is sent again or refused unless its class allows it
+	RuleNoConcurrentAttempts = "no-copies"   // never two attempts out at once
+	RuleDrain                = "drain"       // nothing new to what drains or is gone
+	RuleSlowStart            = "cold"        // no cold instance pushed over
+	RuleNoCrash              = "no-crash"    // no sidecar ends by itself
+	RuleClientGone           = "gone-client" // nothing begins for a client that has left
+	RuleTimeLeft             = "time-left"   // no instance is told more time than the caller has left
+	RuleOwnCheck             = "own-check"   // no sidecar counts a violation of its own invariants
+	MaxDetailedViolations    = 5             // broken rules whose story is printed, of each rule
 )
 
 // RuleNames are all rules, in the order of the tables.
-var RuleNames = []string{RuleAnswer, RuleRepeat, RuleCopies, RuleDrain, RuleCold, RuleCrash, RuleGone, RuleTime, RuleOwn}
+var RuleNames = []string{RuleOneAnswer, RuleNoUnsafeRetry, RuleNoConcurrentAttempts, RuleDrain, RuleSlowStart, RuleNoCrash, RuleClientGone, RuleTimeLeft, RuleOwnCheck}
 
 // Breach is one broken rule.
-type Breach struct {
-	Rule  string        `json:"rule"`
-	At    time.Duration `json:"at"`
-	ID    string        `json:"id,omitempty"`
-	What  string        `json:"what"`
-	Story []Entry       `json:"story,omitempty"`
+type Violation struct {
+	Rule    string        `json:"rule"`
+	At      time.Duration `json:"at"`
+	ID      string        `json:"id,omitempty"`
+	Message string        `json:"what"`
+	Entries []Entry       `json:"story,omitempty"`
 }
 
-func (b Breach) String() string {
-	s := fmt.Sprintf("%s at %s: %s %s", b.Rule, round(b.At), b.What, b.ID)
-	for _, e := range b.Story {
+func (b Violation) String() string {
+	s := fmt.Sprintf("%s at %s: %s %s", b.Rule, round(b.At), b.Message, b.ID)
+	for _, e := range b.Entries {
 		s += "\n    " + e.String()
 	}
 	return s
@@ -68,8 +68,8 @@
 			s += " " + part.name + "=" + part.value
 		}
 	}
-	if e.Copy != 0 {
-		s += fmt.Sprintf(" copy=%d", e.Copy)
+	if e.AttemptID != 0 {
+		s += fmt.Sprintf(" copy=%d", e.AttemptID)
 	}
 	if e.Status != 0 {
 		s += fmt.Sprintf(" status=%d", e.Status)
@@ -83,7 +83,7 @@
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
 // Judge finds the broken rules. Entries are in order of time.
-func Judge(entries []Entry, rules Rules) []Breach {
+func FindViolations(entries []Entry, rules Rules) []Violation {
 	j := &judge{rules: rules, ops: map[string]*op{}, told: map[[2]string][]Entry{}, merged: map[[2]string][]Entry{},
 		up: map[string]time.Duration{}, broken: map[string]int{}, downs: map[string][]time.Duration{},
 		stops: map[string][]span{}, deaf: map[string][]span{}}
@@ -111,7 +111,7 @@
 type span struct{ from, to time.Duration }
 
 // Behind is the note of an attempt that arrived after its sidecar had ended it: a broken path held it.
-const Behind = "behind"
+const DelayedNote = "behind"
 
 // begin opens a span of a sidecar, and end closes the last one.
 func begin(m map[string][]span, e *Entry) {
@@ -136,39 +136,39 @@
 	deaf   map[string][]span // its path to discovery was broken
 	off    []span            // discovery was taken off
 	broken map[string]int    // how often each rule was
-	out    []Breach
+	out    []Violation
 }
 
 func (j *judge) take(e *Entry) {
 	switch e.Kind {
-	case Told:
+	case Notified:
 		key := [2]string{e.Sidecar, e.Instance}
 		j.told[key] = append(j.told[key], *e)
-	case Up:
+	case SidecarStarted:
 		j.up[e.Sidecar] = e.At
-	case Down:
+	case SidecarEnded:
 		j.downs[e.Sidecar] = append(j.downs[e.Sidecar], e.At)
-	case Crashed:
+	case SidecarCrashed:
 		j.downs[e.Sidecar] = append(j.downs[e.Sidecar], e.At)
-		j.breach(RuleCrash, e.At, "", "sidecar "+e.Sidecar+" ended by itself: "+e.Note, nil)
-	case Begun:
+		j.breach(RuleNoCrash, e.At, "", "sidecar "+e.Sidecar+" ended by itself: "+e.Note, nil)
+	case AttemptBegun:
 		j.begun = append(j.begun, *e)
-	case Stopped:
+	case SidecarPaused:
 		begin(j.stops, e)
-	case Resumed:
+	case SidecarResumed:
 		end(j.stops, e)
-	case Deaf:
+	case DiscoveryPathCut:
 		begin(j.deaf, e)
-	case Hears:
+	case DiscoveryPathRestored:
 		end(j.deaf, e)
-	case Offline:
+	case DiscoveryOffline:
 		j.off = append(j.off, span{e.At, math.MaxInt64})
-	case Online:
+	case DiscoveryOnline:
 		if len(j.off) > 0 {
 			j.off[len(j.off)-1].to = e.At
 		}
-	case Own:
-		j.breach(RuleOwn, e.At, e.ID, "sidecar "+e.Sidecar+" counts a violation: "+e.Note, nil)
+	case OwnCheckFailed:
+		j.breach(RuleOwnCheck, e.At, e.ID, "sidecar "+e.Sidecar+" counts a violation: "+e.Note, nil)
 	}
 	if e.ID == "" {
 		return
@@ -183,13 +183,15 @@
 }
 
 func (j *judge) breach(rule string, at time.Duration, id, what string, story []Entry) {
-	if j.broken[rule]++; j.broken[rule] > MaxStories {
+	if j.broken[rule]++; j.broken[rule] > MaxDetailedViolations {
 		story = nil
 	}
-	j.out = append(j.out, Breach{Rule: rule, At: at, ID: id, What: what, Story: story})
+	j.out = append(j.out, Violation{Rule: rule, At: at, ID: id, Message: what, Entries: story})
 }
 
-func (j *judge) safe(class int) bool { return class < len(j.rules.Safe) && j.rules.Safe[class] }
+func (j *judge) safe(class int) bool {
+	return class < len(j.rules.RetrySafe) && j.rules.RetrySafe[class]
+}
 
 // answers holds that an operation that was taken has exactly one final answer in time, and one that an instance made.
 func (j *judge) answers(o *op) {
@@ -198,34 +200,34 @@
 	for i := range o.entries {
 		e := &o.entries[i]
 		switch e.Kind {
-		case Asked:
+		case RequestSent:
 			asked = e
-		case Ended:
+		case AttemptEnded:
 			if e.Outcome == "served" {
 				served[e.Note] = true
 			}
 		case Answered:
 			answers++
 			if e.Status == 200 && !served[e.Note] {
-				j.breach(RuleAnswer, e.At, o.id, "served with what no instance made for it:", o.entries)
+				j.breach(RuleOneAnswer, e.At, o.id, "served with what no instance made for it:", o.entries)
 			}
 			if asked != nil && e.At > asked.Deadline+j.rules.Slack && !j.stood(asked.Sidecar, asked.At, e.At) {
-				j.breach(RuleAnswer, e.At, o.id, "answered after the client gave up:", o.entries)
+				j.breach(RuleOneAnswer, e.At, o.id, "answered after the client gave up:", o.entries)
 			}
-		case Extra:
-			j.breach(RuleAnswer, e.At, o.id, "more than one answer:", o.entries)
+		case ExtraBytes:
+			j.breach(RuleOneAnswer, e.At, o.id, "more than one answer:", o.entries)
 		}
 	}
 	if answers > 1 {
-		j.breach(RuleAnswer, o.entries[len(o.entries)-1].At, o.id, "more than one answer:", o.entries)
+		j.breach(RuleOneAnswer, o.entries[len(o.entries)-1].At, o.id, "more than one answer:", o.entries)
 	}
 	if asked == nil || answers > 0 {
 		return
 	}
 	for _, e := range o.entries {
-		lost := e.Kind == GaveUp || e.Kind == Broken
+		lost := e.Kind == TimedOut || e.Kind == ConnectionBroken
 		if lost && !j.wasDown(asked.Sidecar, asked.At, e.At) && !j.stood(asked.Sidecar, asked.At, e.At) {
-			j.breach(RuleAnswer, e.At, o.id, "no final answer:", o.entries)
+			j.breach(RuleOneAnswer, e.At, o.id, "no final answer:", o.entries)
 		}
 	}
 }
@@ -241,18 +243,18 @@
 	var asked, gone *Entry
 	for i := range o.entries {
 		switch e := &o.entries[i]; e.Kind {
-		case Asked:
+		case RequestSent:
 			asked = e
-		case Quit, GaveUp:
+		case CallerClosed, TimedOut:
 			gone = e
 		}
 	}
 	for _, e := range o.entries {
-		if e.Kind != Begun {
+		if e.Kind != AttemptBegun {
 			continue
 		}
 		if gone != nil && e.At > gone.At+goneGrace+j.rules.Slack && !j.stood(e.Sidecar, gone.At, e.At) {
-			j.breach(RuleGone, e.At, o.id, fmt.Sprintf("an attempt began %s after its client had left:", round(e.At-gone.At)), o.entries)
+			j.breach(RuleClientGone, e.At, o.id, fmt.Sprintf("an attempt began %s after its client had left:", round(e.At-gone.At)), o.entries)
 		}
 		if asked == nil {
 			continue
@@ -264,7 +266,7 @@
 			from = min(from, asked.Since)
 		}
 		if e.Deadline > asked.Deadline+timeSlack+j.rules.Slack && !j.stood(e.Sidecar, from, e.At) {
-			j.breach(RuleTime, e.At, o.id, fmt.Sprintf("an instance was told %s more than its caller had left:",
+			j.breach(RuleTimeLeft, e.At, o.id, fmt.Sprintf("an instance was told %s more than its caller had left:",
 				round(e.Deadline-asked.Deadline)), o.entries)
 		}
 	}
@@ -314,18 +316,18 @@
 	all := map[uint64]*attempt{}
 	for i := range o.entries {
 		e := &o.entries[i]
-		a := all[e.Copy]
+		a := all[e.AttemptID]
 		switch e.Kind {
-		case Arrived:
-			if e.Note == Behind {
+		case AttemptArrived:
+			if e.Note == DelayedNote {
 				continue // its sidecar had ended it before: the path held it
 			}
-			all[e.Copy] = &attempt{arrived: e.At}
-			order = append(order, e.Copy)
-		case Ended, Closed:
+			all[e.AttemptID] = &attempt{arrived: e.At}
+			order = append(order, e.AttemptID)
+		case AttemptEnded, AttemptClosed:
 			if a != nil && !a.over {
 				a.over, a.ended, a.seen = true, e.At, sharp
-				if e.Kind == Closed {
+				if e.Kind == AttemptClosed {
 					a.seen = j.rules.Slack
 				}
 			}
@@ -336,7 +338,7 @@
 			if (e.Status == 503 || e.Status == 429) && !j.safe(e.Class) {
 				for _, a := range all {
 					if !a.turned {
-						j.breach(RuleRepeat, e.At, o.id, "refused though it may have run:", o.entries)
+						j.breach(RuleNoUnsafeRetry, e.At, o.id, "refused though it may have run:", o.entries)
 						break
 					}
 				}
@@ -348,10 +350,10 @@
 		for _, before := range order[:n] {
 			a, b := all[before], all[copy]
 			if !a.turned && !j.safe(class) {
-				j.breach(RuleRepeat, b.arrived, o.id, "sent again though it may have run:", o.entries)
+				j.breach(RuleNoUnsafeRetry, b.arrived, o.id, "sent again though it may have run:", o.entries)
 			}
 			if !a.over || a.ended > b.arrived+a.seen {
-				j.breach(RuleCopies, b.arrived, o.id, "two attempts out at once:", o.entries)
+				j.breach(RuleNoConcurrentAttempts, b.arrived, o.id, "two attempts out at once:", o.entries)
 			}
 		}
 	}
@@ -391,11 +393,11 @@
 	for i := range news {
 		news[i].At = j.reached(sidecar, news[i].At)
 	}
-	if j.rules.ToldWithin > 0 {
+	if j.rules.NotifiedWithin > 0 {
 		for _, e := range j.told[[2]string{"", instance}] {
 			// A sidecar that was told anything of the instance since has what was published before, too.
 			if !slices.ContainsFunc(j.told[key], func(t Entry) bool { return t.At >= e.At }) {
-				e.At = j.reached(sidecar, max(e.At, j.up[sidecar])) + j.rules.ToldWithin
+				e.At = j.reached(sidecar, max(e.At, j.up[sidecar])) + j.rules.NotifiedWithin
 				news = append(news, e)
 			}
 		}
@@ -417,15 +419,15 @@
 	for i := range entries {
 		e := entries[i]
 		switch e.Kind {
-		case Life:
+		case InstanceStarted:
 			lives[e.Instance] = &life{Entry: e}
-		case Arrived:
+		case AttemptArrived:
 			l := lives[e.Instance]
-			if l == nil || l.broken || l.Note != "cold" || e.Tier >= len(j.rules.Cold) {
+			if l == nil || l.broken || l.Note != "cold" || e.Tier >= len(j.rules.SlowStart) {
 				continue
 			}
-			c := j.rules.Cold[e.Tier]
-			if c.Budget == nil || e.At >= l.At+c.Time {
+			c := j.rules.SlowStart[e.Tier]
+			if c.WorkBudget == nil || e.At >= l.At+c.Duration {
 				continue
 			}
 			l.at = append(l.at, e)
@@ -434,15 +436,15 @@
 			}
 			sum, informed := 0.0, 0.0
 			for _, a := range l.at {
-				sum += a.Mean
+				sum += a.MeanWork
 				if j.knows(a.Sidecar, a.Instance, l.Since, a.At) {
-					informed += a.Mean
+					informed += a.MeanWork
 				}
 			}
-			capacity := l.Capacity * (c.Share + (1-c.Share)*float64(e.At-l.At)/float64(c.Time))
-			if budget := c.Budget(capacity); sum > budget && informed >= sum*2/3 {
+			capacity := l.Capacity * (c.InitialShare + (1-c.InitialShare)*float64(e.At-l.At)/float64(c.Duration))
+			if budget := c.WorkBudget(capacity); sum > budget && informed >= sum*2/3 {
 				l.broken = true
-				j.breach(RuleCold, e.At, "", fmt.Sprintf("%s, up %s, got %.2f core-seconds within %s, %.2f are its budget",
+				j.breach(RuleSlowStart, e.At, "", fmt.Sprintf("%s, up %s, got %.2f core-seconds within %s, %.2f are its budget",
 					e.Instance, round(e.At-l.At), sum, c.Window, budget), l.at)
 			}
 		}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -25,7 +25,7 @@
 )
 
 func TestMain(m *testing.M) {
-	testkit.Seed()
+	testkit.FixSeed()
 	goleak.VerifyTestMain(m)
 }
 
@@ -189,7 +189,7 @@
 		t.Fatal(err)
 	}
 	rec := NewRecorder()
-	if err := Run(context.Background(), &Replay{Items: items, Speed: 2}, Options{URL: target.URL, Timeout: 5 * time.Second, MaxOpen: 10, Recorder: rec}); err != nil {
+	if err := Run(context.Background(), &Replay{Items: items, Speed: 2}, Options{URL: target.URL, Timeout: 5 * time.Second, MaxInFlight: 10, Recorder: rec}); err != nil {
 		t.Fatal(err)
 	}
 	if len(came) != 4 || came[0] != came[2] || came[1] != came[3] || came[1] != "POST /pay c money" {
@@ -225,8 +225,8 @@
 	}))
 	defer target.Close()
 	rec := NewRecorder()
-	err := Run(context.Background(), &Steady{Item: Item{Method: "GET", Target: "/"}, Arrivals: NewArrivals(80, nil, nil, time.Second)},
-		Options{URL: target.URL, Timeout: 300 * time.Millisecond, MaxOpen: 200, Recorder: rec})
+	err := Run(context.Background(), &SingleRequest{Item: Item{Method: "GET", Target: "/"}, Arrivals: NewArrivals(80, nil, nil, time.Second)},
+		Options{URL: target.URL, Timeout: 300 * time.Millisecond, MaxInFlight: 200, Recorder: rec})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,8 +240,8 @@
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(50 * time.Millisecond) }))
 	defer target.Close()
 	rec := NewRecorder()
-	err := Run(context.Background(), &Steady{Item: Item{Method: "GET", Target: "/"}, Arrivals: NewArrivals(100, nil, nil, time.Second)},
-		Options{URL: target.URL, Timeout: 5 * time.Second, MaxOpen: 1, Recorder: rec})
+	err := Run(context.Background(), &SingleRequest{Item: Item{Method: "GET", Target: "/"}, Arrivals: NewArrivals(100, nil, nil, time.Second)},
+		Options{URL: target.URL, Timeout: 5 * time.Second, MaxInFlight: 1, Recorder: rec})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/load/recorder.go
+++ b/internal/lab/load/recorder.go
@@ -12,7 +12,7 @@
 	Intended, Sent, Ended time.Duration // since the start of the run
 	Status                int           // 0 if no whole answer came
 	TimedOut              bool
-	New                   bool // made a connection
+	NewConnection         bool // made a connection
 }
 
 // LatencyMS are the figures of a latency histogram, in milliseconds.
@@ -36,7 +36,7 @@
 	Failed      int       `json:"failed"` // answered other than 2xx or 3xx, or broken
 	TimedOut    int       `json:"timed_out"`
 	LateSends   int       `json:"late_sends"` // went out over LateAfter after their time
-	WorstLateMS float64   `json:"worst_late_ms"`
+	MaxLateMS   float64   `json:"worst_late_ms"`
 	Connections int       `json:"connections"`
 	Seconds     float64   `json:"seconds"`
 	Rate        float64   `json:"rate"` // sent a second
@@ -44,10 +44,10 @@
 }
 
 // LateAfter is how far behind its time a send counts as late: the generator itself has fallen behind.
-const LateAfter = 10 * time.Millisecond
+const LateThreshold = 10 * time.Millisecond
 
 // Second is one second of a run, by the intended time.
-type Second struct {
+type SecondStats struct {
 	Second   int     `json:"second"`
 	Intended int     `json:"intended"`
 	OK       int     `json:"ok"`
@@ -64,7 +64,7 @@
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
 	service *hdrhistogram.Histogram
-	seconds []Second
+	seconds []SecondStats
 	byTime  []*hdrhistogram.Histogram
 	s       Summary
 	worst   time.Duration
@@ -79,17 +79,17 @@
 func NewRecorder() *Recorder { return &Recorder{latency: histogram(3), service: histogram(3)} }
 
 // Intend counts a request whose time has come, whatever becomes of it.
-func (r *Recorder) Intend(at time.Duration) {
+func (r *Recorder) RecordIntended(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.s.Intended++
 	r.second(at).Intended++
 }
 
-func (r *Recorder) second(at time.Duration) *Second {
+func (r *Recorder) second(at time.Duration) *SecondStats {
 	n := int(at / time.Second)
 	for len(r.seconds) <= n {
-		r.seconds = append(r.seconds, Second{Second: len(r.seconds)})
+		r.seconds = append(r.seconds, SecondStats{Second: len(r.seconds)})
 		r.byTime = append(r.byTime, histogram(2))
 	}
 	return &r.seconds[n]
@@ -102,12 +102,12 @@
 	sec := r.second(o.Intended)
 	if o.Sent > 0 {
 		r.s.Sent++
-		if late := o.Sent - o.Intended; late > LateAfter {
+		if late := o.Sent - o.Intended; late > LateThreshold {
 			r.s.LateSends++
 			r.worst = max(r.worst, late)
 		}
 	}
-	if o.New {
+	if o.NewConnection {
 		r.s.Connections++
 	}
 	switch {
@@ -142,7 +142,7 @@
 	defer r.mu.Unlock()
 	s := r.s
 	s.Latency, s.Service = figures(r.latency), figures(r.service)
-	s.WorstLateMS = float64(r.worst.Microseconds()) / 1000
+	s.MaxLateMS = float64(r.worst.Microseconds()) / 1000
 	s.Seconds = r.last.Seconds()
 	if s.Seconds > 0 {
 		s.Rate = float64(s.Sent) / s.Seconds
@@ -151,10 +151,10 @@
 }
 
 // Seconds is the run second by second.
-func (r *Recorder) Seconds() []Second {
+func (r *Recorder) Seconds() []SecondStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]Second, len(r.seconds))
+	out := make([]SecondStats, len(r.seconds))
 	for i, s := range r.seconds {
 		h := r.byTime[i]
 		l := figures(h)
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -21,13 +21,13 @@
 
 // Options say whom to load and how.
 type Options struct {
-	URL      string // http or https; its path is for sources that have none
-	Timeout  time.Duration
-	MaxOpen  int // requests out at once; more wait, and their latency counts on
-	Recorder *Recorder
-	Tracer   *Tracer // records what goes out; nil for none
-	Progress func(Progress)
-	Each     func(Item, Outcome) // takes every outcome, from any goroutine; nil if nobody asks
+	URL         string // http or https; its path is for sources that have none
+	Timeout     time.Duration
+	MaxInFlight int // requests out at once; more wait, and their latency counts on
+	Recorder    *Recorder
+	Tracer      *Tracer // records what goes out; nil for none
+	OnProgress  func(Progress)
+	OnOutcome   func(Item, Outcome) // takes every outcome, from any goroutine; nil if nobody asks
 }
 
 // Progress is how a load run stands.
@@ -75,13 +75,13 @@
 	if err != nil {
 		return err
 	}
-	if o.Recorder == nil || o.Timeout <= 0 || o.MaxOpen < 1 {
+	if o.Recorder == nil || o.Timeout <= 0 || o.MaxInFlight < 1 {
 		return errors.New("load: a recorder, a timeout and a number of requests out at once are needed")
 	}
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
 	start := time.Now()
-	if o.Progress != nil {
+	if o.OnProgress != nil {
 		stop := progress(o, start)
 		defer stop()
 	}
@@ -94,7 +94,7 @@
 		if !more || !pace.until(ctx, start.Add(at)) {
 			break
 		}
-		o.Recorder.Intend(at)
+		o.Recorder.RecordIntended(at)
 		if o.Tracer != nil {
 			if failed = o.Tracer.Add(start.Add(at), item); failed != nil {
 				break
@@ -129,7 +129,7 @@
 		return
 	default:
 	}
-	if g.open < g.o.MaxOpen {
+	if g.open < g.o.MaxInFlight {
 		g.open++
 		g.wait.Go(func() {
 			g.do(j)
@@ -143,18 +143,18 @@
 }
 
 func (g *generator) do(j job) {
-	fields := make([]httpc.Field, 0, len(j.item.Headers))
+	fields := make([]httpc.HeaderField, 0, len(j.item.Headers))
 	for name, value := range j.item.Headers {
-		fields = append(fields, httpc.Field{Name: name, Value: value})
+		fields = append(fields, httpc.HeaderField{Name: name, Value: value})
 	}
-	text := httpc.Text(j.item.Method, j.item.Target, g.target.Host, j.item.Body, fields...)
+	text := httpc.FormatRequest(j.item.Method, j.item.Target, g.target.Host, j.item.Body, fields...)
 	sent := time.Now()
 	r := g.pool.Do("", j.item.Method, text, sent.Add(g.o.Timeout))
-	out := Outcome{Intended: j.at, Sent: sent.Sub(g.start), Ended: r.Ended.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
-		New: r.New}
+	out := Outcome{Intended: j.at, Sent: sent.Sub(g.start), Ended: r.EndedAt.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
+		NewConnection: r.NewConnection}
 	g.o.Recorder.Add(out)
-	if g.o.Each != nil {
-		g.o.Each(j.item, out)
+	if g.o.OnOutcome != nil {
+		g.o.OnOutcome(j.item, out)
 	}
 }
 
@@ -167,7 +167,7 @@
 		for {
 			select {
 			case <-tick.C:
-				o.Progress(Progress{Elapsed: time.Since(start), Summary: o.Recorder.Summary()})
+				o.OnProgress(Progress{Elapsed: time.Since(start), Summary: o.Recorder.Summary()})
 			case <-done:
 				return
 			}
@@ -177,26 +177,26 @@
 }
 
 // Steady is a source of one kind of request at the times of Arrivals.
-type Steady struct {
+type SingleRequest struct {
 	Item     Item
 	Arrivals *Arrivals
 }
 
 // Next is the next request.
-func (s *Steady) Next() (Item, time.Duration, bool) {
+func (s *SingleRequest) Next() (Item, time.Duration, bool) {
 	at, more := s.Arrivals.Next()
 	return s.Item, at, more
 }
 
 // Mix is a source of several kinds of requests, by their weights.
 type Mix struct {
-	Kinds    []Weighted
+	Kinds    []WeightedItem
 	Arrivals *Arrivals
 	Draw     func() float64 // in [0,1)
 }
 
 // Weighted is one kind of request of a mix.
-type Weighted struct {
+type WeightedItem struct {
 	Item   Item
 	Weight float64
 }
@@ -236,7 +236,7 @@
 
 // Closed sends requests as a closed loop does: each of n callers waits for its answer before its next request, which
 // it spaces evenly to the rate in all. It is here to show what such a loop leaves out when the server stalls.
-func Closed(ctx context.Context, n int, rate float64, d time.Duration, item Item, o Options) error {
+func RunClosedLoop(ctx context.Context, n int, rate float64, d time.Duration, item Item, o Options) error {
 	target, err := ParseURL(o.URL)
 	if err != nil {
 		return err
@@ -253,7 +253,7 @@
 			at := each * time.Duration(i) / time.Duration(n)
 			for at < d && pace.until(ctx, g.start.Add(at)) {
 				now := time.Since(g.start)
-				o.Recorder.Intend(now)
+				o.Recorder.RecordIntended(now)
 				g.do(job{item, now})
 				at = max(at+each, time.Since(g.start)) // a request that should have gone meanwhile is forgotten
 			}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -18,25 +18,25 @@
 
 // Member is an entry of discovery's list.
 type Member struct {
-	Name   string
-	Kind   string
-	Group  int
-	Status Status
-	Since  time.Duration // of its last start; 0 for long ago
+	Name      string
+	Kind      string
+	Group     int
+	Status    Status
+	StartedAt time.Duration // of its last start; 0 for long ago
 }
 
 // DiscoveryConfig says how slow and coarse discovery is.
 type DiscoveryConfig struct {
-	Period   time.Duration // changes are published together, once in each
-	Capacity float64       // calls a second, served in turn
-	Timeout  time.Duration // a call that waits longer fails
-	Keep     int           // published versions that a watch may resume from
+	Period         time.Duration // changes are published together, once in each
+	CallsPerSecond float64       // calls a second, served in turn
+	Timeout        time.Duration // a call that waits longer fails
+	KeptVersions   int           // published versions that a watch may resume from
 	// RefuseFull has a call that would wait too long fail at once, which costs a tenth of a turn; otherwise it fails after its
 	// time-out.
-	RefuseFull bool
+	RejectWhenFull bool
 	// WorksOffFailed has a call that fails after its time-out take its turn all the same, as whoever serves calls does not know
 	// that nobody waits any more.
-	WorksOffFailed bool
+	ServeTimedOut bool
 }
 
 // Update is what a call or a watch is told.
@@ -74,14 +74,14 @@
 
 // Change tells of a member that discovery will see at a time. What it would have seen later of the same member is older
 // news and falls away.
-func (d *Discovery) Change(at time.Duration, m Member) {
+func (d *Discovery) ScheduleChange(at time.Duration, m Member) {
 	d.pending = slices.DeleteFunc(d.pending, func(p due) bool { return p.member.Name == m.Name && p.at >= at })
 	d.pending = append(d.pending, due{at, m})
 	slices.SortStableFunc(d.pending, func(a, b due) int { return int(a.at - b.at) })
 }
 
 // Next tells when a version may be published.
-func (d *Discovery) Next() (time.Duration, bool) {
+func (d *Discovery) NextPublish() (time.Duration, bool) {
 	if len(d.pending) == 0 {
 		return 0, false
 	}
@@ -90,7 +90,7 @@
 
 // Advance publishes what has been seen by now; the update is empty if there is nothing.
 func (d *Discovery) Advance(now time.Duration) (Update, bool) {
-	if t, any := d.Next(); !any || now < t {
+	if t, any := d.NextPublish(); !any || now < t {
 		return Update{}, false
 	}
 	changed := map[string]Member{}
@@ -107,7 +107,7 @@
 	d.index++
 	u := Update{Index: d.index, Members: sorted(changed)}
 	d.log = append(d.log, u)
-	if len(d.log) > max(d.config.Keep, 1) {
+	if len(d.log) > max(d.config.KeptVersions, 1) {
 		d.log = d.log[1:]
 	}
 	d.next = now + d.config.Period
@@ -115,7 +115,7 @@
 }
 
 // Since is what changed after a version, or the whole list where that is too long ago.
-func (d *Discovery) Since(index int64) Update {
+func (d *Discovery) ChangesSince(index int64) Update {
 	u := Update{Index: d.index}
 	if index > d.index || index < d.index-int64(len(d.log)) {
 		u.Full, u.Members = true, sorted(d.now)
@@ -136,16 +136,16 @@
 // Call takes a call in turn: when it is served, or false with when it fails because it waited too long.
 func (d *Discovery) Call(now time.Duration) (time.Duration, bool) {
 	begin := max(now, d.free)
-	turn := time.Duration(float64(time.Second) / d.config.Capacity * max(d.slower, 1))
+	turn := time.Duration(float64(time.Second) / d.config.CallsPerSecond * max(d.slower, 1))
 	switch {
 	case begin-now <= d.config.Timeout:
 		d.free = begin + turn
 		return d.free, true
-	case d.config.RefuseFull:
+	case d.config.RejectWhenFull:
 		d.free = begin + turn/refusalShare
 		return now, false
 	}
-	if d.config.WorksOffFailed {
+	if d.config.ServeTimedOut {
 		d.free = begin + turn
 	}
 	return now + d.config.Timeout, false
@@ -155,7 +155,7 @@
 const refusalShare = 10
 
 // Slow has calls take so many times their turn.
-func (d *Discovery) Slow(factor float64) { d.slower = factor }
+func (d *Discovery) SetSlowdown(factor float64) { d.slower = factor }
 
 func sorted(members map[string]Member) []Member {
 	out := make([]Member, 0, len(members))
--- a/internal/lab/model/draw.go
+++ b/internal/lab/model/draw.go
@@ -20,6 +20,6 @@
 }
 
 // Around draws a span evenly from half to one and a half times d.
-func Around(rng *rand.Rand, d time.Duration) time.Duration {
+func Jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + rng.Float64()))
 }
--- a/internal/lab/model/fall.go
+++ b/internal/lab/model/fall.go
@@ -15,8 +15,8 @@
 
 // add takes work and tells whether it pushes a cold instance over: more than its budget has come within a window, turned away
 // or not.
-func (w *window) add(now time.Duration, work float64, c Cold, start time.Duration, capacity float64) bool {
-	if c.Multiple <= 0 || now >= start+c.Time {
+func (w *window) add(now time.Duration, work float64, c ColdStart, start time.Duration, capacity float64) bool {
+	if c.LoadFactor <= 0 || now >= start+c.Duration {
 		return false
 	}
 	w.at, w.work = append(w.at, now), append(w.work, work)
@@ -30,7 +30,7 @@
 
 // Budget is the work that a cold instance bears within a window, at a capacity: that of n mean requests, Multiple times what it
 // can do, and of 2 x root of n + 2 more, which is what chance brings where many send without word of each other.
-func (c Cold) Budget(capacity float64) float64 {
-	n := c.Multiple * capacity * c.Window.Seconds() / c.Mean
-	return (n + 2*math.Sqrt(n) + 2) * c.Mean
+func (c ColdStart) Budget(capacity float64) float64 {
+	n := c.LoadFactor * capacity * c.Window.Seconds() / c.MeanWork
+	return (n + 2*math.Sqrt(n) + 2) * c.MeanWork
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -9,21 +9,21 @@
 )
 
 func plain() Config {
-	return Config{Cores: 1, Speed: 1, Slots: 4, Queue: 2, ThrashAt: 100, Reports: Reports{Period: 100 * time.Millisecond}}
+	return Config{Cores: 1, Speed: 1, Slots: 4, QueueLimit: 2, ThrashThreshold: 100, LoadReports: LoadReports{Period: 100 * time.Millisecond}}
 }
 
 // drive lets an instance run until nothing is left or the end, and gives the time and outcome of each answer.
 func drive(i *Instance, end time.Duration) (at map[uint64]time.Duration, how map[uint64]Outcome, calls []uint64) {
 	at, how = map[uint64]time.Duration{}, map[uint64]Outcome{}
 	for {
-		for _, a := range i.Actions() {
+		for _, a := range i.TakeActions() {
 			if a.Call {
-				calls = append(calls, a.Copy)
+				calls = append(calls, a.AttemptID)
 				continue
 			}
-			at[a.Copy], how[a.Copy] = i.now, a.Outcome
+			at[a.AttemptID], how[a.AttemptID] = i.now, a.Outcome
 		}
-		next, any := i.Next()
+		next, any := i.NextEvent()
 		if !any || next > end {
 			return
 		}
@@ -42,8 +42,8 @@
 func TestCoresAreShared(t *testing.T) {
 	i := NewInstance(plain(), NewRand(1, 1), 0, false)
 	far := time.Hour
-	i.Arrive(0, Request{Copy: 1, Work: 0.1, Deadline: far})
-	i.Arrive(50*time.Millisecond, Request{Copy: 2, Work: 0.1, Deadline: far})
+	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, Deadline: far})
+	i.Arrive(50*time.Millisecond, Request{AttemptID: 2, Work: 0.1, Deadline: far})
 	at, _, _ := drive(i, time.Minute)
 	near(t, "first", at[1], 150*time.Millisecond)
 	near(t, "second", at[2], 200*time.Millisecond)
@@ -59,13 +59,13 @@
 	}{
 		"none":      {want: 100 * time.Millisecond},
 		"fast":      {change: func(c *Config) { c.Speed = 2 }, want: 50 * time.Millisecond},
-		"slow":      {meet: func(i *Instance) { i.Slow(0, 4) }, want: 400 * time.Millisecond},
+		"slow":      {meet: func(i *Instance) { i.SetSlowdown(0, 4) }, want: 400 * time.Millisecond},
 		"paused":    {meet: func(i *Instance) { i.Pause(0, 300*time.Millisecond) }, want: 400 * time.Millisecond},
-		"handshake": {change: func(c *Config) { c.Conns = Conns{Cost: 20 * time.Millisecond} }, meet: func(i *Instance) { i.Opened(0) }, want: 120 * time.Millisecond},
-		"thrash":    {change: func(c *Config) { c.Thrash, c.ThrashAt = 1, 0 }, want: 200 * time.Millisecond},
+		"handshake": {change: func(c *Config) { c.Connections = ConnectionCosts{HandshakeWork: 20 * time.Millisecond} }, meet: func(i *Instance) { i.ConnectionOpened(0) }, want: 120 * time.Millisecond},
+		"thrash":    {change: func(c *Config) { c.ThrashFactor, c.ThrashThreshold = 1, 0 }, want: 200 * time.Millisecond},
 		// Capacity 0.5 + 0.5*t: 0.1 = 0.5t + 0.25t², t = 0.1832 s.
 		"cold": {change: func(c *Config) {
-			c.Cold = Cold{Share: 0.5, Time: time.Second, Multiple: 100, Window: time.Second, Mean: 0.1}
+			c.ColdStart = ColdStart{InitialShare: 0.5, Duration: time.Second, LoadFactor: 100, Window: time.Second, MeanWork: 0.1}
 		}, cold: true, want: 183 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 			if c.meet != nil {
 				c.meet(i)
 			}
-			i.Arrive(0, Request{Copy: 1, Work: 0.1, Deadline: time.Hour})
+			i.Arrive(0, Request{AttemptID: 1, Work: 0.1, Deadline: time.Hour})
 			at, _, _ := drive(i, time.Minute)
 			near(t, "answer", at[1], c.want)
 		})
@@ -88,14 +88,14 @@
 // away, and so is what is over or comes while the instance drains.
 func TestSlotsRoomAndCalls(t *testing.T) {
 	config := plain()
-	config.Slots, config.Queue = 1, 1
+	config.Slots, config.QueueLimit = 1, 1
 	i := NewInstance(config, NewRand(1, 1), 0, false)
-	i.Arrive(0, Request{Copy: 1, Work: 0.1, Calls: 2, Deadline: time.Hour})
-	i.Arrive(0, Request{Copy: 2, Work: 0.1, Deadline: time.Hour})
-	i.Arrive(0, Request{Copy: 3, Work: 0.1, Deadline: time.Hour})
+	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, DownstreamCalls: 2, Deadline: time.Hour})
+	i.Arrive(0, Request{AttemptID: 2, Work: 0.1, Deadline: time.Hour})
+	i.Arrive(0, Request{AttemptID: 3, Work: 0.1, Deadline: time.Hour})
 	at, how, calls := drive(i, time.Minute)
-	if len(calls) != 1 || how[3] != Turned || i.Held() != 2 {
-		t.Fatalf("calls %v, outcomes %v, held %d", calls, how, i.Held())
+	if len(calls) != 1 || how[3] != Rejected || i.InFlight() != 2 {
+		t.Fatalf("calls %v, outcomes %v, held %d", calls, how, i.InFlight())
 	}
 	i.CallEnded(time.Second, 1, true)
 	if _, _, calls = drive(i, time.Minute); len(calls) != 1 {
@@ -105,14 +105,14 @@
 	at, how, _ = drive(i, time.Minute)
 	near(t, "first", at[1], 2050*time.Millisecond)
 	near(t, "waited", at[2], 2150*time.Millisecond)
-	i.Arrive(3*time.Second, Request{Copy: 4, Work: 0.1, Deadline: 3 * time.Second})
+	i.Arrive(3*time.Second, Request{AttemptID: 4, Work: 0.1, Deadline: 3 * time.Second})
 	i.Drain(3 * time.Second)
-	i.Arrive(3*time.Second, Request{Copy: 5, Work: 0.1, Deadline: time.Hour})
-	if _, how, _ = drive(i, time.Minute); how[4] != Turned || how[5] != Turned {
+	i.Arrive(3*time.Second, Request{AttemptID: 5, Work: 0.1, Deadline: time.Hour})
+	if _, how, _ = drive(i, time.Minute); how[4] != Rejected || how[5] != Rejected {
 		t.Errorf("over and draining: %v", how)
 	}
 	i = NewInstance(config, NewRand(1, 1), 0, false)
-	i.Arrive(0, Request{Copy: 1, Work: 0.1, Calls: 1, Deadline: time.Hour})
+	i.Arrive(0, Request{AttemptID: 1, Work: 0.1, DownstreamCalls: 1, Deadline: time.Hour})
 	drive(i, time.Minute)
 	i.CallEnded(time.Second, 1, false)
 	if _, how, _ = drive(i, time.Minute); how[1] != Failed {
@@ -124,26 +124,26 @@
 func TestChoke(t *testing.T) {
 	config := plain()
 	config.Slots = 50
-	config.Choke = Choke{Waiting: 3, Over: time.Second, Slower: 4, Below: 0.5, Rest: 2 * time.Second, Most: time.Minute}
+	config.Overload = Overload{QueuedPerCore: 3, TriggerAfter: time.Second, Slowdown: 4, RecoverBelow: 0.5, RecoverAfter: 2 * time.Second, MaxDuration: time.Minute}
 	i := NewInstance(config, NewRand(1, 1), 0, false)
 	for n := range uint64(12) {
-		i.Arrive(0, Request{Copy: n + 1, Work: 0.2, Deadline: time.Hour})
+		i.Arrive(0, Request{AttemptID: n + 1, Work: 0.2, Deadline: time.Hour})
 	}
 	i.Advance(900 * time.Millisecond)
-	if i.Choked() {
+	if i.Overloaded() {
 		t.Error("choked too early")
 	}
 	i.Advance(1100 * time.Millisecond)
-	if !i.Choked() {
+	if !i.Overloaded() {
 		t.Error("not choked")
 	}
 	drive(i, time.Minute)
 	idle := i.now
 	i.Advance(idle + 1900*time.Millisecond)
-	if !i.Choked() {
+	if !i.Overloaded() {
 		t.Error("recovered too early")
 	}
-	if i.Advance(idle + 2100*time.Millisecond); i.Choked() {
+	if i.Advance(idle + 2100*time.Millisecond); i.Overloaded() {
 		t.Error("not recovered")
 	}
 }
@@ -158,19 +158,19 @@
 		falls bool
 	}{{true, 0.9, 1, false}, {true, 1.1, 1, true}, {true, 0.9, 10, false}, {true, 1.1, 0.1, true}, {false, 3, 1, false}} {
 		config := plain()
-		config.Cold = Cold{Share: 0.2, Time: 100 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond, Mean: 0.01}
+		config.ColdStart = ColdStart{InitialShare: 0.2, Duration: 100 * time.Second, LoadFactor: 2.5, Window: 1500 * time.Millisecond, MeanWork: 0.01}
 		i := NewInstance(config, NewRand(1, 1), 0, c.cold)
-		budget := config.Cold.Budget(0.2)
+		budget := config.ColdStart.Budget(0.2)
 		for n := range 50 {
 			mean := budget * c.share / 50
-			i.Arrive(time.Duration(n)*20*time.Millisecond, Request{Copy: uint64(n + 1), Work: c.odd * mean, Mean: mean, Deadline: time.Hour})
+			i.Arrive(time.Duration(n)*20*time.Millisecond, Request{AttemptID: uint64(n + 1), Work: c.odd * mean, MeanWork: mean, Deadline: time.Hour})
 		}
 		// 75 calls of 10 ms, and 2 x root of 75 + 2 by chance.
 		if math.Abs(budget-0.9432) > 1e-4 {
 			t.Errorf("the budget is %g", budget)
 		}
-		if i.Fallen() != c.falls {
-			t.Errorf("cold %v, %.1f of the budget: fallen %v", c.cold, c.share, i.Fallen())
+		if i.Crashed() != c.falls {
+			t.Errorf("cold %v, %.1f of the budget: fallen %v", c.cold, c.share, i.Crashed())
 		}
 	}
 }
@@ -179,17 +179,17 @@
 func TestInstanceKeepsItsBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: 1, Slots: rapid.IntRange(1, 6).Draw(t, "slots"),
-			Queue: rapid.IntRange(0, 4).Draw(t, "queue"), Errors: 0.1, ThrashAt: 3, Thrash: 0.1,
-			Reports: Reports{Period: 50 * time.Millisecond, Delay: 20 * time.Millisecond},
-			Choke:   Choke{Waiting: 2, Over: 200 * time.Millisecond, Slower: 2, Below: 0.3, Rest: 300 * time.Millisecond, Most: time.Second}}
+			QueueLimit: rapid.IntRange(0, 4).Draw(t, "queue"), ErrorShare: 0.1, ThrashThreshold: 3, ThrashFactor: 0.1,
+			LoadReports: LoadReports{Period: 50 * time.Millisecond, Delay: 20 * time.Millisecond},
+			Overload:    Overload{QueuedPerCore: 2, TriggerAfter: 200 * time.Millisecond, Slowdown: 2, RecoverBelow: 0.3, RecoverAfter: 300 * time.Millisecond, MaxDuration: time.Second}}
 		i := NewInstance(config, NewRand(rapid.Uint64().Draw(t, "seed"), 1), 0, false)
 		now, answers, calling, work, n := time.Duration(0), map[uint64]int{}, map[uint64]bool{}, 0.0, uint64(0)
 		take := func() {
-			for _, a := range i.Actions() {
+			for _, a := range i.TakeActions() {
 				if a.Call {
-					calling[a.Copy] = true
-				} else if answers[a.Copy]++; answers[a.Copy] > 1 {
-					t.Fatalf("request %d is answered twice", a.Copy)
+					calling[a.AttemptID] = true
+				} else if answers[a.AttemptID]++; answers[a.AttemptID] > 1 {
+					t.Fatalf("request %d is answered twice", a.AttemptID)
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 				n++
 				w := rapid.Float64Range(0.001, 0.3).Draw(t, "work")
 				work += w
-				i.Arrive(now, Request{Copy: n, Work: w, Calls: rapid.IntRange(0, 2).Draw(t, "calls"), Deadline: now + time.Hour})
+				i.Arrive(now, Request{AttemptID: n, Work: w, DownstreamCalls: rapid.IntRange(0, 2).Draw(t, "calls"), Deadline: now + time.Hour})
 			case 2:
 				for c := range calling {
 					delete(calling, c)
@@ -210,10 +210,10 @@
 			case 3:
 				i.Pause(now, time.Duration(rapid.IntRange(1, 300).Draw(t, "pause"))*time.Millisecond)
 			case 4:
-				i.Slow(now, rapid.Float64Range(1, 5).Draw(t, "slow"))
+				i.SetSlowdown(now, rapid.Float64Range(1, 5).Draw(t, "slow"))
 			}
 			take()
-			if i.slots > config.Slots || len(i.queue) > config.Queue || i.slots < 0 {
+			if i.slots > config.Slots || len(i.queue) > config.QueueLimit || i.slots < 0 {
 				t.Fatalf("%d slots, %d waiting", i.slots, len(i.queue))
 			}
 		}
@@ -222,7 +222,7 @@
 				delete(calling, c)
 				i.CallEnded(i.now, c, true)
 			}
-			next, any := i.Next()
+			next, any := i.NextEvent()
 			if !any {
 				if take(); len(calling) == 0 {
 					break
@@ -232,8 +232,8 @@
 			i.Advance(next)
 			take()
 		}
-		if uint64(len(answers)) != n || i.Held() != 0 {
-			t.Fatalf("%d of %d answered, %d held", len(answers), n, i.Held())
+		if uint64(len(answers)) != n || i.InFlight() != 0 {
+			t.Fatalf("%d of %d answered, %d held", len(answers), n, i.InFlight())
 		}
 		if max := i.now.Seconds() * float64(config.Cores); i.done > 0 && work > 0 && i.done > max+1e-6 {
 			t.Fatalf("%.3f core-seconds for each job within %.3f", i.done, max)
@@ -258,15 +258,15 @@
 					break
 				}
 				asked[n] = now
-				for next, any := i.Next(); any && next < now; next, any = i.Next() {
+				for next, any := i.NextEvent(); any && next < now; next, any = i.NextEvent() {
 					i.Advance(next)
-					for _, a := range i.Actions() {
+					for _, a := range i.TakeActions() {
 						answered++
-						wait += i.now - asked[a.Copy]
+						wait += i.now - asked[a.AttemptID]
 						last = max(last, i.now)
 					}
 				}
-				i.Arrive(now, Request{Copy: n, Work: work, Deadline: time.Hour})
+				i.Arrive(now, Request{AttemptID: n, Work: work, Deadline: time.Hour})
 			}
 		}
 		return answered, last, (wait / time.Duration(max(answered, 1))).Seconds()
@@ -284,10 +284,10 @@
 // Reports show what was, late.
 func TestReports(t *testing.T) {
 	config := plain()
-	config.Reports = Reports{Period: 100 * time.Millisecond, Delay: 300 * time.Millisecond}
+	config.LoadReports = LoadReports{Period: 100 * time.Millisecond, Delay: 300 * time.Millisecond}
 	i := NewInstance(config, NewRand(1, 1), 0, false)
 	for n := range uint64(3) {
-		i.Arrive(0, Request{Copy: n + 1, Work: 1, Deadline: time.Hour})
+		i.Arrive(0, Request{AttemptID: n + 1, Work: 1, Deadline: time.Hour})
 	}
 	if _, any := i.Report(250 * time.Millisecond); any {
 		t.Error("a report shows before its delay")
@@ -296,7 +296,7 @@
 	if !any || load.Inflight != 3 || load.Util < 0.9 {
 		t.Errorf("%+v %v", load, any)
 	}
-	i.LateReports(time.Second, 5*time.Second)
+	i.SetReportDelay(time.Second, 5*time.Second)
 	i.Advance(10 * time.Second)
 	if i.Report(10 * time.Second); len(i.reports.coming) < 45 {
 		t.Errorf("%d reports on the way", len(i.reports.coming))
@@ -304,11 +304,13 @@
 }
 
 func TestDiscovery(t *testing.T) {
-	ready := func(name string, since time.Duration) Member { return Member{Name: name, Status: Ready, Since: since} }
-	d := NewDiscovery(DiscoveryConfig{Period: time.Second, Capacity: 2, Timeout: time.Second, Keep: 2}, []Member{ready("a", 0), ready("b", 0)})
-	d.Change(5*time.Second, Member{Name: "a", Status: Gone})
-	d.Change(3*time.Second, ready("a", 2*time.Second)) // it is back before discovery saw it gone
-	d.Change(3200*time.Millisecond, Member{Name: "b", Status: Gone})
+	ready := func(name string, since time.Duration) Member {
+		return Member{Name: name, Status: Ready, StartedAt: since}
+	}
+	d := NewDiscovery(DiscoveryConfig{Period: time.Second, CallsPerSecond: 2, Timeout: time.Second, KeptVersions: 2}, []Member{ready("a", 0), ready("b", 0)})
+	d.ScheduleChange(5*time.Second, Member{Name: "a", Status: Gone})
+	d.ScheduleChange(3*time.Second, ready("a", 2*time.Second)) // it is back before discovery saw it gone
+	d.ScheduleChange(3200*time.Millisecond, Member{Name: "b", Status: Gone})
 	if _, any := d.Advance(2 * time.Second); any {
 		t.Error("published before it was seen")
 	}
@@ -322,14 +324,14 @@
 	if u, _ = d.Advance(4 * time.Second); len(u.Members) != 1 || u.Members[0].Status != Gone {
 		t.Errorf("%+v", u)
 	}
-	if next, any := d.Next(); any {
+	if next, any := d.NextPublish(); any {
 		t.Errorf("more at %s", next)
 	}
-	if u = d.Since(1); u.Full || len(u.Members) != 2 {
+	if u = d.ChangesSince(1); u.Full || len(u.Members) != 2 {
 		t.Errorf("since 1: %+v", u)
 	}
 	for _, index := range []int64{0, -1, 99} {
-		if u = d.Since(index); !u.Full || len(u.Members) != 1 || u.Index != 3 {
+		if u = d.ChangesSince(index); !u.Full || len(u.Members) != 1 || u.Index != 3 {
 			t.Errorf("since %d: %+v", index, u)
 		}
 	}
@@ -343,52 +345,52 @@
 
 // A client repeats only what its class and the answer allow, and never past its time.
 func TestClients(t *testing.T) {
-	classes := []Class{{Name: "c", Share: 1, Work: time.Second, GiveUp: 6 * time.Second}}
-	habits := Habits{Retries: 2, TryShare: 0.5, Backoff: time.Second}
+	classes := []Class{{Name: "c", Share: 1, Work: time.Second, TotalTimeout: 6 * time.Second}}
+	habits := ClientBehavior{MaxRetries: 2, AttemptTimeoutShare: 0.5, Backoff: time.Second}
 	for _, c := range []struct {
 		safe  bool
-		end   TryEnd
+		end   AttemptResult
 		again bool
-	}{{false, TryServed, false}, {true, TryServed, false}, {false, TryRefused, true}, {false, TryNotReached, true}, {false, TryFailed, false},
-		{false, TryTimedOut, false}, {true, TryFailed, true}, {true, TryTimedOut, true}} {
+	}{{false, AttemptServed, false}, {true, AttemptServed, false}, {false, AttemptRejected, true}, {false, AttemptNotConnected, true}, {false, AttemptFailed, false},
+		{false, AttemptTimedOut, false}, {true, AttemptFailed, true}, {true, AttemptTimedOut, true}} {
 		classes[0].Safe = c.safe
 		k := NewClient(NewRand(1, 1), classes, habits, 10*time.Second)
-		first := k.First()
-		if first.At != 10*time.Second || first.Deadline != 13*time.Second || first.Repeat {
+		first := k.FirstAttempt()
+		if first.At != 10*time.Second || first.Deadline != 13*time.Second || first.Retry {
 			t.Errorf("%+v", first)
 		}
-		next, again := k.Next(11*time.Second, c.end, 0)
-		if again != c.again || again && (next.At != 12*time.Second || next.Deadline != 15*time.Second || !next.Repeat) {
+		next, again := k.NextAttempt(11*time.Second, c.end, 0)
+		if again != c.again || again && (next.At != 12*time.Second || next.Deadline != 15*time.Second || !next.Retry) {
 			t.Errorf("%+v: %+v %v", c, next, again)
 		}
 		if again {
-			if _, again = k.Next(15500*time.Millisecond, c.end, 0); again {
+			if _, again = k.NextAttempt(15500*time.Millisecond, c.end, 0); again {
 				t.Error("a try past the client's time")
 			}
-			if _, again = k.Next(12*time.Second, c.end, 0); !again {
+			if _, again = k.NextAttempt(12*time.Second, c.end, 0); !again {
 				t.Error("no third try")
 			}
-			if _, again = k.Next(12*time.Second, c.end, 0); again {
+			if _, again = k.NextAttempt(12*time.Second, c.end, 0); again {
 				t.Error("more tries than allowed")
 			}
 		}
 	}
-	habits.Honour = 1
+	habits.HonorRetryAfter = 1
 	k := NewClient(NewRand(1, 1), classes, habits, 0)
-	k.First()
-	if next, _ := k.Next(0, TryRefused, 2*time.Second); next.At != 2*time.Second {
+	k.FirstAttempt()
+	if next, _ := k.NextAttempt(0, AttemptRejected, 2*time.Second); next.At != 2*time.Second {
 		t.Errorf("Retry-After is not heeded: %+v", next)
 	}
 }
 
 func TestFront(t *testing.T) {
-	f := Front{}
+	f := FrontendBalancer{}
 	if f.Pick(0) != "" {
 		t.Error("picked from nothing")
 	}
-	f.Admit("a", 1)
-	f.Admit("b", 1)
-	f.Died(time.Second, "a")
+	f.AddSidecar("a", 1)
+	f.AddSidecar("b", 1)
+	f.MarkDead(time.Second, "a")
 	count := func(at time.Duration) map[string]int {
 		n := map[string]int{}
 		for range 100 {
@@ -402,11 +404,11 @@
 	if n := count(time.Second); n["b"] != 100 {
 		t.Errorf("after the notice: %v", n)
 	}
-	f.Admit("a", 1)
+	f.AddSidecar("a", 1)
 	if n := count(2 * time.Second); n["a"] != 50 {
 		t.Errorf("admitted again: %v", n)
 	}
-	f.Admit("c", 3)
+	f.AddSidecar("c", 3)
 	if n := count(2 * time.Second); n["a"] != 20 || n["c"] != 60 {
 		t.Errorf("with three times the share: %v", n)
 	}
--- a/internal/lab/model/reports.go
+++ b/internal/lab/model/reports.go
@@ -22,7 +22,7 @@
 
 // sample takes the load now; it shows after the delay of reports.
 func (i *Instance) sample() {
-	r, c := &i.reports, i.config.Reports
+	r, c := &i.reports, i.config.LoadReports
 	if span := (i.now - r.since).Seconds(); span > 0 {
 		noisy := func(v float64) float64 { return math.Max(0, v*(1+c.Noise*i.rng.NormFloat64())) }
 		r.coming = append(r.coming, sample{at: i.now + c.Delay + i.lateReports, load: Load{
--- a/internal/lab/proxy/load.go
+++ b/internal/lab/proxy/load.go
@@ -15,17 +15,17 @@
 )
 
 // Tracker counts a proxy's requests by endpoint, for its load reports. Any goroutine may call it.
-type Tracker struct {
+type LoadTracker struct {
 	mu    sync.Mutex
 	stats map[string]map[string]*endpoint.UpstreamEndpointStats // by cluster and address
 }
 
 // NewTracker returns a Tracker that has counted nothing.
-func NewTracker() *Tracker {
-	return &Tracker{stats: map[string]map[string]*endpoint.UpstreamEndpointStats{}}
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{stats: map[string]map[string]*endpoint.UpstreamEndpointStats{}}
 }
 
-func (t *Tracker) at(cluster, address string) *endpoint.UpstreamEndpointStats {
+func (t *LoadTracker) at(cluster, address string) *endpoint.UpstreamEndpointStats {
 	if t.stats[cluster] == nil {
 		t.stats[cluster] = map[string]*endpoint.UpstreamEndpointStats{}
 	}
@@ -41,14 +41,14 @@
 }
 
 // Busy tells how many requests are out at an endpoint.
-func (t *Tracker) Busy(cluster, address string) int {
+func (t *LoadTracker) InFlight(cluster, address string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return int(t.stats[cluster][address].GetTotalRequestsInProgress())
 }
 
 // Begin counts a request that goes out. The function that it returns counts its end, with the metrics that the answer told.
-func (t *Tracker) Begin(cluster, address string) (end func(ok bool, metrics map[string]float64)) {
+func (t *LoadTracker) Begin(cluster, address string) (end func(ok bool, metrics map[string]float64)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.at(cluster, address)
@@ -79,7 +79,7 @@
 }
 
 // report takes what was counted since the last report. Requests in progress stay counted.
-func (t *Tracker) report(interval time.Duration) []*endpoint.ClusterStats {
+func (t *LoadTracker) report(interval time.Duration) []*endpoint.ClusterStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*endpoint.ClusterStats
@@ -118,7 +118,7 @@
 	for {
 		select {
 		case now := <-tick.C:
-			if err := s.Send(&loadstats.LoadStatsRequest{ClusterStats: c.Loads.report(now.Sub(last))}); err != nil {
+			if err := s.Send(&loadstats.LoadStatsRequest{ClusterStats: c.LoadTracker.report(now.Sub(last))}); err != nil {
 				return err
 			}
 			last = now
--- a/internal/lab/proxy/stream.go
+++ b/internal/lab/proxy/stream.go
@@ -29,13 +29,13 @@
 // Client keeps a Table as a control service says, over one aggregated stream, state of the world or delta. It connects again,
 // to the next of its servers in turn, and goes on from what it has.
 type Client struct {
-	Node    string
-	Servers []string
-	Delta   bool
-	Table   *Table
-	Loads   *Tracker // reported to the service; nil for none
-	Log     *slog.Logger
-	Dial    func(context.Context) (net.Conn, error) // instead of TCP; nil for TCP
+	NodeID      string
+	Servers     []string
+	Delta       bool
+	Table       *Table
+	LoadTracker *LoadTracker // reported to the service; nil for none
+	Log         *slog.Logger
+	Dial        func(context.Context) (net.Conn, error) // instead of TCP; nil for TCP
 
 	mu   sync.Mutex
 	cut  context.CancelFunc // ends the stream that is open
@@ -72,7 +72,7 @@
 	c.whole = map[string]string{}
 	for n := 0; ctx.Err() == nil; n++ {
 		err := c.once(ctx, c.Servers[n%len(c.Servers)])
-		c.Log.Debug("the stream has ended", "node", c.Node, "error", err)
+		c.Log.Debug("the stream has ended", "node", c.NodeID, "error", err)
 		select {
 		case <-time.After(again):
 		case <-ctx.Done():
@@ -81,7 +81,7 @@
 }
 
 // Cut ends the stream that is open, as a broken network does. The proxy connects again, to the next of its servers.
-func (c *Client) Cut() {
+func (c *Client) Disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cut != nil {
@@ -91,7 +91,7 @@
 }
 
 // Cuts tells how often it was cut off.
-func (c *Client) Cuts() int {
+func (c *Client) Disconnects() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cuts
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	c.cut = cancel
 	c.mu.Unlock()
-	if c.Loads != nil {
+	if c.LoadTracker != nil {
 		go c.reportLoads(ctx, conn)
 	}
 	if c.Delta {
@@ -121,7 +121,7 @@
 	return c.wholes(ctx, discovery.NewAggregatedDiscoveryServiceClient(conn))
 }
 
-func (c *Client) node() *core.Node { return &core.Node{Id: c.Node, Cluster: "lab"} }
+func (c *Client) node() *core.Node { return &core.Node{Id: c.NodeID, Cluster: "lab"} }
 
 // clusters are the names of those it has.
 func (c *Client) clusters() []string { return slices.Sorted(maps.Keys(c.least)) }
--- a/internal/lab/proxy/table.go
+++ b/internal/lab/proxy/table.go
@@ -34,10 +34,10 @@
 	// request get it, as Envoy has it: where all weights are alike, of two endpoints drawn at random the one with fewer of them;
 	// where they differ, an endpoint's weight at its turn is divided by those and one, raised to the cluster's bias. It is set
 	// before the Table is used.
-	Busy func(cluster, address string) int
+	InFlight func(cluster, address string) int
 
 	// Changed is told the endpoints of a cluster that take requests whenever they are told, if it is set before the Table is used.
-	Changed func(cluster string, addresses []string)
+	OnEndpointsChanged func(cluster string, addresses []string)
 
 	mu        sync.Mutex
 	routes    *routes.RouteConfiguration
@@ -111,18 +111,18 @@
 		pass *= 1 - float64(d.GetDropPercentage().GetNumerator())/of
 	}
 	t.drops[a.ClusterName] = 1 - pass
-	if t.Changed != nil {
+	if t.OnEndpointsChanged != nil {
 		addresses := make([]string, 0, len(list))
 		for _, e := range list {
 			addresses = append(addresses, e.Address)
 		}
-		t.Changed(a.ClusterName, addresses)
+		t.OnEndpointsChanged(a.ClusterName, addresses)
 	}
 	return nil
 }
 
 // Emptied tells how often a cluster that had endpoints was left with none.
-func (t *Table) Emptied() int {
+func (t *Table) EmptiedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.emptied
@@ -137,7 +137,7 @@
 }
 
 // Drops tells whether a request to a cluster is one of those that the proxy is to refuse.
-func (t *Table) Drops(cluster string) bool {
+func (t *Table) ShouldDrop(cluster string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return rand.Float64() < t.drops[cluster]
@@ -156,9 +156,9 @@
 	if len(list) == 0 || !there {
 		return "", fmt.Errorf("cluster %q has no endpoint", cluster)
 	}
-	if least > 0 && t.Busy != nil && t.alike[cluster] {
+	if least > 0 && t.InFlight != nil && t.alike[cluster] {
 		a, b := list[rand.IntN(len(list))].Address, list[rand.IntN(len(list))].Address
-		if t.Busy(cluster, b) < t.Busy(cluster, a) {
+		if t.InFlight(cluster, b) < t.InFlight(cluster, a) {
 			a = b
 		}
 		return a, nil
@@ -166,8 +166,8 @@
 	first := slices.MinFunc(list, func(a, b *Endpoint) int { return cmp.Compare(a.next, b.next) })
 	t.turn[cluster] = first.next
 	share := 1.0
-	if least > 0 && t.Busy != nil {
-		share = math.Pow(1+float64(t.Busy(cluster, first.Address)), least)
+	if least > 0 && t.InFlight != nil {
+		share = math.Pow(1+float64(t.InFlight(cluster, first.Address)), least)
 	}
 	first.next += share / float64(first.Weight)
 	return first.Address, nil
--- a/internal/lab/proxy/table_test.go
+++ b/internal/lab/proxy/table_test.go
@@ -42,7 +42,7 @@
 		least, most int // of 900 at the endpoint that holds one
 	}{{0, 100, 450, 450}, {1, 101, 295, 305}, {3, 101, 95, 105}, {1, 100, 150, 300}, {3, 100, 150, 300}} {
 		x := table(t, c.bias, nil, 100, c.other)
-		x.Busy = func(_, address string) int {
+		x.InFlight = func(_, address string) int {
 			if address == "10.0.0.1:1" {
 				return 1
 			}
@@ -75,7 +75,7 @@
 		t.Errorf("%g are refused", got)
 	}
 	if !table(t, 0, &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{
-		drop(1e6, typev3.FractionalPercent_MILLION)}}).Drops("c") || table(t, 0, nil).Drops("c") {
+		drop(1e6, typev3.FractionalPercent_MILLION)}}).ShouldDrop("c") || table(t, 0, nil).ShouldDrop("c") {
 		t.Error("all are to be refused, and none without a policy")
 	}
 }
--- a/internal/lab/relay/blockade.go
+++ b/internal/lab/relay/blockade.go
@@ -10,15 +10,15 @@
 
 // Blockade makes a listener look like a machine that is cut off: the queue of connections that nobody accepts is made
 // as short as it goes and filled, so the system drops further attempts to connect without a word.
-type Blockade struct {
+type AcceptBlocker struct {
 	mu     sync.Mutex
 	full   []net.Conn
 	lifted bool
 }
 
 // NewBlockade blocks a listener, which takes no connection any more. What it starts is counted in tasks.
-func NewBlockade(ln *net.TCPListener, tasks *sync.WaitGroup) *Blockade {
-	b := &Blockade{}
+func NewAcceptBlocker(ln *net.TCPListener, tasks *sync.WaitGroup) *AcceptBlocker {
+	b := &AcceptBlocker{}
 	ln.SetDeadline(time.Unix(1, 0)) // ends its Accept; connections queue from here on
 	if raw, err := ln.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
@@ -42,7 +42,7 @@
 }
 
 // Lift lets the fillers go; the listener is closed by its owner, which resets whatever queued.
-func (b *Blockade) Lift() {
+func (b *AcceptBlocker) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lifted = true
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -18,20 +18,20 @@
 
 // State is how a path is.
 type State struct {
-	Delay   time.Duration // of each way
-	Loss    float64       // share of datagrams that are lost; on TCP, of pieces that are sent again
-	CutOut  bool          // nothing passes from who connects
-	CutBack bool          // nothing passes to who connects
+	Delay        time.Duration // of each way
+	Loss         float64       // share of datagrams that are lost; on TCP, of pieces that are sent again
+	BlockForward bool          // nothing passes from who connects
+	BlockReverse bool          // nothing passes to who connects
 }
 
 // Target is what stands at the end of a path.
-type Target uint8
+type TargetState uint8
 
 // The targets.
 const (
-	Accepting Target = iota
-	Refusing         // nobody listens there: connections are refused
-	Silent           // its machine is off the network: connections never come up
+	Accepting   TargetState = iota
+	Refusing                // nobody listens there: connections are refused
+	Unreachable             // its machine is off the network: connections never come up
 )
 
 // again is how long the system waits at the least before it sends again what TCP has lost (RFC 6298 as Linux has it).
@@ -48,10 +48,10 @@
 	state   State
 	changed chan struct{} // closed at each change of state
 	closed  bool
-	at      Target
+	at      TargetState
 	address string           // to listen at
 	ln      *net.TCPListener // nil while connections are refused
-	block   *Blockade
+	block   *AcceptBlocker
 	pairs   map[*pair]bool
 	packets *net.UDPConn
 	peers   map[string]*net.UDPConn // sockets to the target, by who sends
@@ -68,7 +68,7 @@
 
 // Ended has a function told when who connected has ended its side, or broken it, whatever the path lets through; the
 // address is that of the connection's other half, as the target sees it. It is set before anybody connects.
-func (r *Relay) Ended(tell func(half string)) {
+func (r *Relay) OnClientClose(tell func(half string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended = tell
@@ -109,7 +109,7 @@
 }
 
 // Set changes the state of the path.
-func (r *Relay) Set(s State) error {
+func (r *Relay) SetState(s State) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = s
@@ -119,7 +119,7 @@
 }
 
 // Target tells what stands at the path's end, so that who connects sees the same here.
-func (r *Relay) Target(t Target) error {
+func (r *Relay) SetTargetState(t TargetState) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.at = t
@@ -137,9 +137,9 @@
 	switch want := r.at; {
 	case want == Refusing:
 		r.shut()
-	case want == Silent || r.state.CutOut || r.state.CutBack:
+	case want == Unreachable || r.state.BlockForward || r.state.BlockReverse:
 		if r.ln != nil && r.block == nil {
-			r.block = NewBlockade(r.ln, &r.wait)
+			r.block = NewAcceptBlocker(r.ln, &r.wait)
 		}
 	case r.ln == nil || r.block != nil:
 		// A listener that was blocked is not opened again: what queued there is reset, as after a long silence.
@@ -157,7 +157,7 @@
 // shut closes the listener, if it stands.
 func (r *Relay) shut() {
 	if r.block != nil {
-		r.block.Lift()
+		r.block.Release()
 		r.block = nil
 	}
 	if r.ln != nil {
@@ -243,8 +243,8 @@
 		r.mu.Unlock()
 	}()
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(p.near, p.far, func(s State) bool { return s.CutOut }, p.sent) })
-	both.Go(func() { p.carry(p.far, p.near, func(s State) bool { return s.CutBack }, p.answered) })
+	both.Go(func() { p.carry(p.near, p.far, func(s State) bool { return s.BlockForward }, p.sent) })
+	both.Go(func() { p.carry(p.far, p.near, func(s State) bool { return s.BlockReverse }, p.answered) })
 	both.Wait()
 }
 
@@ -283,7 +283,7 @@
 
 // Asked tells when the first byte of what a connection asks now was sent, whenever it came through: the connection is named
 // as to Ended. ok is false if nothing is known of it.
-func (r *Relay) Asked(half string) (at time.Time, ok bool) {
+func (r *Relay) PendingSince(half string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
@@ -408,7 +408,7 @@
 		if to == nil {
 			continue
 		}
-		r.later(func(s State) bool { return s.CutOut }, func() { to.Write(data) })
+		r.later(func(s State) bool { return s.BlockForward }, func() { to.Write(data) })
 	}
 }
 
@@ -453,7 +453,7 @@
 				continue
 			}
 			data := append([]byte(nil), buf[:n]...)
-			r.later(func(s State) bool { return s.CutBack }, func() { r.packets.WriteToUDP(data, from) })
+			r.later(func(s State) bool { return s.BlockReverse }, func() { r.packets.WriteToUDP(data, from) })
 		}
 	})
 	return c
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -67,7 +67,7 @@
 
 // A way that is cut keeps what is sent on it, in order, and gives it when it is let go; new connections never come up.
 func TestCuts(t *testing.T) {
-	for name, s := range map[string]State{"out": {CutOut: true}, "back": {CutBack: true}, "both": {CutOut: true, CutBack: true}} {
+	for name, s := range map[string]State{"out": {BlockForward: true}, "back": {BlockReverse: true}, "both": {BlockForward: true, BlockReverse: true}} {
 		t.Run(name, func(t *testing.T) {
 			r, dial := tcp(t)
 			c, err := dial()
@@ -76,7 +76,7 @@
 			if _, err := say(c, time.Minute); err != nil {
 				t.Fatal(err)
 			}
-			must(t, r.Set(s))
+			must(t, r.SetState(s))
 			if _, err := say(c, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("over a cut path: %v", err)
 			}
@@ -85,7 +85,7 @@
 				t.Error("a connection came up")
 				c.Close()
 			}
-			must(t, r.Set(State{}))
+			must(t, r.SetState(State{}))
 			c.SetReadDeadline(time.Now().Add(time.Minute))
 			if _, err := c.Read(make([]byte, 1)); err != nil {
 				t.Errorf("what was kept did not come: %v", err)
@@ -106,11 +106,11 @@
 	c, err := dial()
 	must(t, err)
 	defer c.Close()
-	must(t, r.Set(State{Delay: 30 * time.Millisecond}))
+	must(t, r.SetState(State{Delay: 30 * time.Millisecond}))
 	if took, err := say(c, time.Minute); err != nil || took < 60*time.Millisecond {
 		t.Errorf("%s %v, both ways take 60 ms", took, err)
 	}
-	must(t, r.Set(State{Loss: 1}))
+	must(t, r.SetState(State{Loss: 1}))
 	if took, err := say(c, time.Minute); err != nil || took < 2*again {
 		t.Errorf("%s %v, lost on both ways", took, err)
 	}
@@ -148,27 +148,27 @@
 func TestTargetAndWord(t *testing.T) {
 	r, dial := tcp(t)
 	ended := make(chan string, 1)
-	r.Ended(func(half string) { ended <- half })
-	must(t, r.Target(Refusing))
+	r.OnClientClose(func(half string) { ended <- half })
+	must(t, r.SetTargetState(Refusing))
 	if _, err := dial(); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("nobody there: %v", err)
 	}
-	must(t, r.Target(Accepting))
+	must(t, r.SetTargetState(Accepting))
 	c, err := dial()
 	must(t, err)
 	if _, err := say(c, time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	must(t, r.Set(State{CutOut: true}))
+	must(t, r.SetState(State{BlockForward: true}))
 	before := time.Now()
 	c.Write([]byte{1})
 	c.Close()
 	half := <-ended
-	if at, ok := r.Asked(half); !ok || at.Before(before) || time.Since(at) > time.Minute {
+	if at, ok := r.PendingSince(half); !ok || at.Before(before) || time.Since(at) > time.Minute {
 		t.Errorf("asked at %v %v", at, ok)
 	}
-	must(t, r.Target(Silent))
-	must(t, r.Set(State{}))
+	must(t, r.SetTargetState(Unreachable))
+	must(t, r.SetState(State{}))
 	time.Sleep(100 * time.Millisecond)
 	if c, err := dial(); err == nil {
 		t.Error("a connection to a silent machine came up")
@@ -209,17 +209,17 @@
 	if n := count(10); n < 9 {
 		t.Errorf("%d of 10 came back", n)
 	}
-	must(t, r.Set(State{Loss: 0.5}))
+	must(t, r.SetState(State{Loss: 0.5}))
 	if n := count(40); n < 3 || n > 20 {
 		t.Errorf("%d of 40 came back, a quarter is left after half is lost each way", n)
 	}
-	for _, s := range []State{{CutOut: true}, {CutBack: true}} {
-		must(t, r.Set(s))
+	for _, s := range []State{{BlockForward: true}, {BlockReverse: true}} {
+		must(t, r.SetState(s))
 		if n := count(3); n > 0 {
 			t.Errorf("%d came over %+v", n, s)
 		}
 	}
-	must(t, r.Set(State{}))
+	must(t, r.SetState(State{}))
 	if n := count(10); n < 9 {
 		t.Errorf("%d of 10 came back after it was let go", n)
 	}
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -31,19 +31,19 @@
 }
 
 // Key is a line of a legend. It stands beside the chart as HTML, so it never covers a line.
-type Key struct {
-	Name   string
-	Colour template.CSS
-	Dash   string // of the swatch's border
+type LegendEntry struct {
+	Name        string
+	Colour      template.CSS
+	BorderStyle string // of the swatch's border
 }
 
 // Chart is a drawn chart.
 type Chart struct {
-	Title string
-	Note  string
-	SVG   template.HTML
-	Keys  []Key
-	Bands []Key
+	Title      string
+	Note       string
+	SVG        template.HTML
+	Legend     []LegendEntry
+	BandLegend []LegendEntry
 }
 
 // Band is a span of time with a name, drawn behind the lines.
@@ -97,7 +97,7 @@
 			box.Color, box.LineStyle.Width = area.c, 0
 			p.Add(box)
 		}
-		c.Bands = append(c.Bands, Key{Name: fmt.Sprintf("%s, %.0f to %.0f s", b.Name, b.From, b.To), Colour: css(colour)})
+		c.BandLegend = append(c.BandLegend, LegendEntry{Name: fmt.Sprintf("%s, %.0f to %.0f s", b.Name, b.From, b.To), Colour: css(colour)})
 	}
 	p.Add(plotter.NewGrid())
 	return finish(p, c, lines)
@@ -163,7 +163,7 @@
 		drawn.Color, drawn.Width, drawn.Dashes = colour, vg.Points(1.4), dash
 		p.Add(drawn)
 		if l.Name != "" {
-			c.Keys = append(c.Keys, Key{Name: l.Name, Colour: css(colour), Dash: border})
+			c.Legend = append(c.Legend, LegendEntry{Name: l.Name, Colour: css(colour), BorderStyle: border})
 		}
 	}
 	canvas := vgsvg.New(vg.Points(780), vg.Points(270))
--- a/internal/lab/report/groups.go
+++ b/internal/lab/report/groups.go
@@ -12,13 +12,13 @@
 )
 
 // Bars are the bars of one kind in a chart of groups, one in each.
-type Bars struct {
-	Name           string
-	Values, Errors []float64 // standard errors
+type BarSeries struct {
+	Name            string
+	Values, StdErrs []float64 // standard errors
 }
 
 // Groups draws groups of bars with their standard errors as an SVG document.
-func Groups(y string, groups []string, bars []Bars) ([]byte, error) {
+func GroupedBarChart(y string, groups []string, bars []BarSeries) ([]byte, error) {
 	p := newPlot("", y)
 	p.Y.Min = 0
 	const width = 16.0
@@ -47,14 +47,14 @@
 
 // whiskers draw the standard errors of bars that stand beside their places.
 type whiskers struct {
-	Bars
+	BarSeries
 	shift vg.Length
 }
 
 // Plot implements plot.Plotter.
 func (w *whiskers) Plot(c draw.Canvas, p *plot.Plot) {
 	x, y := p.Transforms(&c)
-	for i, e := range w.Errors {
+	for i, e := range w.StdErrs {
 		at := x(float64(i)) + w.shift
 		c.StrokeLine2(draw.LineStyle{Color: color.Black, Width: vg.Points(1)}, at, y(w.Values[i]-e), at, y(w.Values[i]+e))
 	}
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -36,13 +36,13 @@
 
 // Run is one folder as the page shows it.
 type Run struct {
-	Dir      string
-	Summary  *results.Summary
-	About    string
-	Classes  []ClassRow
-	Rules    []RuleRow
-	Breaches []ledger.Breach
-	Charts   []Chart
+	Dir         string
+	Summary     *results.Summary
+	Description string
+	Classes     []ClassRow
+	Rules       []RuleRow
+	Violations  []ledger.Violation
+	Charts      []Chart
 }
 
 // ClassRow is the service of a class.
@@ -53,8 +53,8 @@
 
 // RuleRow is how often a rule was broken.
 type RuleRow struct {
-	Name   string
-	Broken int
+	Name       string
+	Violations int
 }
 
 // Write draws one page of all the folders.
@@ -71,7 +71,7 @@
 }
 
 // Keep draws the page of a folder into it.
-func Keep(dir string) (string, error) {
+func WriteFile(dir string) (string, error) {
 	path := filepath.Join(dir, results.ReportFile)
 	f, err := os.Create(path)
 	if err != nil {
@@ -81,12 +81,12 @@
 }
 
 func read(dir string) (*Run, error) {
-	sum, err := results.Load(dir)
+	sum, err := results.ReadSummary(dir)
 	if err != nil {
 		return nil, err
 	}
 	r := &Run{Dir: dir, Summary: sum}
-	seconds, err := results.Lines[load.Second](dir, results.SecondsFile)
+	seconds, err := results.ReadLines[load.SecondStats](dir, results.SecondsFile)
 	if err != nil {
 		return nil, err
 	}
@@ -96,15 +96,15 @@
 		if plan, err = scenario.Load(filepath.Join(dir, results.ScenarioFile)); err != nil {
 			return nil, err
 		}
-		r.About = plan.About
-		for _, b := range plan.Lay(sum.Seed).Bands {
+		r.Description = plan.Description
+		for _, b := range plan.Plan(sum.Seed).Bands {
 			bands = append(bands, Band{From: b.From.Seconds(), To: math.Min(b.To.Seconds(), plan.Duration.D().Seconds()), Name: b.Name})
 		}
-		if r.Breaches, err = results.Breaches(dir); err != nil {
+		if r.Violations, err = results.ReadViolations(dir); err != nil {
 			return nil, err
 		}
 		for _, name := range ledger.RuleNames {
-			r.Rules = append(r.Rules, RuleRow{name, sum.Rules[name]})
+			r.Rules = append(r.Rules, RuleRow{name, sum.RuleViolations[name]})
 		}
 		for name, v := range sum.Service.Classes {
 			r.Classes = append(r.Classes, ClassRow{name, v})
@@ -124,7 +124,7 @@
 	return r, r.draw(dir, seconds, bands, plan, entries)
 }
 
-func (r *Run) draw(dir string, seconds []load.Second, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
+func (r *Run) draw(dir string, seconds []load.SecondStats, bands []Band, plan *scenario.Scenario, entries []ledger.Entry) error {
 	end := float64(len(seconds))
 	add := func(c Chart, err error) error {
 		if err == nil {
@@ -150,7 +150,7 @@
 	}
 	err = errors.Join(err, add(timeChart("Latency over time", "from the intended time, until served or given up", "latency (ms)",
 		[]line{p50, p90, p99}, bands, end)))
-	h, herr := results.Histogram(dir)
+	h, herr := results.ReadHistogram(dir)
 	if herr == nil {
 		var spread line
 		for _, b := range h.CumulativeDistribution() {
@@ -163,7 +163,7 @@
 		}
 	}
 	if plan != nil {
-		samples, serr := results.Lines[emulator.Sample](dir, results.SamplesFile)
+		samples, serr := results.ReadLines[emulator.Sample](dir, results.SamplesFile)
 		err = errors.Join(err, serr)
 		for t := range plan.Tiers {
 			err = errors.Join(err, add(timeChart("Load by instance: "+plan.Tiers[t].Name, "requests that each instance holds, twice a second",
@@ -172,7 +172,7 @@
 		names, values := attempts(entries)
 		err = errors.Join(err, add(barChart("Attempts per operation", "at the instances, for all operations of all sidecars",
 			"attempts that reached an instance", "operations", names, values)))
-		a := account.Of(entries, plan.Served())
+		a := account.Summarize(entries, plan.LedgerObjective())
 		err = errors.Join(err, add(timeChart("What one second's operations cost", "attempts that reached instances, busy replies of sidecars, and clients' repeats",
 			"a second", fleetLines(a, plan), bands, end)),
 			add(timeChart("Beside the work", "from all sidecars together", "a second", besideLines(a), bands, end)))
@@ -184,11 +184,11 @@
 func outcomeLines(entries []ledger.Entry, plan *scenario.Scenario) []line {
 	kinds := []string{"asked", "served in time", "served late", "refused", "failed", "no answer"}
 	counts := make([][]float64, len(kinds))
-	for _, c := range ledger.Clients(entries) {
-		if c.Tries == 0 {
+	for _, c := range ledger.ClientRequests(entries) {
+		if c.Attempts == 0 {
 			continue
 		}
-		n := int(c.Asked / time.Second)
+		n := int(c.IntendedAt / time.Second)
 		for k := range counts {
 			for len(counts[k]) <= n {
 				counts[k] = append(counts[k], 0)
@@ -197,13 +197,13 @@
 		counts[0][n]++
 		kind := 5
 		switch {
-		case c.Served != 0 && c.Served <= c.Asked+plan.Classes[c.Class].Aim.D():
+		case c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+plan.Classes[c.Class].LatencyTarget.D():
 			kind = 1
-		case c.Served != 0:
+		case c.ServedAt != 0:
 			kind = 2
-		case c.End == ledger.Answered && (c.Status == 503 || c.Status == 429):
+		case c.LastKind == ledger.Answered && (c.Status == 503 || c.Status == 429):
 			kind = 3
-		case c.End == ledger.Answered:
+		case c.LastKind == ledger.Answered:
 			kind = 4
 		}
 		counts[kind][n]++
@@ -232,9 +232,9 @@
 		add("attempts at "+plan.Tiers[t].Name, func(s account.Second) float64 { return of(s.Attempts, t) })
 	}
 	for t := range plan.Tiers {
-		add("refused before "+plan.Tiers[t].Name, func(s account.Second) float64 { return of(s.Refused, t) })
+		add("refused before "+plan.Tiers[t].Name, func(s account.Second) float64 { return of(s.Rejected, t) })
 	}
-	add("clients' repeats", func(s account.Second) float64 { return float64(s.Repeats) })
+	add("clients' repeats", func(s account.Second) float64 { return float64(s.ClientRetries) })
 	return series(names, counts)
 }
 
@@ -243,14 +243,14 @@
 	names := []string{"new connections", "probes", "calls to discovery"}
 	counts := make([][]float64, len(names))
 	for _, s := range a.Seconds {
-		for n, v := range []int{s.Opened, s.Probes, s.Discovery} {
+		for n, v := range []int{s.ConnectionsOpened, s.Probes, s.Discovery} {
 			counts[n] = append(counts[n], float64(v))
 		}
 	}
 	return series(names, counts)
 }
 
-func loadLines(seconds []load.Second) []line {
+func loadLines(seconds []load.SecondStats) []line {
 	kinds := []string{"intended", "answered well", "failed", "timed out"}
 	counts := make([][]float64, len(kinds))
 	for _, s := range seconds {
@@ -286,7 +286,7 @@
 			by[s.Instance] = l
 			names = append(names, s.Instance)
 		}
-		l.XYs = append(l.XYs, plotter.XY{X: s.At.Seconds(), Y: float64(s.Held)})
+		l.XYs = append(l.XYs, plotter.XY{X: s.At.Seconds(), Y: float64(s.InFlight)})
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		if len(a) != len(b) {
@@ -306,9 +306,9 @@
 	by := map[string]int{}
 	for i := range entries {
 		switch e := &entries[i]; e.Kind {
-		case ledger.Asked:
+		case ledger.RequestSent:
 			by[e.ID] += 0
-		case ledger.Arrived:
+		case ledger.AttemptArrived:
 			by[e.ID]++
 		}
 	}
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -48,45 +48,45 @@
 
 // Processes is what the sidecars used.
 type Processes struct {
-	Count       int     `json:"count"`
-	RestMB      float64 `json:"rest_mb"` // mean, once ready
-	PeakMB      float64 `json:"peak_mb"` // of the one that took most
-	CPUMicros   float64 `json:"cpu_us_per_operation"`
-	FirstPeakMB float64 `json:"first_tier_peak_mb"`
-	FirstMicros float64 `json:"first_tier_cpu_us_per_operation"`
+	Count               int     `json:"count"`
+	IdleMB              float64 `json:"rest_mb"` // mean, once ready
+	PeakMB              float64 `json:"peak_mb"` // of the one that took most
+	CPUMicrosPerRequest float64 `json:"cpu_us_per_operation"`
+	FirstTierPeakMB     float64 `json:"first_tier_peak_mb"`
+	FirstTierCPUMicros  float64 `json:"first_tier_cpu_us_per_operation"`
 }
 
 // Summary is the content of summary.json.
 type Summary struct {
-	Kind      string          `json:"kind"` // run or load
-	Name      string          `json:"name"`
-	Seed      uint64          `json:"seed"`
-	Version   string          `json:"version"`
-	Revision  string          `json:"revision"`
-	Binary    string          `json:"binary,omitempty"`
-	Machine   Machine         `json:"machine"`
-	Started   time.Time       `json:"started"`
-	TookS     float64         `json:"took_s"`
-	CutShort  bool            `json:"cut_short"`
-	Service   *ledger.Service `json:"service,omitempty"`
-	Rules     map[string]int  `json:"rules,omitempty"` // how often each was broken
-	Processes *Processes      `json:"processes,omitempty"`
+	Kind           string          `json:"kind"` // run or load
+	Name           string          `json:"name"`
+	Seed           uint64          `json:"seed"`
+	Version        string          `json:"version"`
+	Revision       string          `json:"revision"`
+	Binary         string          `json:"binary,omitempty"`
+	Machine        Machine         `json:"machine"`
+	Started        time.Time       `json:"started"`
+	DurationS      float64         `json:"took_s"`
+	CutShort       bool            `json:"cut_short"`
+	Service        *ledger.Service `json:"service,omitempty"`
+	RuleViolations map[string]int  `json:"rules,omitempty"` // how often each was broken
+	Processes      *Processes      `json:"processes,omitempty"`
 	load.Summary
 }
 
 // Broken is how many rules were broken in all.
-func (s *Summary) Broken() int {
+func (s *Summary) Violations() int {
 	n := 0
-	for _, k := range s.Rules {
+	for _, k := range s.RuleViolations {
 		n += k
 	}
 	return n
 }
 
 // Head fills in what every summary has.
-func Head(kind, name string, seed uint64, started time.Time) Summary {
+func NewSummary(kind, name string, seed uint64, started time.Time) Summary {
 	s := Summary{Kind: kind, Name: name, Seed: seed, Version: release.Version, Revision: release.Revision(), Started: started.UTC(),
-		TookS: time.Since(started).Seconds(), Machine: thisMachine()}
+		DurationS: time.Since(started).Seconds(), Machine: thisMachine()}
 	return s
 }
 
@@ -108,7 +108,7 @@
 }
 
 // Folder makes the folder of a run; it must not hold one already.
-func Folder(out, name string, seed uint64, now time.Time) (string, error) {
+func CreateDir(out, name string, seed uint64, now time.Time) (string, error) {
 	if out == "" {
 		out = filepath.Join("lab-results", fmt.Sprintf("%s-seed%d-%s", name, seed, now.Format("20060102T150405.000")))
 	}
@@ -119,19 +119,19 @@
 }
 
 // KeepRun judges a run of the emulator by some rules, writes its folder and gives back the summary and the broken rules.
-func KeepRun(dir string, s *scenario.Scenario, rules ledger.Rules, head Summary, r *emulator.Result) (*Summary, []ledger.Breach, error) {
-	breaches := ledger.Judge(r.Entries, rules)
-	service := ledger.Serve(r.Entries, s.Served())
-	rec := Latencies(r.Entries)
+func WriteRun(dir string, s *scenario.Scenario, rules ledger.Rules, head Summary, r *emulator.Result) (*Summary, []ledger.Violation, error) {
+	breaches := ledger.FindViolations(r.Entries, rules)
+	service := ledger.MeasureService(r.Entries, s.LedgerObjective())
+	rec := RecordLatencies(r.Entries)
 	sum := head
 	sum.Summary = rec.Summary()
-	sum.CutShort, sum.Service = r.Cut, &service
-	sum.Rules = map[string]int{}
+	sum.CutShort, sum.Service = r.CutShort, &service
+	sum.RuleViolations = map[string]int{}
 	for _, name := range ledger.RuleNames {
-		sum.Rules[name] = 0
+		sum.RuleViolations[name] = 0
 	}
 	for _, b := range breaches {
-		sum.Rules[b.Rule]++
+		sum.RuleViolations[b.Rule]++
 	}
 	sum.Processes = processes(r)
 	text, err := yaml.Marshal(s)
@@ -148,25 +148,25 @@
 }
 
 // KeepLoad writes the folder of a load run.
-func KeepLoad(dir string, sum Summary, rec *load.Recorder) error {
+func WriteLoad(dir string, sum Summary, rec *load.Recorder) error {
 	return errors.Join(writeJSON(dir, SummaryFile, sum), writeLines(dir, SecondsFile, rec.Seconds()),
 		keepHistogram(dir, rec, sum.Started))
 }
 
 // Latencies records the clients' business of a ledger: from the time a client meant to ask until it was served, or until
 // its last try ended.
-func Latencies(entries []ledger.Entry) *load.Recorder {
+func RecordLatencies(entries []ledger.Entry) *load.Recorder {
 	rec := load.NewRecorder()
-	for _, c := range ledger.Clients(entries) {
-		if c.Tries == 0 {
+	for _, c := range ledger.ClientRequests(entries) {
+		if c.Attempts == 0 {
 			continue
 		}
-		rec.Intend(c.Asked)
-		o := load.Outcome{Intended: c.Asked, Sent: c.Asked, Ended: c.LastTime, Status: c.Status, TimedOut: c.End == ledger.GaveUp}
-		if c.Served != 0 {
-			o.Ended, o.Status, o.TimedOut = c.Served, 200, false
+		rec.RecordIntended(c.IntendedAt)
+		o := load.Outcome{Intended: c.IntendedAt, Sent: c.IntendedAt, Ended: c.EndedAt, Status: c.Status, TimedOut: c.LastKind == ledger.TimedOut}
+		if c.ServedAt != 0 {
+			o.Ended, o.Status, o.TimedOut = c.ServedAt, 200, false
 		}
-		if c.End == ledger.Unasked && c.Served == 0 {
+		if c.LastKind == ledger.RequestUnsent && c.ServedAt == 0 {
 			o.Status = 0
 		}
 		rec.Add(o)
@@ -178,17 +178,17 @@
 	p := &Processes{Count: len(r.Processes)}
 	cpu, first := 0.0, 0.0
 	for _, x := range r.Processes {
-		p.RestMB += x.RestMB / float64(len(r.Processes))
+		p.IdleMB += x.IdleMB / float64(len(r.Processes))
 		p.PeakMB = max(p.PeakMB, x.PeakMB)
 		cpu += x.CPUSecond
 		if x.Tier == 0 {
-			p.FirstPeakMB = max(p.FirstPeakMB, x.PeakMB)
+			p.FirstTierPeakMB = max(p.FirstTierPeakMB, x.PeakMB)
 			first += x.CPUSecond
 		}
 	}
 	calls, firstCalls := 0, 0
 	for i := range r.Entries {
-		if r.Entries[i].Kind == ledger.Asked {
+		if r.Entries[i].Kind == ledger.RequestSent {
 			calls++
 			if r.Entries[i].Tier == 0 {
 				firstCalls++
@@ -196,7 +196,7 @@
 		}
 	}
 	if calls > 0 && firstCalls > 0 {
-		p.CPUMicros, p.FirstMicros = cpu*1e6/float64(calls), first*1e6/float64(firstCalls)
+		p.CPUMicrosPerRequest, p.FirstTierCPUMicros = cpu*1e6/float64(calls), first*1e6/float64(firstCalls)
 	}
 	return p
 }
@@ -254,7 +254,7 @@
 }
 
 // Load reads the summary of a folder.
-func Load(dir string) (*Summary, error) {
+func ReadSummary(dir string) (*Summary, error) {
 	text, err := os.ReadFile(filepath.Join(dir, SummaryFile))
 	if err != nil {
 		return nil, err
@@ -267,7 +267,7 @@
 }
 
 // Lines reads a file of JSON lines of a folder.
-func Lines[T any](dir, name string) ([]T, error) {
+func ReadLines[T any](dir, name string) ([]T, error) {
 	f, err := os.Open(filepath.Join(dir, name))
 	if err != nil {
 		return nil, err
@@ -285,17 +285,17 @@
 }
 
 // Breaches reads the verdict of a folder.
-func Breaches(dir string) ([]ledger.Breach, error) {
+func ReadViolations(dir string) ([]ledger.Violation, error) {
 	text, err := os.ReadFile(filepath.Join(dir, VerdictFile))
 	if err != nil {
 		return nil, err
 	}
-	var out []ledger.Breach
+	var out []ledger.Violation
 	return out, json.Unmarshal(text, &out)
 }
 
 // Histogram reads the latencies of a folder.
-func Histogram(dir string) (*hdrhistogram.Histogram, error) {
+func ReadHistogram(dir string) (*hdrhistogram.Histogram, error) {
 	f, err := os.Open(filepath.Join(dir, HistogramFile))
 	if err != nil {
 		return nil, err
--- a/internal/lab/results/results_test.go
+++ b/internal/lab/results/results_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		d := got[0]
-		if math.Abs(d.Mean-c.mean) > 1e-9 || math.Abs(d.Error-c.error) > 1e-9 || d.Pairs != c.pairs || d.Better != c.better {
+		if math.Abs(d.MeanDifference-c.mean) > 1e-9 || math.Abs(d.StdErr-c.error) > 1e-9 || d.Pairs != c.pairs || d.Better != c.better {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
@@ -45,11 +45,11 @@
 // A client's latency runs from when it meant to ask over all its tries.
 func TestLatencies(t *testing.T) {
 	s := time.Second
-	rec := Latencies([]ledger.Entry{
-		{At: s + 1, Kind: ledger.Asked, Client: 1, Since: s}, {At: 2 * s, Kind: ledger.Answered, Client: 1, Status: 503},
-		{At: 3 * s, Kind: ledger.Asked, Client: 1, Since: s, Repeat: true}, {At: 4 * s, Kind: ledger.Answered, Client: 1, Status: 200},
-		{At: s + 2, Kind: ledger.Asked, Client: 2, Since: s}, {At: 6 * s, Kind: ledger.GaveUp, Client: 2},
-		{At: s, Kind: ledger.Unasked, Client: 3, Since: s},
+	rec := RecordLatencies([]ledger.Entry{
+		{At: s + 1, Kind: ledger.RequestSent, ClientRequest: 1, Since: s}, {At: 2 * s, Kind: ledger.Answered, ClientRequest: 1, Status: 503},
+		{At: 3 * s, Kind: ledger.RequestSent, ClientRequest: 1, Since: s, Retry: true}, {At: 4 * s, Kind: ledger.Answered, ClientRequest: 1, Status: 200},
+		{At: s + 2, Kind: ledger.RequestSent, ClientRequest: 2, Since: s}, {At: 6 * s, Kind: ledger.TimedOut, ClientRequest: 2},
+		{At: s, Kind: ledger.RequestUnsent, ClientRequest: 3, Since: s},
 	})
 	sum := rec.Summary()
 	if sum.Intended != 3 || sum.OK != 1 || sum.TimedOut != 1 || sum.Failed != 1 {
@@ -62,32 +62,32 @@
 
 // What a load run leaves is read back, the histogram with its figures.
 func TestFolder(t *testing.T) {
-	dir, err := Folder(filepath.Join(t.TempDir(), "a"), "x", 1, time.Now())
+	dir, err := CreateDir(filepath.Join(t.TempDir(), "a"), "x", 1, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	rec := load.NewRecorder()
 	for n := range 100 {
 		at := time.Duration(n) * 10 * time.Millisecond
-		rec.Intend(at)
+		rec.RecordIntended(at)
 		rec.Add(load.Outcome{Intended: at, Sent: at, Ended: at + time.Duration(n+1)*time.Millisecond, Status: 200})
 	}
-	sum := Head("load", "x", 1, time.Now())
+	sum := NewSummary("load", "x", 1, time.Now())
 	sum.Summary = rec.Summary()
-	if err := KeepLoad(dir, sum, rec); err != nil {
+	if err := WriteLoad(dir, sum, rec); err != nil {
 		t.Fatal(err)
 	}
-	h, err := Histogram(dir)
+	h, err := ReadHistogram(dir)
 	if err != nil || h.TotalCount() != 100 || math.Abs(float64(h.ValueAtQuantile(50))-50_000) > 60 {
 		t.Errorf("%v %v", h, err)
 	}
-	if got, err := Load(dir); err != nil || got.OK != 100 || got.Machine.CPUs < 1 || got.Version == "" {
+	if got, err := ReadSummary(dir); err != nil || got.OK != 100 || got.Machine.CPUs < 1 || got.Version == "" {
 		t.Errorf("%+v %v", got, err)
 	}
-	if seconds, err := Lines[load.Second](dir, SecondsFile); err != nil || len(seconds) != 1 || seconds[0].OK != 100 {
+	if seconds, err := ReadLines[load.SecondStats](dir, SecondsFile); err != nil || len(seconds) != 1 || seconds[0].OK != 100 {
 		t.Errorf("%v %v", seconds, err)
 	}
-	if _, err := Folder(dir, "x", 1, time.Now()); err == nil || !strings.Contains(err.Error(), "holds a run") {
+	if _, err := CreateDir(dir, "x", 1, time.Now()); err == nil || !strings.Contains(err.Error(), "holds a run") {
 		t.Errorf("a second run in one folder: %v", err)
 	}
 }
--- a/internal/lab/results/table.go
+++ b/internal/lab/results/table.go
@@ -41,10 +41,10 @@
 }
 
 // Rules are how often each rule was broken over the runs of a cell.
-func (t *Table) Rules(scenario, policy string) map[string]int {
+func (t *Table) Violations(scenario, policy string) map[string]int {
 	out := map[string]int{}
 	for _, s := range t.runs[[2]string{scenario, policy}] {
-		for name, n := range s.Rules {
+		for name, n := range s.RuleViolations {
 			out[name] += n
 		}
 	}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,7 +8,7 @@
 )
 
 // troubleKeys are the keys that a kind of trouble has beside kind and at. A ! marks one that it needs.
-var troubleKeys = map[string][]string{
+var faultKeys = map[string][]string{
 	"vanish":          {"for!", "tier", "part", "count"},
 	"slow":            {"for!", "tier", "part", "count", "size"},
 	"pauses":          {"for!", "tier", "part", "count", "every", "span"},
@@ -29,10 +29,10 @@
 }
 
 // mostMoves is how many places discovery can have at a time; an old one stands for a while.
-const mostMoves = 6
+const maxDiscoveryMoves = 6
 
 // wrong checks the figures, and names each that cannot be by the key where it stands.
-func (s *Scenario) wrong(bad func(key, format string, args ...any)) {
+func (s *Scenario) validate(bad func(key, format string, args ...any)) {
 	above := func(key string, v float64) {
 		if !(v > 0) || math.IsInf(v, 0) {
 			bad(key, "must be above 0, not %g", v)
@@ -68,16 +68,16 @@
 			bad(at+"name", "%q stands twice", c.Name)
 		}
 		above(at+"share", c.Share)
-		above(at+"worth", c.Worth)
+		above(at+"worth", c.Utility)
 		span(at+"work", c.Work)
-		span(at+"aim", c.Aim)
-		if c.GiveUp < c.Aim {
-			bad(at+"give_up", "%s is before the aim of %s", c.GiveUp.D(), c.Aim.D())
+		span(at+"aim", c.LatencyTarget)
+		if c.TotalTimeout < c.LatencyTarget {
+			bad(at+"give_up", "%s is before the aim of %s", c.TotalTimeout.D(), c.LatencyTarget.D())
 		}
 		if c.Effect != "safe" && c.Effect != "unsafe" {
 			bad(at+"effect", "safe or unsafe, not %q", c.Effect)
 		}
-		if c.Spread < 0 || c.Noise < 0 {
+		if c.WorkCV < 0 || c.AttemptNoise < 0 {
 			bad(at+"spread", "a spread is not negative")
 		}
 		shares += c.Share
@@ -85,16 +85,16 @@
 	if len(s.Classes) > 0 && math.Abs(shares-1) > 0.011 {
 		bad("classes", "the shares add up to %.2f, not 1", shares)
 	}
-	s.wrongLoad(bad)
-	if s.Clients.Retries < 0 || s.Clients.Retries > 20 {
-		bad("clients.retries", "between 0 and 20, not %d", s.Clients.Retries)
+	s.validateLoad(bad)
+	if s.Clients.MaxRetries < 0 || s.Clients.MaxRetries > 20 {
+		bad("clients.retries", "between 0 and 20, not %d", s.Clients.MaxRetries)
 	}
-	above("clients.try_share", s.Clients.TryShare)
-	part("clients.try_share", s.Clients.TryShare)
-	part("clients.honour", s.Clients.Honour)
-	part("clients.leave", s.Clients.Leave)
-	if !(s.Front.Skew >= 1 && s.Front.Skew <= 100) {
-		bad("front.skew", "between 1 and 100, not %g", s.Front.Skew)
+	above("clients.try_share", s.Clients.AttemptTimeoutShare)
+	part("clients.try_share", s.Clients.AttemptTimeoutShare)
+	part("clients.honour", s.Clients.HonorRetryAfter)
+	part("clients.leave", s.Clients.LeaveShare)
+	if !(s.Frontend.Skew >= 1 && s.Frontend.Skew <= 100) {
+		bad("front.skew", "between 1 and 100, not %g", s.Frontend.Skew)
 	}
 	if s.Clients.Backoff < 0 {
 		bad("clients.backoff", "is negative")
@@ -103,13 +103,13 @@
 		bad("tiers", "at least one is needed")
 	}
 	for i := range s.Tiers {
-		s.Tiers[i].wrong(i, len(s.Tiers), bad, above, part, span)
+		s.Tiers[i].validate(i, len(s.Tiers), bad, above, part, span)
 	}
 	d := s.Discovery
-	above("discovery.capacity", d.Capacity)
-	span("discovery.period", d.Period)
+	above("discovery.capacity", d.CallsPerSecond)
+	span("discovery.period", d.PublishPeriod)
 	span("discovery.timeout", d.Timeout)
-	span("discovery.beat", d.Beat)
+	span("discovery.beat", d.HeartbeatPeriod)
 	above("sidecar.cores", s.Sidecar.Cores)
 	if s.Sidecar.MemoryMB < 16 {
 		bad("sidecar.memory_mb", "at least 16, not %d", s.Sidecar.MemoryMB)
@@ -118,25 +118,25 @@
 		bad("sidecar.sockets", "at least 64, not %d", s.Sidecar.Sockets)
 	}
 	switch c := s.Sidecar; {
-	case c.Form != FormPlatform && c.Form != FormPools:
-		bad("sidecar.form", "%s or %s, not %q", FormPlatform, FormPools, c.Form)
-	case c.Form == FormPlatform && (c.Chain || c.Origin || c.RepeatDeclined || c.RetryShare != 0 || c.RetryBurst != 0):
-		bad("sidecar.form", "%s has no chain, origin and retries: they need form: %s", FormPlatform, FormPools)
-	case c.Attempts < 1 || c.Attempts > 10:
-		bad("sidecar.attempts", "between 1 and 10, not %d", c.Attempts)
+	case c.ConfigFormat != FormatPlatform && c.ConfigFormat != FormatPools:
+		bad("sidecar.form", "%s or %s, not %q", FormatPlatform, FormatPools, c.ConfigFormat)
+	case c.ConfigFormat == FormatPlatform && (c.Chain || c.Origin || c.RetryDeclined || c.RetryShare != 0 || c.RetryBurst != 0):
+		bad("sidecar.form", "%s has no chain, origin and retries: they need form: %s", FormatPlatform, FormatPools)
+	case c.MaxAttempts < 1 || c.MaxAttempts > 10:
+		bad("sidecar.attempts", "between 1 and 10, not %d", c.MaxAttempts)
 	}
-	if g := s.Goal; math.Abs(g.Whole+g.WorstWindow+g.WorstClass-1) > 0.001 {
-		bad("goal", "whole, worst_window and worst_class add up to %.2f, not 1", g.Whole+g.WorstWindow+g.WorstClass)
+	if g := s.Objective; math.Abs(g.WholeRun+g.WorstWindow+g.WorstClass-1) > 0.001 {
+		bad("goal", "whole, worst_window and worst_class add up to %.2f, not 1", g.WholeRun+g.WorstWindow+g.WorstClass)
 	}
-	if s.Goal.WorthBy != "work" && s.Goal.WorthBy != "request" {
-		bad("goal.worth_by", "work or request, not %q", s.Goal.WorthBy)
+	if s.Objective.UtilityPer != "work" && s.Objective.UtilityPer != "request" {
+		bad("goal.worth_by", "work or request, not %q", s.Objective.UtilityPer)
 	}
-	for i := range s.Troubles {
-		s.wrongTrouble(i, bad, part)
+	for i := range s.Faults {
+		s.validateFault(i, bad, part)
 	}
 }
 
-func (s *Scenario) wrongLoad(bad func(string, string, ...any)) {
+func (s *Scenario) validateLoad(bad func(string, string, ...any)) {
 	l := s.Load
 	switch {
 	case l.Utilisation == 0 && l.Rate == 0:
@@ -161,7 +161,7 @@
 	}
 }
 
-func (t *Tier) wrong(n, of int, bad func(string, string, ...any), above, part func(string, float64), span func(string, Duration)) {
+func (t *Tier) validate(n, of int, bad func(string, string, ...any), above, part func(string, float64), span func(string, Duration)) {
 	at := fmt.Sprintf("tiers[%d].", n)
 	if t.Name == "" || strings.ContainsAny(t.Name, "/ \t") {
 		bad(at+"name", "a tier has a name without spaces and slashes, not %q", t.Name)
@@ -175,9 +175,9 @@
 	case n > 0 && t.Sidecars != 0:
 		bad(at+"sidecars", "only the first tier has a number of sidecars: later ones have one for each instance above")
 	}
-	above(at+"work", t.Work)
-	if n > 0 && !(t.Calls >= 1 && t.Calls <= 10) {
-		bad(at+"calls", "between 1 and 10, not %g", t.Calls)
+	above(at+"work", t.WorkShare)
+	if n > 0 && !(t.CallsPerRequest >= 1 && t.CallsPerRequest <= 10) {
+		bad(at+"calls", "between 1 and 10, not %g", t.CallsPerRequest)
 	}
 	sum := 0.0
 	for i, k := range t.Kinds {
@@ -201,40 +201,40 @@
 	if t.Slots < 1 {
 		bad(at+"slots", "at least 1, not %d", t.Slots)
 	}
-	if t.Queue < 0 {
+	if t.QueueLimit < 0 {
 		bad(at+"queue", "is negative")
 	}
-	part(at+"errors", t.Errors)
-	part(at+"spoilt", t.Spoilt)
-	above(at+"cold.share", t.Cold.Share)
-	part(at+"cold.share", t.Cold.Share)
-	span(at+"cold.time", t.Cold.Time)
-	span(at+"cold.window", t.Cold.Window)
-	above(at+"cold.multiple", t.Cold.Multiple)
-	part(at+"connections.tax", t.Conns.Tax)
-	span(at+"reports.period", t.Reports.Period)
-	for i, f := range t.Reports.Fields {
-		if words[f] == "" {
+	part(at+"errors", t.ErrorShare)
+	part(at+"spoilt", t.CorruptShare)
+	above(at+"cold.share", t.ColdStart.InitialShare)
+	part(at+"cold.share", t.ColdStart.InitialShare)
+	span(at+"cold.time", t.ColdStart.Duration)
+	span(at+"cold.window", t.ColdStart.Window)
+	above(at+"cold.multiple", t.ColdStart.LoadFactor)
+	part(at+"connections.tax", t.Connections.FullTableLoss)
+	span(at+"reports.period", t.LoadReports.Period)
+	for i, f := range t.LoadReports.Fields {
+		if reportFieldNames[f] == "" {
 			bad(fmt.Sprintf("%sreports.fields[%d]", at, i), "queue, inflight, qps or util, not %q", f)
 		}
 	}
 }
 
 // set tells which keys of a trouble are given.
-func (t *Trouble) set() map[string]bool {
-	return map[string]bool{"for": t.For != 0, "tier": t.Tier != "", "part": t.Part != 0, "count": t.Count != 0, "size": t.Size != 0,
-		"every": t.Every != 0, "span": t.Span != 0, "batch": t.Batch != 0, "drain": t.Drain != 0, "path": t.Path != "", "way": t.Way != "",
-		"reset": t.Reset, "targets": t.Targets != 0, "forget": t.Forget}
+func (t *Fault) givenKeys() map[string]bool {
+	return map[string]bool{"for": t.Duration != 0, "tier": t.Tier != "", "part": t.Share != 0, "count": t.Count != 0, "size": t.Magnitude != 0,
+		"every": t.Interval != 0, "span": t.Span != 0, "batch": t.BatchShare != 0, "drain": t.DrainTime != 0, "path": t.Path != "", "way": t.Mode != "",
+		"reset": t.Reset, "targets": t.TargetShare != 0, "forget": t.DiscardList}
 }
 
-func (s *Scenario) wrongTrouble(i int, bad func(string, string, ...any), part func(string, float64)) {
-	t, at := &s.Troubles[i], fmt.Sprintf("troubles[%d].", i)
-	keys, known := troubleKeys[t.Kind]
+func (s *Scenario) validateFault(i int, bad func(string, string, ...any), part func(string, float64)) {
+	t, at := &s.Faults[i], fmt.Sprintf("troubles[%d].", i)
+	keys, known := faultKeys[t.Kind]
 	if !known {
-		bad(at+"kind", "%q is none of %s", t.Kind, strings.Join(TroubleKinds(), ", "))
+		bad(at+"kind", "%q is none of %s", t.Kind, strings.Join(FaultKinds(), ", "))
 		return
 	}
-	for key, given := range t.set() {
+	for key, given := range t.givenKeys() {
 		needed := slices.Contains(keys, key+"!")
 		if given && !needed && !slices.Contains(keys, key) {
 			bad(at+key, "%s has no such key", t.Kind)
@@ -246,66 +246,66 @@
 	if t.At < 0 || t.At >= s.Duration {
 		bad(at+"at", "%s is not within the run of %s", t.At.D(), s.Duration.D())
 	}
-	if t.For < 0 {
+	if t.Duration < 0 {
 		bad(at+"for", "is negative")
 	}
 	if t.Tier != "" && !slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Tier }) {
 		bad(at+"tier", "there is no tier %q", t.Tier)
 	}
-	part(at+"part", t.Part)
-	part(at+"batch", t.Batch)
+	part(at+"part", t.Share)
+	part(at+"batch", t.BatchShare)
 	if t.Count < 0 || t.Count > 200 {
 		bad(at+"count", "between 0 and 200, not %d", t.Count)
 	}
-	if t.Part != 0 && t.Count != 0 {
+	if t.Share != 0 && t.Count != 0 {
 		bad(at+"count", "part is given, too: one of them is enough")
 	}
-	if t.Kind == "slow" && t.Size < 1 {
-		bad(at+"size", "how many times slower, at least 1, not %g", t.Size)
+	if t.Kind == "slow" && t.Magnitude < 1 {
+		bad(at+"size", "how many times slower, at least 1, not %g", t.Magnitude)
 	}
 	if t.Kind == "spoilt" || t.Kind == "path" {
-		part(at+"size", t.Size)
+		part(at+"size", t.Magnitude)
 	}
-	if t.Kind == "slow-discovery" && t.Size < 1 {
-		bad(at+"size", "how many times slower, at least 1, not %g", t.Size)
+	if t.Kind == "slow-discovery" && t.Magnitude < 1 {
+		bad(at+"size", "how many times slower, at least 1, not %g", t.Magnitude)
 	}
-	if t.Kind == "move-discovery" && t.Count > mostMoves {
-		bad(at+"count", "at most %d in a row, not %d", mostMoves, t.Count)
+	if t.Kind == "move-discovery" && t.Count > maxDiscoveryMoves {
+		bad(at+"count", "at most %d in a row, not %d", maxDiscoveryMoves, t.Count)
 	}
-	if ways := []string{WatchesEnd, WatchesReset, WatchesSilent}; t.Kind == "watches" && !slices.Contains(ways, t.Way) {
-		bad(at+"way", "%s, not %q", strings.Join(ways, ", "), t.Way)
+	if ways := []string{WatchesEnd, WatchesReset, WatchesSilent}; t.Kind == "watches" && !slices.Contains(ways, t.Mode) {
+		bad(at+"way", "%s, not %q", strings.Join(ways, ", "), t.Mode)
 	}
 	if t.Kind == "path" {
-		s.wrongPath(t, at, bad, part)
+		s.validatePath(t, at, bad, part)
 	}
 	if t.Kind == "misroute" && len(s.Tiers) > 0 && t.Tier == s.Tiers[len(s.Tiers)-1].Name {
 		bad(at+"tier", "instances of the last tier make no calls")
 	}
-	if t.Kind == "pauses" && t.Every <= t.Span {
-		bad(at+"every", "%s is no longer than the pause of %s", t.Every.D(), t.Span.D())
+	if t.Kind == "pauses" && t.Interval <= t.Span {
+		bad(at+"every", "%s is no longer than the pause of %s", t.Interval.D(), t.Span.D())
 	}
 }
 
-func (s *Scenario) wrongPath(t *Trouble, at string, bad func(string, string, ...any), part func(string, float64)) {
+func (s *Scenario) validatePath(t *Fault, at string, bad func(string, string, ...any), part func(string, float64)) {
 	if t.Path != PathInstances && t.Path != PathDiscovery {
 		bad(at+"path", "%s or %s, not %q", PathInstances, PathDiscovery, t.Path)
 	}
-	if t.Way != "" && t.Way != "out" && t.Way != "back" && t.Way != "both" {
-		bad(at+"way", "out, back or both, not %q", t.Way)
+	if t.Mode != "" && t.Mode != "out" && t.Mode != "back" && t.Mode != "both" {
+		bad(at+"way", "out, back or both, not %q", t.Mode)
 	}
-	if t.Way == "" && t.Span == 0 && t.Size == 0 && !t.Reset {
+	if t.Mode == "" && t.Span == 0 && t.Magnitude == 0 && !t.Reset {
 		bad(at+"way", "one of way, span, size and reset is needed")
 	}
 	if t.Span < 0 {
 		bad(at+"span", "is negative")
 	}
-	part(at+"targets", t.Targets)
+	part(at+"targets", t.TargetShare)
 }
 
 // TroubleKinds are the kinds of troubles, sorted.
-func TroubleKinds() []string {
+func FaultKinds() []string {
 	var out []string
-	for k := range troubleKeys {
+	for k := range faultKeys {
 		out = append(out, k)
 	}
 	slices.Sort(out)
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -12,24 +12,24 @@
 
 // Machine is an instance of the plan.
 type Machine struct {
-	Name   string
-	Tier   int
-	Kind   string
-	Number int // of its address: what replaces an instance at its address has its number
-	Config model.Config
+	Name          string
+	Tier          int
+	Kind          string
+	AddressNumber int // of its address: what replaces an instance at its address has its number
+	Config        model.Config
 }
 
 // Do is what an event does.
-type Do uint8
+type EventKind uint8
 
 // The events of a timeline.
 const (
-	Vanish Do = iota + 1
+	Vanish EventKind = iota + 1
 	Return
 	Slow
 	Pause
 	LateReports
-	SpoilAnswers
+	CorruptResponses
 	Drain
 	Stop
 	Start
@@ -38,12 +38,12 @@
 	MoveDiscovery
 	DiscoveryDown
 	DiscoveryUp
-	Busy
+	RejectRequests
 	Misroute
 	StopSidecar
 	ResumeSidecar
 	BreakPath
-	HealPath
+	RestorePath
 	SlowDiscovery
 	BreakWatches
 )
@@ -63,33 +63,33 @@
 
 // Event is one entry of a timeline.
 type Event struct {
-	At       time.Duration
-	Do       Do
-	Instance string   // empty for what concerns no instance; what concerns a sidecar means the one beside it
-	Machine  *Machine // of Start
-	Sidecar  int      // of the first tier, from 0
-	Factor   float64
-	Span     time.Duration
-	Path     *Path  // of BreakPath and HealPath
-	Forget   bool   // of KillSidecar: the new process knows no list
-	Series   bool   // of RestartSidecar: signals come in a series
-	Way      string // of BreakWatches
+	At           time.Duration
+	Kind         EventKind
+	Instance     string   // empty for what concerns no instance; what concerns a sidecar means the one beside it
+	Machine      *Machine // of Start
+	Sidecar      int      // of the first tier, from 0
+	Factor       float64
+	Span         time.Duration
+	Path         *Path  // of BreakPath and HealPath
+	DiscardList  bool   // of KillSidecar: the new process knows no list
+	SignalSeries bool   // of RestartSidecar: signals come in a series
+	Mode         string // of BreakWatches
 }
 
 // Path is a path that is broken.
 type Path struct {
-	To      string   // PathInstances or PathDiscovery
-	Targets []string // names of the instances; nil for all
-	Delay   time.Duration
-	Loss    float64
-	Out     bool // cut from the sidecar
-	Back    bool // cut towards it
-	Reset   bool // connections that stand are reset
+	To               string   // PathInstances or PathDiscovery
+	Targets          []string // names of the instances; nil for all
+	Delay            time.Duration
+	Loss             float64
+	CutOutgoing      bool // cut from the sidecar
+	CutIncoming      bool // cut towards it
+	ResetConnections bool // connections that stand are reset
 }
 
 // Relayed tells whether the plan breaks paths, so that there have to be relays on them.
-func (p *Plan) Relayed() bool {
-	return slices.ContainsFunc(p.Events, func(e Event) bool { return e.Do == BreakPath })
+func (p *Plan) NeedsRelays() bool {
+	return slices.ContainsFunc(p.Events, func(e Event) bool { return e.Kind == BreakPath })
 }
 
 // Band is a trouble as it lies in time, for charts.
@@ -103,26 +103,26 @@
 	Machines []Machine // those that are there from the start
 	Events   []Event   // in order of time
 	Bands    []Band
-	Rate     float64 // requests a second at factor 1
+	BaseRate float64 // requests a second at factor 1
 }
 
 // Lay lays a scenario out. The same seed gives the same plan.
-func (s *Scenario) Lay(seed uint64) *Plan {
-	l := &layer{s: s, rng: model.NewRand(seed, 1), plan: &Plan{}, next: make([]int, len(s.Tiers))}
+func (s *Scenario) Plan(seed uint64) *Plan {
+	l := &planner{s: s, rng: model.NewRand(seed, 1), plan: &Plan{}, lastNumber: make([]int, len(s.Tiers))}
 	for t := range s.Tiers {
-		for _, k := range deal(s.Tiers[t].Kinds, s.Tiers[t].Instances) {
-			l.plan.Machines = append(l.plan.Machines, l.machine(t, k, 0))
+		for _, k := range apportion(s.Tiers[t].Kinds, s.Tiers[t].Instances) {
+			l.plan.Machines = append(l.plan.Machines, l.drawMachine(t, k, 0))
 		}
 	}
-	l.plan.Rate = s.Load.Rate
-	if l.plan.Rate == 0 {
-		l.plan.Rate = s.Load.Utilisation * s.capacity(l.plan.Machines)
+	l.plan.BaseRate = s.Load.Rate
+	if l.plan.BaseRate == 0 {
+		l.plan.BaseRate = s.Load.Utilisation * s.capacity(l.plan.Machines)
 	}
 	l.alive = slices.Clone(l.plan.Machines)
-	troubles := slices.Clone(s.Troubles)
-	slices.SortStableFunc(troubles, func(a, b Trouble) int { return int(a.At - b.At) })
+	troubles := slices.Clone(s.Faults)
+	slices.SortStableFunc(troubles, func(a, b Fault) int { return int(a.At - b.At) })
 	for i := range troubles {
-		l.trouble(&troubles[i])
+		l.addFault(&troubles[i])
 	}
 	slices.SortStableFunc(l.plan.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return l.plan
@@ -137,8 +137,8 @@
 }
 
 // cold is how an instance of a tier starts, in the model's terms.
-func (s *Scenario) cold(t *Tier) model.Cold {
-	return model.Cold{Share: t.Cold.Share, Time: t.Cold.Time.D(), Multiple: t.Cold.Multiple, Window: t.Cold.Window.D(), Mean: s.meanWork() * t.Work}
+func (s *Scenario) coldStart(t *Tier) model.ColdStart {
+	return model.ColdStart{InitialShare: t.ColdStart.InitialShare, Duration: t.ColdStart.Duration.D(), LoadFactor: t.ColdStart.LoadFactor, Window: t.ColdStart.Window.D(), MeanWork: s.meanWork() * t.WorkShare}
 }
 
 // capacity is how many requests a second the tier that runs out first can do.
@@ -147,7 +147,7 @@
 	least, calls := math.Inf(1), 1.0
 	for t, tier := range s.Tiers {
 		if t > 0 {
-			calls *= tier.Calls
+			calls *= tier.CallsPerRequest
 		}
 		sum := 0.0
 		for _, m := range machines {
@@ -155,13 +155,13 @@
 				sum += float64(m.Config.Cores) * m.Config.Speed
 			}
 		}
-		least = math.Min(least, sum/(work*tier.Work*calls))
+		least = math.Min(least, sum/(work*tier.WorkShare*calls))
 	}
 	return least
 }
 
 // deal gives n machines their kinds by the kinds' shares, the same however often it is done.
-func deal(kinds []Kind, n int) []Kind {
+func apportion(kinds []Kind, n int) []Kind {
 	out := make([]Kind, 0, n)
 	given := make([]float64, len(kinds))
 	for range n {
@@ -177,56 +177,56 @@
 	return out
 }
 
-type layer struct {
-	s     *Scenario
-	rng   *rand.Rand
-	plan  *Plan
-	next  []int // number of the last machine of each tier
-	named map[string]int
-	alive []Machine
+type planner struct {
+	s          *Scenario
+	rng        *rand.Rand
+	plan       *Plan
+	lastNumber []int // number of the last machine of each tier
+	nameCounts map[string]int
+	alive      []Machine
 }
 
 // machine draws a machine; number 0 gives it an address of its own.
-func (l *layer) machine(tier int, k Kind, number int) Machine {
+func (l *planner) drawMachine(tier int, k Kind, number int) Machine {
 	t := &l.s.Tiers[tier]
 	if number == 0 {
-		l.next[tier]++
-		number = l.next[tier]
+		l.lastNumber[tier]++
+		number = l.lastNumber[tier]
 	}
 	base := fmt.Sprintf("%s-%d", t.Name, number)
-	if l.named == nil {
-		l.named = map[string]int{}
+	if l.nameCounts == nil {
+		l.nameCounts = map[string]int{}
 	}
 	name := base
-	if l.named[base]++; l.named[base] > 1 {
-		name = fmt.Sprintf("%s.%d", base, l.named[base])
+	if l.nameCounts[base]++; l.nameCounts[base] > 1 {
+		name = fmt.Sprintf("%s.%d", base, l.nameCounts[base])
 	}
-	return Machine{Name: name, Tier: tier, Kind: k.Name, Number: number, Config: t.config(k, k.Speed.Draw(l.rng), l.s.cold(t))}
+	return Machine{Name: name, Tier: tier, Kind: k.Name, AddressNumber: number, Config: t.instanceConfig(k, k.Speed.Draw(l.rng), l.s.coldStart(t))}
 }
 
-func (t *Tier) config(k Kind, speed float64, cold model.Cold) model.Config {
-	return model.Config{Cores: k.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
-		Errors: t.Errors, Spoilt: t.Spoilt, Cold: cold,
-		Choke: model.Choke{Waiting: t.Choke.Waiting, Over: t.Choke.Over.D(), Slower: t.Choke.Slower, Below: t.Choke.Below,
-			Rest: t.Choke.Rest.D(), Most: t.Choke.Most.D()},
-		Conns: model.Conns{Cost: t.Conns.Cost.D(), Delay: t.Conns.Delay.D(), Cap: t.Conns.Cap * k.Cores, Tax: t.Conns.Tax,
-			Idle: t.Conns.Idle.D()},
-		Reports: model.Reports{Period: t.Reports.Period.D(), Delay: t.Reports.Delay.D(), Noise: t.Reports.Noise}}
+func (t *Tier) instanceConfig(k Kind, speed float64, cold model.ColdStart) model.Config {
+	return model.Config{Cores: k.Cores, Speed: speed, Slots: t.Slots, QueueLimit: t.QueueLimit, ThrashFactor: t.ThrashFactor, ThrashThreshold: t.ThrashThreshold,
+		ErrorShare: t.ErrorShare, CorruptShare: t.CorruptShare, ColdStart: cold,
+		Overload: model.Overload{QueuedPerCore: t.Overload.QueuedPerCore, TriggerAfter: t.Overload.TriggerAfter.D(), Slowdown: t.Overload.Slowdown, RecoverBelow: t.Overload.RecoverBelow,
+			RecoverAfter: t.Overload.RecoverAfter.D(), MaxDuration: t.Overload.MaxDuration.D()},
+		Connections: model.ConnectionCosts{HandshakeWork: t.Connections.HandshakeWork.D(), FirstRequestDelay: t.Connections.FirstRequestDelay.D(), TableSize: t.Connections.TableSizePerCore * k.Cores, FullTableLoss: t.Connections.FullTableLoss,
+			IdleTimeout: t.Connections.IdleTimeout.D()},
+		LoadReports: model.LoadReports{Period: t.LoadReports.Period.D(), Delay: t.LoadReports.Delay.D(), Noise: t.LoadReports.Noise}}
 }
 
 // number is how many of some a trouble meets: its count, its part, or all.
-func (t *Trouble) number(of int) int {
+func (t *Fault) targetCount(of int) int {
 	switch {
 	case t.Count > 0:
 		return min(of, t.Count)
-	case t.Part > 0:
-		return max(1, int(math.Round(t.Part*float64(of))))
+	case t.Share > 0:
+		return max(1, int(math.Round(t.Share*float64(of))))
 	}
 	return of
 }
 
 // victims picks the instances that a trouble meets.
-func (l *layer) victims(t *Trouble) []Machine {
+func (l *planner) pickInstances(t *Fault) []Machine {
 	var out []Machine
 	for tier := range l.s.Tiers {
 		if t.Tier != "" && l.s.Tiers[tier].Name != t.Tier {
@@ -238,7 +238,7 @@
 				there = append(there, m)
 			}
 		}
-		for _, i := range l.rng.Perm(len(there))[:t.number(len(there))] {
+		for _, i := range l.rng.Perm(len(there))[:t.targetCount(len(there))] {
 			out = append(out, there[i])
 		}
 	}
@@ -247,13 +247,13 @@
 
 // sidecars picks the sidecars that a trouble meets, as events that name them: those of a tier are the ones that send to it.
 // Where a count is given of the first tier they are its first, as their traffic may be told apart.
-func (l *layer) sidecars(t *Trouble) (out []Event) {
+func (l *planner) sidecarEvents(t *Fault) (out []Event) {
 	for tier := range l.s.Tiers {
 		if t.Tier != "" && l.s.Tiers[tier].Name != t.Tier {
 			continue
 		}
 		if tier > 0 {
-			for _, m := range l.victims(&Trouble{Tier: l.s.Tiers[tier-1].Name, Part: t.Part, Count: t.Count}) {
+			for _, m := range l.pickInstances(&Fault{Tier: l.s.Tiers[tier-1].Name, Share: t.Share, Count: t.Count}) {
 				out = append(out, Event{Instance: m.Name})
 			}
 			continue
@@ -262,23 +262,25 @@
 		for i := range order {
 			order[i] = i
 		}
-		if t.Count == 0 && t.Part > 0 {
+		if t.Count == 0 && t.Share > 0 {
 			order = l.rng.Perm(len(order))
 		}
-		for _, i := range order[:t.number(len(order))] {
+		for _, i := range order[:t.targetCount(len(order))] {
 			out = append(out, Event{Sidecar: i})
 		}
 	}
 	return out
 }
 
-func (l *layer) event(e Event) { l.plan.Events = append(l.plan.Events, e) }
+func (l *planner) addEvent(e Event) { l.plan.Events = append(l.plan.Events, e) }
 
 // until is when something that lasts ends: troubles end with the run.
-func (l *layer) until(t *Trouble) time.Duration { return min((t.At + t.For).D(), l.s.Duration.D()) }
+func (l *planner) endOf(t *Fault) time.Duration {
+	return min((t.At + t.Duration).D(), l.s.Duration.D())
+}
 
-func (l *layer) trouble(t *Trouble) {
-	at, end := t.At.D(), l.until(t)
+func (l *planner) addFault(t *Fault) {
+	at, end := t.At.D(), l.endOf(t)
 	name := t.Kind
 	if t.Tier != "" {
 		name += " " + t.Tier
@@ -287,24 +289,24 @@
 	defer func() { l.plan.Bands = append(l.plan.Bands, band) }()
 	switch t.Kind {
 	case "vanish":
-		for _, m := range l.victims(t) {
-			l.event(Event{At: at, Do: Vanish, Instance: m.Name})
-			l.event(Event{At: at + t.For.D(), Do: Return, Instance: m.Name})
+		for _, m := range l.pickInstances(t) {
+			l.addEvent(Event{At: at, Kind: Vanish, Instance: m.Name})
+			l.addEvent(Event{At: at + t.Duration.D(), Kind: Return, Instance: m.Name})
 		}
 	case "slow", "late-reports", "spoilt", "busy", "misroute":
-		do := map[string]Do{"slow": Slow, "late-reports": LateReports, "spoilt": SpoilAnswers, "busy": Busy, "misroute": Misroute}[t.Kind]
+		do := map[string]EventKind{"slow": Slow, "late-reports": LateReports, "spoilt": CorruptResponses, "busy": RejectRequests, "misroute": Misroute}[t.Kind]
 		heal := map[string]float64{"slow": 1}[t.Kind]
-		if do == Busy || do == Misroute {
-			t.Size = 1
+		if do == RejectRequests || do == Misroute {
+			t.Magnitude = 1
 		}
-		for _, m := range l.victims(t) {
-			l.event(Event{At: at, Do: do, Instance: m.Name, Factor: t.Size, Span: t.Span.D()})
-			l.event(Event{At: end, Do: do, Instance: m.Name, Factor: heal})
+		for _, m := range l.pickInstances(t) {
+			l.addEvent(Event{At: at, Kind: do, Instance: m.Name, Factor: t.Magnitude, Span: t.Span.D()})
+			l.addEvent(Event{At: end, Kind: do, Instance: m.Name, Factor: heal})
 		}
 	case "pauses":
-		for _, m := range l.victims(t) {
-			for p := at + time.Duration(l.rng.Float64()*float64(t.Every)); p < end; p += t.Every.D() {
-				l.event(Event{At: p, Do: Pause, Instance: m.Name, Span: t.Span.D()})
+		for _, m := range l.pickInstances(t) {
+			for p := at + time.Duration(l.rng.Float64()*float64(t.Interval)); p < end; p += t.Interval.D() {
+				l.addEvent(Event{At: p, Kind: Pause, Instance: m.Name, Span: t.Span.D()})
 			}
 		}
 	case "deploy":
@@ -312,72 +314,72 @@
 	case "switch-on":
 		for tier := range l.s.Tiers {
 			if l.s.Tiers[tier].Name == t.Tier {
-				for _, k := range deal(l.s.Tiers[tier].Kinds, t.Count) {
-					m := l.machine(tier, k, 0)
+				for _, k := range apportion(l.s.Tiers[tier].Kinds, t.Count) {
+					m := l.drawMachine(tier, k, 0)
 					l.alive = append(l.alive, m)
-					l.event(Event{At: at, Do: Start, Instance: m.Name, Machine: &m})
+					l.addEvent(Event{At: at, Kind: Start, Instance: m.Name, Machine: &m})
 				}
 			}
 		}
 	case "restart-sidecar":
 		for i := range min(max(t.Count, 1), l.s.Tiers[0].Sidecars) {
-			l.event(Event{At: at, Do: RestartSidecar, Sidecar: i, Series: t.Series})
+			l.addEvent(Event{At: at, Kind: RestartSidecar, Sidecar: i, SignalSeries: t.SignalSeries})
 		}
 	case "kill-sidecar":
-		if t.Tier == "" && t.Part == 0 { // the first ones, of the first tier
+		if t.Tier == "" && t.Share == 0 { // the first ones, of the first tier
 			t.Tier, t.Count = l.s.Tiers[0].Name, max(t.Count, 1)
 		}
-		for _, e := range l.sidecars(t) {
-			e.At, e.Do, e.Span, e.Forget = at, KillSidecar, t.For.D(), t.Forget
-			l.event(e)
+		for _, e := range l.sidecarEvents(t) {
+			e.At, e.Kind, e.Span, e.DiscardList = at, KillSidecar, t.Duration.D(), t.DiscardList
+			l.addEvent(e)
 		}
 	case "stop-sidecar":
-		for _, e := range l.sidecars(t) {
-			e.At, e.Do = at, StopSidecar
-			l.event(e)
-			e.At, e.Do = end, ResumeSidecar
-			l.event(e)
+		for _, e := range l.sidecarEvents(t) {
+			e.At, e.Kind = at, StopSidecar
+			l.addEvent(e)
+			e.At, e.Kind = end, ResumeSidecar
+			l.addEvent(e)
 		}
 	case "path":
-		p := &Path{To: t.Path, Delay: t.Span.D(), Loss: t.Size, Out: t.Way == "out" || t.Way == "both",
-			Back: t.Way == "back" || t.Way == "both", Reset: t.Reset}
-		if t.Path == PathInstances && t.Targets < 1 {
+		p := &Path{To: t.Path, Delay: t.Span.D(), Loss: t.Magnitude, CutOutgoing: t.Mode == "out" || t.Mode == "both",
+			CutIncoming: t.Mode == "back" || t.Mode == "both", ResetConnections: t.Reset}
+		if t.Path == PathInstances && t.TargetShare < 1 {
 			p.Targets = []string{}
 			for tier := range l.s.Tiers {
-				for _, m := range l.victims(&Trouble{Tier: l.s.Tiers[tier].Name, Part: t.Targets}) {
+				for _, m := range l.pickInstances(&Fault{Tier: l.s.Tiers[tier].Name, Share: t.TargetShare}) {
 					p.Targets = append(p.Targets, m.Name)
 				}
 			}
 		}
-		for _, e := range l.sidecars(t) {
-			e.At, e.Do, e.Path = at, BreakPath, p
-			l.event(e)
-			e.At, e.Do = end, HealPath
-			l.event(e)
+		for _, e := range l.sidecarEvents(t) {
+			e.At, e.Kind, e.Path = at, BreakPath, p
+			l.addEvent(e)
+			e.At, e.Kind = end, RestorePath
+			l.addEvent(e)
 		}
 	case "move-discovery":
 		for n := range max(t.Count, 1) {
-			l.event(Event{At: at + time.Duration(n)*t.Every.D(), Do: MoveDiscovery})
+			l.addEvent(Event{At: at + time.Duration(n)*t.Interval.D(), Kind: MoveDiscovery})
 		}
 	case "slow-discovery":
-		l.event(Event{At: at, Do: SlowDiscovery, Factor: t.Size})
-		l.event(Event{At: end, Do: SlowDiscovery, Factor: 1})
+		l.addEvent(Event{At: at, Kind: SlowDiscovery, Factor: t.Magnitude})
+		l.addEvent(Event{At: end, Kind: SlowDiscovery, Factor: 1})
 	case "watches":
-		for _, e := range l.sidecars(t) {
-			e.At, e.Do, e.Way = at, BreakWatches, t.Way
-			l.event(e)
+		for _, e := range l.sidecarEvents(t) {
+			e.At, e.Kind, e.Mode = at, BreakWatches, t.Mode
+			l.addEvent(e)
 		}
 	case "discovery-down":
-		l.event(Event{At: at, Do: DiscoveryDown})
-		l.event(Event{At: at + t.For.D(), Do: DiscoveryUp})
+		l.addEvent(Event{At: at, Kind: DiscoveryDown})
+		l.addEvent(Event{At: at + t.Duration.D(), Kind: DiscoveryUp})
 	}
 }
 
 // deploy drains, stops and replaces instances in batches; their successors start cold at the same address with a new
 // name, after the tier's restart time.
-func (l *layer) deploy(t *Trouble) time.Duration {
+func (l *planner) deploy(t *Fault) time.Duration {
 	byTier := map[int][]Machine{}
-	for _, m := range l.victims(t) {
+	for _, m := range l.pickInstances(t) {
 		byTier[m.Tier] = append(byTier[m.Tier], m)
 	}
 	last := time.Duration(0)
@@ -386,18 +388,18 @@
 		if len(victims) == 0 {
 			continue
 		}
-		size := max(1, int(math.Ceil(t.Batch*float64(l.s.Tiers[tier].Instances))))
+		size := max(1, int(math.Ceil(t.BatchShare*float64(l.s.Tiers[tier].Instances))))
 		batches := (len(victims) + size - 1) / size
 		for i, old := range victims {
 			// Every batch is drained, stopped and followed within the deploy's time.
-			at := t.At.D() + time.Duration(i/size)*t.For.D()/time.Duration(batches)
-			stop := at + t.Drain.D()
-			start := stop + l.s.Tiers[tier].Restart.D()
+			at := t.At.D() + time.Duration(i/size)*t.Duration.D()/time.Duration(batches)
+			stop := at + t.DrainTime.D()
+			start := stop + l.s.Tiers[tier].RestartDelay.D()
 			k := l.s.Tiers[tier].Kinds[slices.IndexFunc(l.s.Tiers[tier].Kinds, func(k Kind) bool { return k.Name == old.Kind })]
-			m := l.machine(tier, k, old.Number)
-			l.event(Event{At: at, Do: Drain, Instance: old.Name})
-			l.event(Event{At: stop, Do: Stop, Instance: old.Name})
-			l.event(Event{At: start, Do: Start, Instance: m.Name, Machine: &m})
+			m := l.drawMachine(tier, k, old.AddressNumber)
+			l.addEvent(Event{At: at, Kind: Drain, Instance: old.Name})
+			l.addEvent(Event{At: stop, Kind: Stop, Instance: old.Name})
+			l.addEvent(Event{At: start, Kind: Start, Instance: m.Name, Machine: &m})
 			l.alive = slices.DeleteFunc(l.alive, func(o Machine) bool { return o.Name == old.Name })
 			l.alive = append(l.alive, m)
 			last = max(last, start)
@@ -406,25 +408,25 @@
 	return last
 }
 
-var doNames = map[Do]string{Vanish: "vanishes", Return: "comes back", Slow: "is slow", Pause: "pauses", LateReports: "reports late",
-	SpoilAnswers: "spoils answers", Drain: "drains", Stop: "stops", Start: "starts", RestartSidecar: "sidecar restarts",
-	KillSidecar: "sidecar is killed", StopSidecar: "sidecar stands still", ResumeSidecar: "sidecar goes on", Busy: "is busy to all",
-	Misroute: "sends its calls to the first tier", BreakPath: "sidecar's path breaks", HealPath: "sidecar's path heals", MoveDiscovery: "discovery moves", SlowDiscovery: "discovery is slow", BreakWatches: "sidecar's watch breaks", DiscoveryDown: "discovery is down", DiscoveryUp: "discovery is up"}
+var eventTexts = map[EventKind]string{Vanish: "vanishes", Return: "comes back", Slow: "is slow", Pause: "pauses", LateReports: "reports late",
+	CorruptResponses: "spoils answers", Drain: "drains", Stop: "stops", Start: "starts", RestartSidecar: "sidecar restarts",
+	KillSidecar: "sidecar is killed", StopSidecar: "sidecar stands still", ResumeSidecar: "sidecar goes on", RejectRequests: "is busy to all",
+	Misroute: "sends its calls to the first tier", BreakPath: "sidecar's path breaks", RestorePath: "sidecar's path heals", MoveDiscovery: "discovery moves", SlowDiscovery: "discovery is slow", BreakWatches: "sidecar's watch breaks", DiscoveryDown: "discovery is down", DiscoveryUp: "discovery is up"}
 
 // String tells what happens.
 func (e Event) String() string {
-	out := doNames[e.Do]
+	out := eventTexts[e.Kind]
 	switch {
 	case e.Instance != "":
 		out = e.Instance + " " + out
-	case e.ofSidecar():
+	case e.concernsSidecar():
 		out = fmt.Sprintf("front-%d %s", e.Sidecar, out)
 	}
-	if p := e.Path; p != nil && e.Do == BreakPath {
-		out += fmt.Sprintf(" to %s (%d), delay %s, loss %g, cut out %t, back %t, reset %t", p.To, len(p.Targets), p.Delay, p.Loss, p.Out, p.Back, p.Reset)
+	if p := e.Path; p != nil && e.Kind == BreakPath {
+		out += fmt.Sprintf(" to %s (%d), delay %s, loss %g, cut out %t, back %t, reset %t", p.To, len(p.Targets), p.Delay, p.Loss, p.CutOutgoing, p.CutIncoming, p.ResetConnections)
 	}
-	if e.Way != "" {
-		out += ": " + e.Way
+	if e.Mode != "" {
+		out += ": " + e.Mode
 	}
 	if e.Factor != 0 {
 		out += fmt.Sprintf(" x%g", e.Factor)
@@ -436,17 +438,17 @@
 }
 
 // ofSidecar tells whether the event concerns a sidecar.
-func (e Event) ofSidecar() bool {
-	return slices.Contains([]Do{RestartSidecar, KillSidecar, StopSidecar, ResumeSidecar, BreakPath, HealPath, BreakWatches}, e.Do)
+func (e Event) concernsSidecar() bool {
+	return slices.Contains([]EventKind{RestartSidecar, KillSidecar, StopSidecar, ResumeSidecar, BreakPath, RestorePath, BreakWatches}, e.Kind)
 }
 
 // Last has a run take another time than the scenario's, where one is given: the warm-up is half of it at the most, and
 // troubles after its end are dropped.
-func (s *Scenario) Last(d time.Duration) {
+func (s *Scenario) SetDuration(d time.Duration) {
 	if d <= 0 {
 		return
 	}
 	s.Duration = Duration(d)
 	s.Warmup = min(s.Warmup, s.Duration/2)
-	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.At >= s.Duration })
+	s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool { return t.At >= s.Duration })
 }
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -17,9 +17,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s.fill()
-	wrong := f.Wrong()
-	s.wrong(wrong.Add)
+	s.setDefaults()
+	wrong := f.NewProblemList()
+	s.validate(wrong.Add)
 	if err := wrong.Err(); err != nil {
 		return nil, err
 	}
@@ -28,9 +28,9 @@
 
 // Check fills in and checks a scenario that was changed in memory. Its errors name keys without a place.
 func (s *Scenario) Check() error {
-	s.fill()
+	s.setDefaults()
 	var all []error
-	s.wrong(func(key, format string, args ...any) {
+	s.validate(func(key, format string, args ...any) {
 		all = append(all, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...)))
 	})
 	return errors.Join(all...)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -14,7 +14,7 @@
 	"kitewood/internal/program"
 )
 
-const good = `name: t
+const validScenario = `name: t
 duration: 10s
 classes:
   - {name: look, share: 0.6, work: 100ms}
@@ -60,8 +60,8 @@
 		{"tiers:", "tiers: [", "t.yaml:"},
 		{"name: t\n", "", "t.yaml:1:1: name: is missing"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
+		text := strings.Replace(validScenario, c.from, c.to, 1)
+		if text == validScenario {
 			t.Fatalf("%q is not in the text", c.from)
 		}
 		_, err := Read("t.yaml", []byte(text))
@@ -76,7 +76,7 @@
 
 // What is kept of a run is read again as the same scenario.
 func TestWrittenScenarioIsRead(t *testing.T) {
-	s, err := Read("t.yaml", []byte(good))
+	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,24 +88,24 @@
 	if err != nil || !reflect.DeepEqual(s, again) {
 		t.Errorf("%v\n%s", err, text)
 	}
-	if a, b := s.Lay(3), again.Lay(3); !reflect.DeepEqual(a, b) {
+	if a, b := s.Plan(3), again.Plan(3); !reflect.DeepEqual(a, b) {
 		t.Error("it is laid out otherwise")
 	}
-	if a, b := s.Lay(3), s.Lay(4); reflect.DeepEqual(a, b) {
+	if a, b := s.Plan(3), s.Plan(4); reflect.DeepEqual(a, b) {
 		t.Error("two seeds give one plan")
 	}
 }
 
 // Utilisation is of the tier that runs out first; troubles meet as many as they say, and heal.
 func TestLay(t *testing.T) {
-	s, err := Read("t.yaml", []byte(good))
+	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := s.Lay(1)
+	p := s.Plan(1)
 	// Mean work 0.14; tier two: 2 cores for 0.07 x 1.5 a request.
-	if want := 0.5 * 2 / (0.14 * 0.5 * 1.5); p.Rate < want*0.999 || p.Rate > want*1.001 {
-		t.Errorf("rate %.3f, want %.3f", p.Rate, want)
+	if want := 0.5 * 2 / (0.14 * 0.5 * 1.5); p.BaseRate < want*0.999 || p.BaseRate > want*1.001 {
+		t.Errorf("rate %.3f, want %.3f", p.BaseRate, want)
 	}
 	slow := map[string]int{}
 	for _, e := range p.Events {
@@ -114,17 +114,17 @@
 	if len(slow) != 3 || len(p.Events) != 6 {
 		t.Errorf("2 of 4 and 1 of 2 are met: %v", p.Events)
 	}
-	s.Troubles = []Trouble{{Kind: "deploy", At: Duration(time.Second), For: Duration(4 * time.Second), Part: 1, Batch: 0.25, Drain: Duration(time.Second)}}
-	p = s.Lay(1)
+	s.Faults = []Fault{{Kind: "deploy", At: Duration(time.Second), Duration: Duration(4 * time.Second), Share: 1, BatchShare: 0.25, DrainTime: Duration(time.Second)}}
+	p = s.Plan(1)
 	starts, numbers := 0, map[[2]int]string{}
 	for _, e := range p.Events {
-		if e.Do == Start {
+		if e.Kind == Start {
 			starts++
 			m := e.Machine
-			if other := numbers[[2]int{m.Tier, m.Number}]; other != "" || !strings.HasSuffix(m.Name, ".2") {
+			if other := numbers[[2]int{m.Tier, m.AddressNumber}]; other != "" || !strings.HasSuffix(m.Name, ".2") {
 				t.Errorf("%s follows at the address of %q", m.Name, other)
 			}
-			numbers[[2]int{m.Tier, m.Number}] = m.Name
+			numbers[[2]int{m.Tier, m.AddressNumber}] = m.Name
 		}
 	}
 	if starts != 6 {
@@ -134,7 +134,7 @@
 
 // The settings written for a sidecar are taken by it.
 func TestSettingsAreTaken(t *testing.T) {
-	s, err := Read("t.yaml", []byte(good))
+	s, err := Read("t.yaml", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 			t.Fatal(err)
 		}
 		c, err := program.Load(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
-		if err != nil || c.Module.Tier != tier || len(c.Classes) != 2 || c.Classes[1].Methods[0] != "POST" || len(c.LoadFields) != 4 {
+		if err != nil || c.Balancer.Tier != tier || len(c.Classes) != 2 || c.Classes[1].Methods[0] != "POST" || len(c.LoadFields) != 4 {
 			t.Errorf("tier %d: %v %+v", tier, err, c)
 		}
 	}
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -8,7 +8,7 @@
 )
 
 // words are the settings' words for the values of a load report, by the protocol's.
-var words = map[string]string{"queue": "q", "inflight": "rif", "qps": "rate", "util": "busy"}
+var reportFieldNames = map[string]string{"queue": "q", "inflight": "rif", "qps": "rate", "util": "busy"}
 
 // Slack is what the protocol adds to every time limit.
 const Slack = 50 * time.Millisecond
@@ -18,12 +18,12 @@
 	t := &s.Tiers[tier]
 	var profiles []any
 	for _, c := range s.Classes {
-		profiles = append(profiles, map[string]any{"name": c.Name, "aimS": c.Aim.D().Seconds(), "giveUpS": c.GiveUp.D().Seconds(),
-			"group": "all", "lateShare": 0.0, "points": c.Worth, "repeat": c.Effect, "stream": false, "windowS": 5.0})
+		profiles = append(profiles, map[string]any{"name": c.Name, "aimS": c.LatencyTarget.D().Seconds(), "giveUpS": c.TotalTimeout.D().Seconds(),
+			"group": "all", "lateShare": 0.0, "points": c.Utility, "repeat": c.Effect, "stream": false, "windowS": 5.0})
 	}
 	var fields, tiers, shapes []string
-	for _, f := range t.Reports.Fields {
-		fields = append(fields, words[f])
+	for _, f := range t.LoadReports.Fields {
+		fields = append(fields, reportFieldNames[f])
 	}
 	for i := range s.Tiers {
 		tiers = append(tiers, s.Tiers[i].Name)
@@ -35,19 +35,19 @@
 	if len(fields) == 0 {
 		via = "off"
 	}
-	g := &s.Goal
+	g := &s.Objective
 	return map[string]any{
-		"clients": map[string]any{"marksRetry": true}, "countedBy": g.WorthBy, "family": "chain",
+		"clients": map[string]any{"marksRetry": true}, "countedBy": g.UtilityPer, "family": "chain",
 		"familyInfo": map[string]any{"passesDeadline": true},
-		"deductions": map[string]any{"crossZone": 0.0, "waste": g.Waste, "lateFail": g.LateFail, "probe": g.Probe, "peer": 0.0,
+		"deductions": map[string]any{"crossZone": 0.0, "waste": g.Waste, "lateFail": g.LateFailure, "probe": g.Probes, "peer": 0.0,
 			"handshake": g.Connection},
-		"invariants": map[string]any{"askWithinS": 10.0, "coldS": t.Cold.Time.D().Seconds(), "coldShare": t.Cold.Share,
-			"graceToAnswerS": 0.02, "overloadFactor": t.Cold.Multiple, "stopSendingWithinS": 0.5, "tipAfterS": t.Cold.Window.D().Seconds()},
+		"invariants": map[string]any{"askWithinS": 10.0, "coldS": t.ColdStart.Duration.D().Seconds(), "coldShare": t.ColdStart.InitialShare,
+			"graceToAnswerS": 0.02, "overloadFactor": t.ColdStart.LoadFactor, "stopSendingWithinS": 0.5, "tipAfterS": t.ColdStart.Window.D().Seconds()},
 		"locality": 0, "me": me, "peersTotal": of,
-		"objectiveMix": map[string]any{"whole": g.Whole, "worstClass": g.WorstClass, "worstTenant": 0.0, "worstWindow": g.WorstWindow},
-		"permissions": map[string]any{"cancel": true, "connIdleS": t.Conns.Idle.D().Seconds(), "connectTimeoutS": 0.25,
+		"objectiveMix": map[string]any{"whole": g.WholeRun, "worstClass": g.WorstClass, "worstTenant": 0.0, "worstWindow": g.WorstWindow},
+		"permissions": map[string]any{"cancel": true, "connIdleS": t.Connections.IdleTimeout.D().Seconds(), "connectTimeoutS": 0.25,
 			"maxRetryAfterS": 2.0, "mostHeld": 10000, "parallelTries": false, "peers": false, "probes": true, "retryAfter": true,
-			"sendCap": s.Sidecar.Attempts, "streamsPerConn": 1},
+			"sendCap": s.Sidecar.MaxAttempts, "streamsPerConn": 1},
 		"profiles": profiles, "projects": []any{}, "registryMode": "ask", "resolutionS": 0.005, "shapes": shapes,
 		"telemetry": map[string]any{"fields": fields, "via": via}, "tier": tier, "tiers": tiers, "weights": "off",
 		"zones": []string{s.Zone},
@@ -66,17 +66,17 @@
 	t, c := &s.Tiers[tier], &s.Sidecar
 	var classes []object
 	for _, x := range s.Classes {
-		classes = append(classes, object{"name": x.Name, "effect": x.Effect, "aim": x.Aim.D().String(), "deadline": x.GiveUp.D().String(), "worth": x.Worth})
+		classes = append(classes, object{"name": x.Name, "effect": x.Effect, "aim": x.LatencyTarget.D().String(), "deadline": x.TotalTimeout.D().String(), "worth": x.Utility})
 	}
 	reports := object{"via": "none"}
-	if len(t.Reports.Fields) > 0 {
-		reports = object{"via": "answers", "fields": t.Reports.Fields}
+	if len(t.LoadReports.Fields) > 0 {
+		reports = object{"via": "answers", "fields": t.LoadReports.Fields}
 	}
 	p := object{"name": t.Name, "classes": classes, "inner": tier > 0, "zone": s.Zone, "zones": []string{s.Zone}, "reports": reports,
-		"attempts": c.Attempts, "sidecars": object{"me": me, "of": of}, "connections": object{"idle": t.Conns.Idle.D().String()},
-		"cold": object{"share": t.Cold.Share, "time": t.Cold.Time.D().String(), "multiple": t.Cold.Multiple, "window": t.Cold.Window.D().String()}}
+		"attempts": c.MaxAttempts, "sidecars": object{"me": me, "of": of}, "connections": object{"idle": t.Connections.IdleTimeout.D().String()},
+		"cold": object{"share": t.ColdStart.InitialShare, "time": t.ColdStart.Duration.D().String(), "multiple": t.ColdStart.LoadFactor, "window": t.ColdStart.Window.D().String()}}
 	if c.Chain {
-		p["chain"] = object{"header": ChainField, "repeat_declined": c.RepeatDeclined}
+		p["chain"] = object{"header": ChainField, "repeat_declined": c.RetryDeclined}
 	}
 	if c.Origin {
 		p["origin"] = OriginField
@@ -89,38 +89,38 @@
 
 // Rules are the rules by which the ledger of a run is judged.
 func (s *Scenario) Rules() ledger.Rules {
-	r := ledger.Rules{Slack: Slack, DrainGrace: 500 * time.Millisecond, ToldWithin: 6 * time.Second}
+	r := ledger.Rules{Slack: Slack, DrainGrace: 500 * time.Millisecond, NotifiedWithin: 6 * time.Second}
 	for _, c := range s.Classes {
-		r.Safe = append(r.Safe, c.Effect == "safe")
+		r.RetrySafe = append(r.RetrySafe, c.Effect == "safe")
 	}
 	for _, t := range s.Tiers {
-		c := ledger.Cold{Share: t.Cold.Share, Time: t.Cold.Time.D(), Window: t.Cold.Window.D()}
-		if t.Cold.Multiple > 0 {
-			c.Budget = s.cold(&t).Budget
+		c := ledger.SlowStart{InitialShare: t.ColdStart.InitialShare, Duration: t.ColdStart.Duration.D(), Window: t.ColdStart.Window.D()}
+		if t.ColdStart.LoadFactor > 0 {
+			c.WorkBudget = s.coldStart(&t).Budget
 		}
-		r.Cold = append(r.Cold, c)
+		r.SlowStart = append(r.SlowStart, c)
 	}
 	return r
 }
 
 // Served is how the ledger of a run counts service.
-func (s *Scenario) Served() ledger.Goal {
-	g := &s.Goal
-	out := ledger.Goal{Whole: g.Whole, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, LateFail: g.LateFail, Waste: g.Waste,
-		Connection: g.Connection, Probes: g.Probe, Window: g.Window.D(), ByWork: g.WorthBy == "work", Warmup: s.Warmup.D()}
+func (s *Scenario) LedgerObjective() ledger.Objective {
+	g := &s.Objective
+	out := ledger.Objective{WholeRun: g.WholeRun, WorstWindow: g.WorstWindow, WorstClass: g.WorstClass, LateFailure: g.LateFailure, Waste: g.Waste,
+		Connection: g.Connection, Probes: g.Probes, Window: g.Window.D(), UtilityPerWork: g.UtilityPer == "work", Warmup: s.Warmup.D()}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, ledger.GoalClass{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D()})
+		out.Classes = append(out.Classes, ledger.ClassObjective{Name: c.Name, Utility: c.Utility, LatencyTarget: c.LatencyTarget.D()})
 	}
 	return out
 }
 
 // Model are the classes and habits as the model takes them.
-func (s *Scenario) Model() ([]model.Class, model.Habits) {
+func (s *Scenario) ClientModel() ([]model.Class, model.ClientBehavior) {
 	var classes []model.Class
 	for _, c := range s.Classes {
-		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), Spread: c.Spread, Worth: c.Worth,
-			Aim: c.Aim.D(), GiveUp: c.GiveUp.D(), Safe: c.Effect == "safe"})
+		classes = append(classes, model.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), WorkCV: c.WorkCV, Utility: c.Utility,
+			LatencyTarget: c.LatencyTarget.D(), TotalTimeout: c.TotalTimeout.D(), Safe: c.Effect == "safe"})
 	}
 	h := s.Clients
-	return classes, model.Habits{Retries: h.Retries, TryShare: h.TryShare, Backoff: h.Backoff.D(), Honour: h.Honour}
+	return classes, model.ClientBehavior{MaxRetries: h.MaxRetries, AttemptTimeoutShare: h.AttemptTimeoutShare, Backoff: h.Backoff.D(), HonorRetryAfter: h.HonorRetryAfter}
 }
--- a/internal/lab/scenario/types.go
+++ b/internal/lab/scenario/types.go
@@ -4,34 +4,34 @@
 
 // Scenario is a run of the lab. docs/lab.md documents it key by key.
 type Scenario struct {
-	Name      string    `yaml:"name"`
-	About     string    `yaml:"about"`
-	Duration  Duration  `yaml:"duration"`
-	Warmup    Duration  `yaml:"warmup"`
-	Seed      uint64    `yaml:"seed"`
-	Zone      string    `yaml:"zone"`
-	Classes   []Class   `yaml:"classes"`
-	Load      Traffic   `yaml:"load"`
-	Clients   Clients   `yaml:"clients"`
-	Front     Front     `yaml:"front"`
-	Tiers     []Tier    `yaml:"tiers"`
-	Discovery Discovery `yaml:"discovery"`
-	Sidecar   Sidecar   `yaml:"sidecar"`
-	Goal      Goal      `yaml:"goal"`
-	Troubles  []Trouble `yaml:"troubles,omitempty"`
+	Name        string           `yaml:"name"`
+	Description string           `yaml:"about"`
+	Duration    Duration         `yaml:"duration"`
+	Warmup      Duration         `yaml:"warmup"`
+	Seed        uint64           `yaml:"seed"`
+	Zone        string           `yaml:"zone"`
+	Classes     []Class          `yaml:"classes"`
+	Load        Traffic          `yaml:"load"`
+	Clients     ClientBehavior   `yaml:"clients"`
+	Frontend    FrontendBalancer `yaml:"front"`
+	Tiers       []Tier           `yaml:"tiers"`
+	Discovery   Discovery        `yaml:"discovery"`
+	Sidecar     Sidecar          `yaml:"sidecar"`
+	Objective   Objective        `yaml:"goal"`
+	Faults      []Fault          `yaml:"troubles,omitempty"`
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name   string   `yaml:"name"`
-	Share  float64  `yaml:"share"`
-	Work   Duration `yaml:"work"`
-	Spread float64  `yaml:"spread"`
-	Worth  float64  `yaml:"worth"`
-	Aim    Duration `yaml:"aim"`
-	GiveUp Duration `yaml:"give_up"`
-	Effect string   `yaml:"effect"`
-	Noise  float64  `yaml:"attempt_noise"`
+	Name          string   `yaml:"name"`
+	Share         float64  `yaml:"share"`
+	Work          Duration `yaml:"work"`
+	WorkCV        float64  `yaml:"spread"`
+	Utility       float64  `yaml:"worth"`
+	LatencyTarget Duration `yaml:"aim"`
+	TotalTimeout  Duration `yaml:"give_up"`
+	Effect        string   `yaml:"effect"`
+	AttemptNoise  float64  `yaml:"attempt_noise"`
 }
 
 // Traffic says how many requests come. Utilisation is of the tier that runs out first.
@@ -49,39 +49,39 @@
 }
 
 // Clients is how clients behave.
-type Clients struct {
-	Retries  int      `yaml:"retries"`
-	TryShare float64  `yaml:"try_share"`
-	Backoff  Duration `yaml:"backoff"`
-	Honour   float64  `yaml:"honour"`
-	Leave    float64  `yaml:"leave"`
+type ClientBehavior struct {
+	MaxRetries          int      `yaml:"retries"`
+	AttemptTimeoutShare float64  `yaml:"try_share"`
+	Backoff             Duration `yaml:"backoff"`
+	HonorRetryAfter     float64  `yaml:"honour"`
+	LeaveShare          float64  `yaml:"leave"`
 }
 
 // Front is the layer that spreads clients over sidecars.
-type Front struct {
-	Notice Duration `yaml:"notice"`
-	Skew   float64  `yaml:"skew"`
+type FrontendBalancer struct {
+	DetectionDelay Duration `yaml:"notice"`
+	Skew           float64  `yaml:"skew"`
 }
 
 // Tier is a tier of the service.
 type Tier struct {
-	Name      string   `yaml:"name"`
-	Instances int      `yaml:"instances"`
-	Sidecars  int      `yaml:"sidecars"`
-	Work      float64  `yaml:"work"`
-	Calls     float64  `yaml:"calls"`
-	Kinds     []Kind   `yaml:"kinds"`
-	Slots     int      `yaml:"slots"`
-	Queue     int      `yaml:"queue"`
-	Thrash    float64  `yaml:"thrash"`
-	ThrashAt  float64  `yaml:"thrash_at"`
-	Errors    float64  `yaml:"errors"`
-	Spoilt    float64  `yaml:"spoilt"`
-	Cold      Cold     `yaml:"cold"`
-	Choke     Choke    `yaml:"choke"`
-	Conns     Conns    `yaml:"connections"`
-	Reports   Reports  `yaml:"reports"`
-	Restart   Duration `yaml:"restart"`
+	Name            string          `yaml:"name"`
+	Instances       int             `yaml:"instances"`
+	Sidecars        int             `yaml:"sidecars"`
+	WorkShare       float64         `yaml:"work"`
+	CallsPerRequest float64         `yaml:"calls"`
+	Kinds           []Kind          `yaml:"kinds"`
+	Slots           int             `yaml:"slots"`
+	QueueLimit      int             `yaml:"queue"`
+	ThrashFactor    float64         `yaml:"thrash"`
+	ThrashThreshold float64         `yaml:"thrash_at"`
+	ErrorShare      float64         `yaml:"errors"`
+	CorruptShare    float64         `yaml:"spoilt"`
+	ColdStart       ColdStart       `yaml:"cold"`
+	Overload        Overload        `yaml:"choke"`
+	Connections     ConnectionCosts `yaml:"connections"`
+	LoadReports     LoadReports     `yaml:"reports"`
+	RestartDelay    Duration        `yaml:"restart"`
 }
 
 // Kind is a kind of machine. The speed of each is drawn from the range.
@@ -93,34 +93,34 @@
 }
 
 // Cold is how an instance starts.
-type Cold struct {
-	Share    float64  `yaml:"share"`
-	Time     Duration `yaml:"time"`
-	Multiple float64  `yaml:"multiple"`
-	Window   Duration `yaml:"window"`
+type ColdStart struct {
+	InitialShare float64  `yaml:"share"`
+	Duration     Duration `yaml:"time"`
+	LoadFactor   float64  `yaml:"multiple"`
+	Window       Duration `yaml:"window"`
 }
 
 // Choke is when an overdriven instance gets slower.
-type Choke struct {
-	Waiting float64  `yaml:"waiting"`
-	Over    Duration `yaml:"over"`
-	Slower  float64  `yaml:"slower"`
-	Below   float64  `yaml:"below"`
-	Rest    Duration `yaml:"rest"`
-	Most    Duration `yaml:"most"`
+type Overload struct {
+	QueuedPerCore float64  `yaml:"waiting"`
+	TriggerAfter  Duration `yaml:"over"`
+	Slowdown      float64  `yaml:"slower"`
+	RecoverBelow  float64  `yaml:"below"`
+	RecoverAfter  Duration `yaml:"rest"`
+	MaxDuration   Duration `yaml:"most"`
 }
 
 // Conns is what connections cost.
-type Conns struct {
-	Cost  Duration `yaml:"cost"`
-	Delay Duration `yaml:"delay"`
-	Cap   int      `yaml:"cap"`
-	Tax   float64  `yaml:"tax"`
-	Idle  Duration `yaml:"idle"`
+type ConnectionCosts struct {
+	HandshakeWork     Duration `yaml:"cost"`
+	FirstRequestDelay Duration `yaml:"delay"`
+	TableSizePerCore  int      `yaml:"cap"`
+	FullTableLoss     float64  `yaml:"tax"`
+	IdleTimeout       Duration `yaml:"idle"`
 }
 
 // Reports is how load reports come.
-type Reports struct {
+type LoadReports struct {
 	Fields []string `yaml:"fields"`
 	Period Duration `yaml:"period"`
 	Delay  Duration `yaml:"delay"`
@@ -129,17 +129,17 @@
 
 // Discovery is how slow and coarse discovery is.
 type Discovery struct {
-	Notice       Duration `yaml:"notice"`
-	SilentNotice Duration `yaml:"silent_notice"`
-	Add          Duration `yaml:"add"`
-	Period       Duration `yaml:"period"`
-	Spread       Duration `yaml:"spread"`
-	Capacity     float64  `yaml:"capacity"`
-	Timeout      Duration `yaml:"timeout"`
-	Beat         Duration `yaml:"beat"`
-	RefuseFull   bool     `yaml:"refuse_full"`
+	DetectionDelay       Duration `yaml:"notice"`
+	SilentDetectionDelay Duration `yaml:"silent_notice"`
+	AddDelay             Duration `yaml:"add"`
+	PublishPeriod        Duration `yaml:"period"`
+	DelayJitter          Duration `yaml:"spread"`
+	CallsPerSecond       float64  `yaml:"capacity"`
+	Timeout              Duration `yaml:"timeout"`
+	HeartbeatPeriod      Duration `yaml:"beat"`
+	RejectWhenFull       bool     `yaml:"refuse_full"`
 	// WorksOffFailed has calls that failed for waiting too long take their turn all the same.
-	WorksOffFailed bool `yaml:"works_off_failed"`
+	ServeTimedOut bool `yaml:"works_off_failed"`
 }
 
 // Sidecar is what each sidecar may use.
@@ -148,53 +148,53 @@
 	MemoryMB int     `yaml:"memory_mb"`
 	Sockets  int     `yaml:"sockets"`
 
-	Form           string  `yaml:"form"`
-	Chain          bool    `yaml:"chain"`
-	Origin         bool    `yaml:"origin"`
-	RepeatDeclined bool    `yaml:"repeat_declined"`
-	RetryShare     float64 `yaml:"retry_share"`
-	RetryBurst     float64 `yaml:"retry_burst"`
-	Attempts       int     `yaml:"attempts"`
-	Alone          bool    `yaml:"alone"`
+	ConfigFormat  string  `yaml:"form"`
+	Chain         bool    `yaml:"chain"`
+	Origin        bool    `yaml:"origin"`
+	RetryDeclined bool    `yaml:"repeat_declined"`
+	RetryShare    float64 `yaml:"retry_share"`
+	RetryBurst    float64 `yaml:"retry_burst"`
+	MaxAttempts   int     `yaml:"attempts"`
+	Standalone    bool    `yaml:"alone"`
 }
 
 // The forms of a sidecar's configuration: the platform's, or the YAML file of other installations.
 const (
-	FormPlatform = "platform"
-	FormPools    = "pools"
+	FormatPlatform = "platform"
+	FormatPools    = "pools"
 )
 
 // Goal is how service is counted.
-type Goal struct {
-	Whole       float64  `yaml:"whole"`
+type Objective struct {
+	WholeRun    float64  `yaml:"whole"`
 	WorstWindow float64  `yaml:"worst_window"`
 	WorstClass  float64  `yaml:"worst_class"`
 	Window      Duration `yaml:"window"`
-	LateFail    float64  `yaml:"late_fail"`
+	LateFailure float64  `yaml:"late_fail"`
 	Waste       float64  `yaml:"waste"`
 	Connection  float64  `yaml:"connection"`
-	Probe       float64  `yaml:"probe"`
-	WorthBy     string   `yaml:"worth_by"`
+	Probes      float64  `yaml:"probe"`
+	UtilityPer  string   `yaml:"worth_by"`
 }
 
 // Trouble is one thing that happens. Which keys go with which kind is in troubleKeys.
-type Trouble struct {
-	Kind  string   `yaml:"kind"`
-	At    Duration `yaml:"at"`
-	For   Duration `yaml:"for"`
-	Tier  string   `yaml:"tier"`
-	Part  float64  `yaml:"part"`
-	Count int      `yaml:"count"`
-	Size  float64  `yaml:"size"`
-	Every Duration `yaml:"every"`
-	Span  Duration `yaml:"span"`
-	Batch float64  `yaml:"batch"`
-	Drain Duration `yaml:"drain"`
-
-	Path    string  `yaml:"path"`
-	Way     string  `yaml:"way"`
-	Reset   bool    `yaml:"reset"`
-	Targets float64 `yaml:"targets"`
-	Forget  bool    `yaml:"forget"`
-	Series  bool    `yaml:"series"` // signals come in a series
+type Fault struct {
+	Kind       string   `yaml:"kind"`
+	At         Duration `yaml:"at"`
+	Duration   Duration `yaml:"for"`
+	Tier       string   `yaml:"tier"`
+	Share      float64  `yaml:"part"`
+	Count      int      `yaml:"count"`
+	Magnitude  float64  `yaml:"size"`
+	Interval   Duration `yaml:"every"`
+	Span       Duration `yaml:"span"`
+	BatchShare float64  `yaml:"batch"`
+	DrainTime  Duration `yaml:"drain"`
+
+	Path         string  `yaml:"path"`
+	Mode         string  `yaml:"way"`
+	Reset        bool    `yaml:"reset"`
+	TargetShare  float64 `yaml:"targets"`
+	DiscardList  bool    `yaml:"forget"`
+	SignalSeries bool    `yaml:"series"` // signals come in a series
 }
--- a/internal/lab/scenario/values.go
+++ b/internal/lab/scenario/values.go
@@ -27,7 +27,7 @@
 	read := func(n ast.Node) (float64, error) {
 		v, err := strconv.ParseFloat(n.GetToken().Value, 64)
 		if err != nil {
-			return 0, yamlfile.At(n, fmt.Sprintf("%s: a number is wanted, not %q", yamlfile.Key(node), n.GetToken().Value))
+			return 0, yamlfile.ErrorAt(n, fmt.Sprintf("%s: a number is wanted, not %q", yamlfile.KeyPath(node), n.GetToken().Value))
 		}
 		return v, nil
 	}
@@ -39,7 +39,7 @@
 		return err
 	}
 	if len(list.Values) != 2 {
-		return yamlfile.At(node, fmt.Sprintf("%s: a range has two figures, [low, high]", yamlfile.Key(node)))
+		return yamlfile.ErrorAt(node, fmt.Sprintf("%s: a range has two figures, [low, high]", yamlfile.KeyPath(node)))
 	}
 	if r.Low, err = read(list.Values[0]); err != nil {
 		return err
--- a/internal/lab/services/process.go
+++ b/internal/lab/services/process.go
@@ -17,14 +17,14 @@
 
 // process is a kitewood process with the pools of a configuration file, and their services.
 type process struct {
-	dir      string
-	address  string
-	kept     *child.Address
-	sockets  int
-	services []*service
-	child    *child.Child
-	once     sync.Once
-	note     string
+	dir         string
+	address     string
+	reservation *child.Address
+	sockets     int
+	services    []*service
+	child       *child.Child
+	once        sync.Once
+	problems    string
 }
 
 // start starts the services and the process, and waits until it is ready.
@@ -33,7 +33,7 @@
 	p = &process{dir: dir, sockets: o.Scenario.Sockets}
 	defer func() {
 		if err != nil {
-			p.end()
+			p.stop()
 		}
 	}()
 	for _, pool := range o.Scenario.Pools {
@@ -42,14 +42,14 @@
 			return nil, err
 		}
 		p.services = append(p.services, s)
-		if err := listfile.Write(filepath.Join(dir, pool.Name+".yaml"), s.list()); err != nil {
+		if err := listfile.Write(filepath.Join(dir, pool.Name+".yaml"), s.endpoints()); err != nil {
 			return nil, err
 		}
 	}
-	if p.kept, err = child.Reserve(); err != nil {
+	if p.reservation, err = child.Reserve(); err != nil {
 		return nil, err
 	}
-	p.address = p.kept.String()
+	p.address = p.reservation.String()
 	if err := p.configure(""); err != nil {
 		return nil, err
 	}
@@ -58,20 +58,20 @@
 	}
 	pool := httpc.NewPool(httpc.Options{Address: p.address, ConnectTimeout: time.Second})
 	defer pool.Close()
-	ready := httpc.Text("GET", "/health/ready", "drill", nil)
+	ready := httpc.FormatRequest("GET", "/health/ready", "drill", nil)
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if pool.Do("", "GET", ready, time.Now().Add(time.Second)).Status == 200 {
 			return p, nil
 		}
 		select {
-		case <-p.child.Ended:
-			return nil, fmt.Errorf("the process ended before it was ready: %s", p.child.Said())
+		case <-p.child.Done:
+			return nil, fmt.Errorf("the process ended before it was ready: %s", p.child.Output())
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		default:
 		}
 	}
-	return nil, fmt.Errorf("the process was not ready within a minute: %s", p.child.Said())
+	return nil, fmt.Errorf("the process was not ready within a minute: %s", p.child.Output())
 }
 
 // configure writes the configuration, without one of the pools unless that is "".
@@ -88,8 +88,8 @@
 			continue
 		}
 		share := ""
-		if pool.Guaranteed > 0 || pool.Most > 0 {
-			share = fmt.Sprintf(", shares: {operations: {guaranteed: %d, most: %d}}", pool.Guaranteed, pool.Most)
+		if pool.GuaranteedRequests > 0 || pool.MaxRequests > 0 {
+			share = fmt.Sprintf(", shares: {operations: {guaranteed: %d, most: %d}}", pool.GuaranteedRequests, pool.MaxRequests)
 		}
 		fmt.Fprintf(&b, "  - {name: %s, members: {file: %s.yaml}, classes: [{name: any, effect: %s, aim: %s, deadline: %s}]%s}\n", pool.Name,
 			pool.Name, pool.Effect, min(pool.Deadline.D(), time.Second), pool.Deadline.D(), share)
@@ -98,23 +98,23 @@
 	return filewatch.Replace(filepath.Join(p.dir, "kitewood.yaml"), []byte(b.String()+"routes:\n"+routes.String()))
 }
 
-func (p *process) hup() { p.child.Signal(syscall.SIGHUP) }
+func (p *process) reload() { p.child.Signal(syscall.SIGHUP) }
 
 // end stops the process and the services, and tells what was wrong with its end, if anything.
-func (p *process) end() string {
+func (p *process) stop() string {
 	p.once.Do(func() {
 		if p.child != nil {
-			p.note = p.child.Stop(30 * time.Second)
-			for line := range strings.Lines(p.child.Said()) {
+			p.problems = p.child.Stop(30 * time.Second)
+			for line := range strings.Lines(p.child.Output()) {
 				if strings.Contains(line, "panic") || strings.Contains(line, "not taken") {
-					p.note += " " + strings.TrimSpace(line)
+					p.problems += " " + strings.TrimSpace(line)
 				}
 			}
 		}
-		p.kept.Free()
+		p.reservation.Release()
 		for _, s := range p.services {
 			s.close()
 		}
 	})
-	return p.note
+	return p.problems
 }
--- a/internal/lab/services/scenario.go
+++ b/internal/lab/services/scenario.go
@@ -15,37 +15,37 @@
 
 // Scenario is a day. docs/lab.md documents it key by key.
 type Scenario struct {
-	Name     string    `yaml:"name"`
-	About    string    `yaml:"about"`
-	Duration Duration  `yaml:"duration"`
-	Sockets  int       `yaml:"sockets"` // of the process, 0 for its default
-	Pools    []Pool    `yaml:"pools"`
-	Troubles []Trouble `yaml:"troubles"`
+	Name        string   `yaml:"name"`
+	Description string   `yaml:"about"`
+	Duration    Duration `yaml:"duration"`
+	Sockets     int      `yaml:"sockets"` // of the process, 0 for its default
+	Pools       []Pool   `yaml:"pools"`
+	Faults      []Fault  `yaml:"troubles"`
 }
 
 // Pool is a service with its destinations and its clients.
 type Pool struct {
-	Name         string   `yaml:"name"`
-	Destinations int      `yaml:"destinations"`
-	Delay        Duration `yaml:"delay"` // of an answer
-	Rate         float64  `yaml:"rate"`  // requests a second, as a Poisson process
-	Effect       string   `yaml:"effect"`
-	Deadline     Duration `yaml:"deadline"`
-	Guaranteed   int      `yaml:"guaranteed"` // operations, 0 for the default
-	Most         int      `yaml:"most"`
+	Name               string   `yaml:"name"`
+	Endpoints          int      `yaml:"destinations"`
+	ResponseDelay      Duration `yaml:"delay"` // of an answer
+	Rate               float64  `yaml:"rate"`  // requests a second, as a Poisson process
+	Effect             string   `yaml:"effect"`
+	Deadline           Duration `yaml:"deadline"`
+	GuaranteedRequests int      `yaml:"guaranteed"` // operations, 0 for the default
+	MaxRequests        int      `yaml:"most"`
 }
 
 // Trouble is what happens to a pool.
-type Trouble struct {
-	Kind string   `yaml:"kind"` // freeze, errors, come-and-go, crowd
-	Pool string   `yaml:"pool"` // crowd has none
-	At   Duration `yaml:"at"`
-	For  Duration `yaml:"for"`
-	Size int      `yaml:"size"` // crowd: connections that say nothing
+type Fault struct {
+	Kind        string   `yaml:"kind"` // freeze, errors, come-and-go, crowd
+	Pool        string   `yaml:"pool"` // crowd has none
+	At          Duration `yaml:"at"`
+	Duration    Duration `yaml:"for"`
+	Connections int      `yaml:"size"` // crowd: connections that say nothing
 }
 
 // kinds of troubles, and whether they have a pool.
-var kinds = map[string]bool{"freeze": true, "errors": true, "come-and-go": true, "crowd": false}
+var faultKinds = map[string]bool{"freeze": true, "errors": true, "come-and-go": true, "crowd": false}
 
 // Read reads the text of a scenario file, fills in what it leaves out and checks it. Its errors are yamlfile.Problems.
 func Read(file string, text []byte) (*Scenario, error) {
@@ -54,9 +54,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Fill()
-	wrong := f.Wrong()
-	s.check(wrong.Add)
+	s.SetDefaults()
+	wrong := f.NewProblemList()
+	s.validate(wrong.Add)
 	if err := wrong.Err(); err != nil {
 		return nil, err
 	}
@@ -64,19 +64,19 @@
 }
 
 // Fill puts in what a scenario leaves out.
-func (s *Scenario) Fill() {
+func (s *Scenario) SetDefaults() {
 	yamlfile.Default(&s.Duration, Duration(20*time.Second))
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		yamlfile.Default(&p.Destinations, 3)
-		yamlfile.Default(&p.Delay, Duration(5*time.Millisecond))
+		yamlfile.Default(&p.Endpoints, 3)
+		yamlfile.Default(&p.ResponseDelay, Duration(5*time.Millisecond))
 		yamlfile.Default(&p.Rate, 60)
 		yamlfile.Default(&p.Effect, "unsafe")
 		yamlfile.Default(&p.Deadline, Duration(2500*time.Millisecond))
 	}
 }
 
-func (s *Scenario) check(bad func(key, format string, args ...any)) {
+func (s *Scenario) validate(bad func(key, format string, args ...any)) {
 	if s.Name == "" {
 		bad("name", "is missing")
 	}
@@ -93,8 +93,8 @@
 			bad(at+"name", "a pool has a name of its own without spaces and slashes, not %q", p.Name)
 		}
 		seen[p.Name] = true
-		if p.Destinations < 1 || p.Destinations > 50 {
-			bad(at+"destinations", "between 1 and 50, not %d", p.Destinations)
+		if p.Endpoints < 1 || p.Endpoints > 50 {
+			bad(at+"destinations", "between 1 and 50, not %d", p.Endpoints)
 		}
 		if !(p.Rate > 0 && p.Rate <= 5000) {
 			bad(at+"rate", "above 0 and up to 5000 a second, not %g", p.Rate)
@@ -102,16 +102,16 @@
 		if p.Effect != "safe" && p.Effect != "unsafe" {
 			bad(at+"effect", "safe or unsafe, not %q", p.Effect)
 		}
-		if p.Deadline < Duration(100*time.Millisecond) || p.Delay < 0 {
+		if p.Deadline < Duration(100*time.Millisecond) || p.ResponseDelay < 0 {
 			bad(at+"deadline", "at least 100ms, and a delay that is not negative, are wanted")
 		}
-		if p.Guaranteed < 0 || p.Most < 0 || p.Most > 0 && p.Most < p.Guaranteed {
-			bad(at+"most", "at least the guaranteed %d, not %d", p.Guaranteed, p.Most)
+		if p.GuaranteedRequests < 0 || p.MaxRequests < 0 || p.MaxRequests > 0 && p.MaxRequests < p.GuaranteedRequests {
+			bad(at+"most", "at least the guaranteed %d, not %d", p.GuaranteedRequests, p.MaxRequests)
 		}
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		at := fmt.Sprintf("troubles[%d].", i)
-		hasPool, known := kinds[t.Kind]
+		hasPool, known := faultKinds[t.Kind]
 		switch {
 		case !known:
 			bad(at+"kind", "freeze, errors, come-and-go or crowd, not %q", t.Kind)
@@ -120,11 +120,11 @@
 		case !hasPool && t.Pool != "":
 			bad(at+"pool", "%s has none", t.Kind)
 		}
-		if t.At < 0 || t.For <= 0 || t.At+t.For > s.Duration {
+		if t.At < 0 || t.Duration <= 0 || t.At+t.Duration > s.Duration {
 			bad(at+"at", "a trouble of some length within the run of %s is wanted", s.Duration.D())
 		}
-		if t.Kind == "crowd" && (t.Size < 1 || t.Size > 2000) {
-			bad(at+"size", "between 1 and 2000 connections, not %d", t.Size)
+		if t.Kind == "crowd" && (t.Connections < 1 || t.Connections > 2000) {
+			bad(at+"size", "between 1 and 2000 connections, not %d", t.Connections)
 		}
 	}
 }
--- a/internal/lab/services/service.go
+++ b/internal/lab/services/service.go
@@ -16,23 +16,23 @@
 	addrs   []string
 	servers []*http.Server
 
-	mu     sync.Mutex
-	status int           // of every answer, 200 unless it fails
-	frozen chan struct{} // closed when it thaws; nil while it answers
-	times  map[string]int
-	out    map[string]int
-	again  int // operations that came more than once
-	copies int // of them, while another copy was out
+	mu            sync.Mutex
+	status        int           // of every answer, 200 unless it fails
+	thawed        chan struct{} // closed when it thaws; nil while it answers
+	attemptCounts map[string]int
+	inFlight      map[string]int
+	retried       int // operations that came more than once
+	concurrent    int // of them, while another copy was out
 }
 
 // overlap is for how long two attempts at an operation may seem to be out at once, as their two connections are seen by two
 // goroutines.
-const overlap = 20 * time.Millisecond
+const overlapTolerance = 20 * time.Millisecond
 
 // newService starts the destinations of a pool.
 func newService(pool Pool) (*service, error) {
-	s := &service{pool: pool, status: 200, times: map[string]int{}, out: map[string]int{}}
-	for range pool.Destinations {
+	s := &service{pool: pool, status: 200, attemptCounts: map[string]int{}, inFlight: map[string]int{}}
+	for range pool.Endpoints {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.close()
@@ -48,24 +48,24 @@
 func (s *service) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
-	if s.times[id]++; s.times[id] > 1 {
-		s.again++
+	if s.attemptCounts[id]++; s.attemptCounts[id] > 1 {
+		s.retried++
 	}
-	if s.out[id]++; s.out[id] > 1 {
+	if s.inFlight[id]++; s.inFlight[id] > 1 {
 		// The end of the first may be seen here after the start of the second: they come on two connections.
-		time.AfterFunc(overlap, func() {
+		time.AfterFunc(overlapTolerance, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.out[id] > 1 {
-				s.copies++
+			if s.inFlight[id] > 1 {
+				s.concurrent++
 			}
 		})
 	}
-	status, frozen := s.status, s.frozen
+	status, frozen := s.status, s.thawed
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.out[id]--
+		s.inFlight[id]--
 		s.mu.Unlock()
 	}()
 	gone := r.Context().Done() // the connection was closed: the attempt is over
@@ -77,7 +77,7 @@
 		}
 	}
 	select {
-	case <-time.After(s.pool.Delay.D()):
+	case <-time.After(s.pool.ResponseDelay.D()):
 	case <-gone:
 		return
 	}
@@ -89,27 +89,27 @@
 func (s *service) freeze(d time.Duration) {
 	frozen := make(chan struct{})
 	s.mu.Lock()
-	s.frozen = frozen
+	s.thawed = frozen
 	s.mu.Unlock()
 	time.AfterFunc(d, func() {
 		s.mu.Lock()
-		s.frozen = nil
+		s.thawed = nil
 		s.mu.Unlock()
 		close(frozen)
 	})
 }
 
-func (s *service) fail(status int) {
+func (s *service) setStatus(status int) {
 	s.mu.Lock()
 	s.status = status
 	s.mu.Unlock()
 }
 
 // broken tells how many operations came more than once, and how many copies were out at a time.
-func (s *service) broken() (again, copies int) {
+func (s *service) counts() (again, copies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.again, s.copies
+	return s.retried, s.concurrent
 }
 
 func (s *service) close() {
@@ -119,9 +119,9 @@
 }
 
 // list is the list of a service's destinations.
-func (s *service) list() (out []listfile.Destination) {
+func (s *service) endpoints() (out []listfile.Endpoint) {
 	for i, a := range s.addrs {
-		out = append(out, listfile.Destination{Name: fmt.Sprintf("%s-%d", s.pool.Name, i), Address: a})
+		out = append(out, listfile.Endpoint{Name: fmt.Sprintf("%s-%d", s.pool.Name, i), Address: a})
 	}
 	return out
 }
--- a/internal/lab/services/services_test.go
+++ b/internal/lab/services/services_test.go
@@ -14,7 +14,7 @@
 // The ledger of a service catches an operation that comes again, and one whose copies are out at once; one that was called
 // off before it came again is no copy.
 func TestLedgerOfAService(t *testing.T) {
-	s, err := newService(Pool{Name: "a", Destinations: 2, Delay: Duration(10 * overlap)})
+	s, err := newService(Pool{Name: "a", Endpoints: 2, ResponseDelay: Duration(10 * overlapTolerance)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	}
 	want := func(again, copies int) {
 		t.Helper()
-		if a, c := s.broken(); a != again || c != copies {
+		if a, c := s.counts(); a != again || c != copies {
 			t.Errorf("%d came again, %d copies; want %d, %d", a, c, again, copies)
 		}
 	}
@@ -38,7 +38,7 @@
 	want(0, 0)
 	ask(1, "1", http.DefaultClient)
 	want(1, 0)
-	ask(0, "3", &http.Client{Timeout: overlap, Transport: &http.Transport{}})
+	ask(0, "3", &http.Client{Timeout: overlapTolerance, Transport: &http.Transport{}})
 	ask(1, "3", http.DefaultClient)
 	want(2, 0)
 	var both sync.WaitGroup
@@ -47,10 +47,10 @@
 	}
 	both.Wait()
 	want(3, 1)
-	s.freeze(5 * overlap)
+	s.freeze(5 * overlapTolerance)
 	began := time.Now()
 	ask(0, "5", http.DefaultClient)
-	if took := time.Since(began); took < 15*overlap-time.Millisecond {
+	if took := time.Since(began); took < 15*overlapTolerance-time.Millisecond {
 		t.Errorf("a frozen service answered after %s", took)
 	}
 }
--- a/internal/lab/wrong/wrong.go
+++ b/internal/lab/wrong/wrong.go
@@ -21,31 +21,31 @@
 )
 
 // Variable is the environment variable that names the mode to a process that is to be a wrong sidecar.
-const Variable = "KITEWOOD_LAB_WRONG"
+const ModeVariable = "KITEWOOD_LAB_WRONG"
 
 // Honest is the mode without a fault.
-const Honest = "honest"
+const ModeHonest = "honest"
 
 // Rules are the rules that the modes break, by mode.
-var Rules = map[string]string{
-	"twice":         ledger.RuleRepeat,
-	"refuses":       ledger.RuleRepeat,
-	"copies":        ledger.RuleCopies,
-	"never":         ledger.RuleAnswer,
-	"answers-twice": ledger.RuleAnswer,
-	"invents":       ledger.RuleAnswer,
+var RulesByMode = map[string]string{
+	"twice":         ledger.RuleNoUnsafeRetry,
+	"refuses":       ledger.RuleNoUnsafeRetry,
+	"copies":        ledger.RuleNoConcurrentAttempts,
+	"never":         ledger.RuleOneAnswer,
+	"answers-twice": ledger.RuleOneAnswer,
+	"invents":       ledger.RuleOneAnswer,
 	"drained":       ledger.RuleDrain,
-	"cold":          ledger.RuleCold,
-	"crash":         ledger.RuleCrash,
-	"gone":          ledger.RuleGone,
-	"more-time":     ledger.RuleTime,
-	"own":           ledger.RuleOwn,
+	"cold":          ledger.RuleSlowStart,
+	"crash":         ledger.RuleNoCrash,
+	"gone":          ledger.RuleClientGone,
+	"more-time":     ledger.RuleTimeLeft,
+	"own":           ledger.RuleOwnCheck,
 }
 
 // Modes are the names of Rules, sorted.
 func Modes() []string {
 	var out []string
-	for mode := range Rules {
+	for mode := range RulesByMode {
 		out = append(out, mode)
 	}
 	slices.Sort(out)
@@ -62,13 +62,13 @@
 }
 
 // wrong is a little proxy that spreads operations over a list as it was at the start, and is wrong in one way.
-type wrong struct {
-	mode    string
-	mu      sync.Mutex
-	list    []endpoint // as first known
-	latest  []endpoint // as discovery told last
-	client  http.Client
-	counter atomic.Int64
+type faultyProxy struct {
+	mode     string
+	mu       sync.Mutex
+	initial  []endpoint // as first known
+	latest   []endpoint // as discovery told last
+	client   http.Client
+	requests atomic.Int64
 }
 
 // Serve runs a sidecar of a mode by the configuration that the environment names, until it fails.
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return err
 	}
-	w := &wrong{mode: mode, list: c.Known.Endpoints, latest: c.Known.Endpoints}
+	w := &faultyProxy{mode: mode, initial: c.Known.Endpoints, latest: c.Known.Endpoints}
 	w.client.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
 	go w.watch(c.Discovery)
 	switch mode {
@@ -103,7 +103,7 @@
 }
 
 // watch learns of what starts; what drains stays on the list.
-func (w *wrong) watch(discovery string) {
+func (w *faultyProxy) watch(discovery string) {
 	r, err := http.Get("http://" + discovery + "/registry/instances?follow=1&since=1")
 	if err != nil {
 		return
@@ -124,9 +124,9 @@
 }
 
 // try sends a request to the n-th destination and gives its answer; nil if there was none.
-func (w *wrong) try(r *http.Request, body []byte, n int64) (*http.Response, []byte) {
+func (w *faultyProxy) forward(r *http.Request, body []byte, n int64) (*http.Response, []byte) {
 	w.mu.Lock()
-	to := w.list[int(n)%len(w.list)]
+	to := w.initial[int(n)%len(w.initial)]
 	if w.mode == "cold" {
 		to = w.latest[0]
 	}
@@ -150,12 +150,12 @@
 	return a, text
 }
 
-func (w *wrong) serve(out http.ResponseWriter, r *http.Request) {
+func (w *faultyProxy) serve(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health/ready" {
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	n := w.counter.Add(1)
+	n := w.requests.Add(1)
 	now := n%7 == 3 // wrong now and then, as faults are
 	if now {
 		switch w.mode {
@@ -165,26 +165,26 @@
 		case "gone": // it notices that its client has left, and sends the request all the same
 			<-r.Context().Done()
 			time.Sleep(400 * time.Millisecond)
-			w.try(r, body, n)
+			w.forward(r, body, n)
 			return
 		case "invents":
 			fmt.Fprintf(out, "%s", body)
 			return
 		case "copies":
-			go w.try(r, body, n+1)
+			go w.forward(r, body, n+1)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	a, text := w.try(r, body, n)
+	a, text := w.forward(r, body, n)
 	for k := n + 1; a != nil && a.StatusCode == 503 && k < n+4; k++ { // turned away: it never ran
-		a, text = w.try(r, body, k)
+		a, text = w.forward(r, body, k)
 	}
 	if a == nil {
 		out.WriteHeader(502)
 		return
 	}
 	if now && w.mode == "twice" {
-		a, text = w.try(r, body, n+1)
+		a, text = w.forward(r, body, n+1)
 	}
 	if now && w.mode == "refuses" {
 		out.WriteHeader(503)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,20 +16,20 @@
 
 // Rules are the times within which a change counts as told.
 type Rules struct {
-	ToldWithin time.Duration // after discovery had it and could be reached
-	AfterEnd   time.Duration // after a watch ended in order, which may be instead of telling it
-	AfterMove  time.Duration // after a reload named another discovery, which alone has it
-	Grace      time.Duration // requests may go to a server for so long after word that it drains
+	ConfirmWithin      time.Duration // after discovery had it and could be reached
+	AfterWatchEnd      time.Duration // after a watch ended in order, which may be instead of telling it
+	AfterAddressChange time.Duration // after a reload named another discovery, which alone has it
+	DrainGrace         time.Duration // requests may go to a server for so long after word that it drains
 }
 
 // Pushed are the rules where an agent beside the sidecar pushes lists: what it has counts as told at once.
-func Pushed(grace time.Duration) Rules {
-	return Rules{ToldWithin: 6 * time.Second, AfterEnd: 0, AfterMove: 4 * time.Second, Grace: grace}
+func PushRules(grace time.Duration) Rules {
+	return Rules{ConfirmWithin: 6 * time.Second, AfterWatchEnd: 0, AfterAddressChange: 4 * time.Second, DrainGrace: grace}
 }
 
 // Asked are the rules where the sidecar asks for lists.
-func Asked(grace time.Duration) Rules {
-	return Rules{ToldWithin: 6 * time.Second, AfterEnd: 2 * time.Second, AfterMove: 6 * time.Second, Grace: grace}
+func PullRules(grace time.Duration) Rules {
+	return Rules{ConfirmWithin: 6 * time.Second, AfterWatchEnd: 2 * time.Second, AfterAddressChange: 6 * time.Second, DrainGrace: grace}
 }
 
 const (
@@ -48,7 +48,7 @@
 const (
 	Unknown        Evidence = iota // nothing has been heard of it, and no call has got through
 	Up                             // a list or a sign of life came
-	Crowded                        // it refused a call at once: it is up, and tells others
+	Overloaded                     // it refused a call at once: it is up, and tells others
 	Unreachable                    // no connection to it came up
 	PresumedOutage                 // every call since the start or the break of a watch has failed without an answer
 	Inconclusive                   // a call failed without an answer
@@ -89,16 +89,16 @@
 func (l *Lease) confirmed() time.Duration { return max(l.heard, l.unreachable, l.assumed) }
 
 // Proven is when the list was last known to be current, or discovery was proven to be out of reach, without what is only assumed: a successor that began with an assumption would make one of its own on top.
-func (l *Lease) Proven() time.Duration { return max(l.heard, l.unreachable) }
+func (l *Lease) LastProven() time.Duration { return max(l.heard, l.unreachable) }
 
 // Heard is when the last word came, or the process began with its list.
-func (l *Lease) Heard() time.Duration { return l.heard }
+func (l *Lease) LastReport() time.Duration { return l.heard }
 
 // Evidence is what the last event has shown of discovery.
 func (l *Lease) Evidence() Evidence { return l.evidence }
 
 // Told takes word from the discovery of a generation: a list or a sign of life of its watch.
-func (l *Lease) Told(now time.Duration, generation int) {
+func (l *Lease) Confirm(now time.Duration, generation int) {
 	l.heard = max(l.heard, now)
 	l.evidence, l.ended = Up, false
 	l.assumed, l.outageUntil = 0, 0
@@ -109,7 +109,7 @@
 
 // Unreachable takes the end of a call to the newest discovery that got no connection. Discovery can have been back since just
 // after the call began, so that counts.
-func (l *Lease) Unreachable(began time.Duration) {
+func (l *Lease) RecordUnreachable(began time.Duration) {
 	l.unreachable = max(l.unreachable, began)
 	l.evidence, l.ended = Unreachable, false
 	for i := range l.moves {
@@ -118,7 +118,7 @@
 }
 
 // Broken takes the break of the connection of a watch that stood: watches break when discovery goes down.
-func (l *Lease) Broken(now time.Duration) {
+func (l *Lease) RecordBrokenWatch(now time.Duration) {
 	if l.outageUntil == 0 {
 		l.outageUntil = now + assumedOutage
 	}
@@ -126,7 +126,7 @@
 }
 
 // Failed takes the end of a call to the newest discovery that got through to it, and was neither answered nor refused at once.
-func (l *Lease) Failed(now time.Duration) {
+func (l *Lease) RecordFailedCall(now time.Duration) {
 	if l.outageUntil == 0 {
 		l.evidence = Inconclusive
 		return
@@ -140,13 +140,13 @@
 
 // Refused takes the refusal of a call at once: discovery can be reached, so an outage that was presumed was none. It renews
 // nothing; but the end of a watch counts only where the call after it is taken.
-func (l *Lease) Refused() {
-	l.evidence, l.ended = Crowded, false
+func (l *Lease) RecordRefusedCall() {
+	l.evidence, l.ended = Overloaded, false
 	l.assumed, l.outageUntil = 0, 0
 }
 
 // Ended takes the end, in order, of a watch that stood.
-func (l *Lease) Ended(now time.Duration) {
+func (l *Lease) RecordEndedWatch(now time.Duration) {
 	if !l.ended {
 		l.ended, l.endedAt = true, now
 	}
@@ -155,7 +155,7 @@
 
 // Moved takes a reload that names another discovery, and gives its generation. The first one is 0. What the break of a watch
 // of the old one says ends here.
-func (l *Lease) Moved(now time.Duration) (generation int) {
+func (l *Lease) AddressChanged(now time.Duration) (generation int) {
 	l.latest++
 	l.moves = append(l.moves, move{l.latest, now})
 	l.outageUntil = 0
@@ -163,13 +163,13 @@
 }
 
 // Until is when requests are held back if nothing more is heard: the lease's end.
-func (l *Lease) Until() time.Duration {
-	until := l.confirmed() + l.rules.ToldWithin
+func (l *Lease) ExpiresAt() time.Duration {
+	until := l.confirmed() + l.rules.ConfirmWithin
 	if len(l.moves) > 0 {
-		until = min(until, l.moves[0].at+l.rules.AfterMove)
+		until = min(until, l.moves[0].at+l.rules.AfterAddressChange)
 	}
 	if l.ended {
-		until = min(until, l.endedAt+l.rules.AfterEnd)
+		until = min(until, l.endedAt+l.rules.AfterWatchEnd)
 	}
-	return until + max(l.rules.Grace-margin, 0)
+	return until + max(l.rules.DrainGrace-margin, 0)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,7 +15,7 @@
 
 // Stories of one subscription, event by event: what renews the lease, and what shortens it.
 func TestLease(t *testing.T) {
-	asked, pushed := Asked(500*time.Millisecond), Pushed(500*time.Millisecond)
+	asked, pushed := PullRules(500*time.Millisecond), PushRules(500*time.Millisecond)
 	const g = 0.33 // grace less the margin
 	for name, story := range map[string]struct {
 		rules Rules
@@ -55,21 +55,21 @@
 				at := time.Duration(s.at * float64(time.Second))
 				switch s.what {
 				case "heard":
-					l.Told(at, s.arg)
+					l.Confirm(at, s.arg)
 				case "broken":
-					l.Broken(at)
+					l.RecordBrokenWatch(at)
 				case "failed":
-					l.Failed(at)
+					l.RecordFailedCall(at)
 				case "unreachable":
-					l.Unreachable(at - time.Duration(s.arg)*time.Second)
+					l.RecordUnreachable(at - time.Duration(s.arg)*time.Second)
 				case "refused":
-					l.Refused()
+					l.RecordRefusedCall()
 				case "ended":
-					l.Ended(at)
+					l.RecordEndedWatch(at)
 				case "moved":
-					l.Moved(at)
+					l.AddressChanged(at)
 				}
-				from := l.Until()
+				from := l.ExpiresAt()
 				if d := from - time.Duration(s.from*float64(time.Second)); d > time.Microsecond || d < -time.Microsecond {
 					t.Errorf("step %d, %s at %v: held from %v, want from %v", i, s.what, at, from, s.from)
 				}
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -21,11 +21,11 @@
 
 // list is the form of the file.
 type list struct {
-	Destinations []Destination `yaml:"destinations"`
+	Destinations []Endpoint `yaml:"destinations"`
 }
 
 // Destination is an entry. What is left out of the list is gone.
-type Destination struct {
+type Endpoint struct {
 	Name    string  `yaml:"name"`
 	Address string  `yaml:"address"`
 	State   string  `yaml:"state,omitempty"`   // ready or draining, ready if left out
@@ -37,7 +37,7 @@
 }
 
 // Write replaces the file of a path by a list, whole.
-func Write(path string, all []Destination) error {
+func Write(path string, all []Endpoint) error {
 	text, err := yaml.Marshal(list{all})
 	if err != nil {
 		return err
@@ -54,12 +54,12 @@
 	if err != nil {
 		return nil, err
 	}
-	wrong := f.Wrong()
+	wrong := f.NewProblemList()
 	var out []routing.Member
 	seen := map[string]bool{}
 	for i, d := range l.Destinations {
 		at := fmt.Sprintf("destinations[%d].", i)
-		m := routing.Member{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Group: d.Group, Weight: d.Weight}
+		m := routing.Member{Name: d.Name, Address: d.Address, Zone: d.Zone, Kind: d.Kind, Cell: d.Group, Weight: d.Weight}
 		if d.Name == "" || seen[d.Name] {
 			wrong.Add(at+"name", "a destination has a name of its own, not %q", d.Name)
 		}
@@ -82,7 +82,7 @@
 			if err != nil {
 				wrong.Add(at+"started", "a time like 2026-12-01T10:00:00Z is wanted, not %q", d.Started)
 			}
-			m.Since = time.Duration(t.UnixNano())
+			m.StartedAt = time.Duration(t.UnixNano())
 		}
 		out = append(out, m)
 	}
@@ -92,7 +92,7 @@
 // Source feeds a Loop from a file. It implements routing.Directory.
 type Source struct {
 	path string
-	loop routing.Lists
+	loop routing.EndpointListReceiver
 	log  *slog.Logger
 
 	mu      sync.Mutex
@@ -100,17 +100,17 @@
 	last    string
 }
 
-var _ routing.Directory = (*Source)(nil)
+var _ routing.Discovery = (*Source)(nil)
 
 // Open reads a list file and watches it until the context ends. The Loop has the list before Open returns; a file that
 // cannot be read is an error. Later a bad file is logged, and the last good list stays.
-func Open(ctx context.Context, w *filewatch.Watcher, path string, loop routing.Lists, log *slog.Logger) (*Source, error) {
+func Open(ctx context.Context, w *filewatch.Watcher, path string, loop routing.EndpointListReceiver, log *slog.Logger) (*Source, error) {
 	s := &Source{path: filepath.Clean(path), loop: loop, log: log}
 	return s, w.Watch(ctx, s.path, s.load, s.read)
 }
 
 // Follow has nothing to do: what changes is told by itself. It implements routing.Directory.
-func (s *Source) Follow(int64) {}
+func (s *Source) Watch(int64) {}
 
 // read takes the file's list if it has changed and is good.
 func (s *Source) read() {
@@ -135,7 +135,7 @@
 	}
 	s.last = string(text)
 	s.version++
-	s.loop.Pool(balance.Full, s.version, members)
+	s.loop.UpdateEndpoints(balance.Full, s.version, members)
 	s.log.Info("list of destinations read", "file", s.path, "destinations", len(members))
 	return nil
 }
--- a/internal/listfile/listfile_test.go
+++ b/internal/listfile/listfile_test.go
@@ -19,7 +19,7 @@
 	text := "destinations:\n  - {name: a, address: \"127.0.0.1:1\", started: 2026-12-01T10:00:00Z}\n  - {name: b, address: \"[::1]:2\", state: draining, weight: 2}\n"
 	got, err := Read("l.yaml", []byte(text))
 	if err != nil || len(got) != 2 || got[0].State != balance.Ready || got[0].Weight != 1 || got[1].State != balance.Draining ||
-		got[0].Since != time.Duration(time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC).UnixNano()) {
+		got[0].StartedAt != time.Duration(time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC).UnixNano()) {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for from, c := range map[string][2]string{
@@ -46,10 +46,10 @@
 			t.Fatal(err)
 		}
 	}
-	var out testkit.Log
+	var out testkit.LogBuffer
 	has := func(text string) {
 		t.Helper()
-		testkit.Until(t, "the log tells "+text, func() bool { return out.Count(text) > 0 })
+		testkit.WaitUntil(t, "the log tells "+text, func() bool { return out.Count(text) > 0 })
 	}
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := balance.Settings{Balancers: 1, Classes: []balance.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}}, Limits: balance.Limits{MaxAttempts: 1}}
+	set := balance.Settings{Balancers: 1, Classes: []balance.Class{{LatencyTarget: time.Second, Deadline: time.Second, Utility: 1}}, Limits: balance.Limits{MaxAttempts: 1}}
 	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), log)
 	if err != nil {
 		t.Fatal(err)
@@ -83,5 +83,5 @@
 	os.Remove(path)
 	has("no such file")
 	cut()
-	testkit.Until(t, "nothing is watched any more", func() bool { return w.Watched() == 0 })
+	testkit.WaitUntil(t, "nothing is watched any more", func() bool { return w.Watched() == 0 })
 }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -48,14 +48,14 @@
 }
 
 // Reading is what all proxies together saw of an endpoint.
-type Reading struct {
-	Proxies  int // whose reports count
-	Inflight float64
-	QPS      float64 // requests served a second
-	EPS      float64 // failures a second
-	Outcomes uint64  // over the last intervals
-	Failed   float64 // share of failures among them, fullFailed at the most where it is full
-	Metrics  map[string]float64
+type EndpointLoad struct {
+	Proxies      int // whose reports count
+	Inflight     float64
+	QPS          float64 // requests served a second
+	EPS          float64 // failures a second
+	Outcomes     uint64  // over the last intervals
+	FailureShare float64 // share of failures among them, fullFailed at the most where it is full
+	Metrics      map[string]float64
 }
 
 // sample is a metric of an endpoint.
@@ -69,7 +69,7 @@
 }
 
 // Own is what an endpoint told of itself.
-type Own struct {
+type EndpointReport struct {
 	QPS, EPS float64
 	Metrics  map[string]float64
 }
@@ -78,22 +78,22 @@
 type own struct {
 	at       time.Duration
 	interval time.Duration
-	Own
+	EndpointReport
 }
 
 // Loads holds the last reports. It is not safe for concurrent use.
-type Loads struct {
+type Aggregator struct {
 	proxies map[string]map[string]report // by proxy and cluster
 	own     map[string]map[string]own    // by cluster and endpoint
 }
 
 // New returns a Loads without reports.
-func New() *Loads {
-	return &Loads{proxies: map[string]map[string]report{}, own: map[string]map[string]own{}}
+func New() *Aggregator {
+	return &Aggregator{proxies: map[string]map[string]report{}, own: map[string]map[string]own{}}
 }
 
 // TakeOwn takes what an endpoint of a cluster told of itself. An interval that is not above 0 makes it void.
-func (l *Loads) TakeOwn(now time.Duration, cluster, endpoint string, interval time.Duration, o Own) {
+func (l *Aggregator) RecordEndpointReport(now time.Duration, cluster, endpoint string, interval time.Duration, o EndpointReport) {
 	if interval <= 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // Take takes a proxy's report on a cluster. An interval that is not above 0 makes the report void.
-func (l *Loads) Take(now time.Duration, proxy, cluster string, interval time.Duration, stats map[string]Stats) {
+func (l *Aggregator) RecordProxyReport(now time.Duration, proxy, cluster string, interval time.Duration, stats map[string]Stats) {
 	if interval <= 0 {
 		return
 	}
@@ -115,11 +115,11 @@
 }
 
 // Leave forgets a proxy that has gone: what it had in progress is no longer known.
-func (l *Loads) Leave(proxy string) { delete(l.proxies, proxy) }
+func (l *Aggregator) RemoveProxy(proxy string) { delete(l.proxies, proxy) }
 
 // Merge gives the readings of a cluster's endpoints. Reports that are stale are forgotten.
-func (l *Loads) Merge(now time.Duration, cluster string) map[string]Reading {
-	out := map[string]Reading{}
+func (l *Aggregator) Merge(now time.Duration, cluster string) map[string]EndpointLoad {
+	out := map[string]EndpointLoad{}
 	sums := map[sample]Metric{}
 	failed := map[string]uint64{}
 	for proxy, clusters := range l.proxies {
@@ -158,10 +158,10 @@
 	}
 	for endpoint, x := range out {
 		if x.Outcomes > 0 {
-			x.Failed = float64(failed[endpoint]) / float64(x.Outcomes)
+			x.FailureShare = float64(failed[endpoint]) / float64(x.Outcomes)
 		}
 		if x.QPS > 0 && x.QPS >= serves*served {
-			x.Failed = min(x.Failed, fullFailed)
+			x.FailureShare = min(x.FailureShare, fullFailed)
 		}
 		x.Metrics = map[string]float64{}
 		out[endpoint] = x
@@ -176,7 +176,7 @@
 		}
 		x, seen := out[endpoint]
 		if !seen {
-			x = Reading{Inflight: o.Metrics["inflight"], QPS: max(0, o.Own.QPS-o.EPS), EPS: o.EPS, Metrics: map[string]float64{}}
+			x = EndpointLoad{Inflight: o.Metrics["inflight"], QPS: max(0, o.EndpointReport.QPS-o.EPS), EPS: o.EPS, Metrics: map[string]float64{}}
 		}
 		maps.Copy(x.Metrics, o.Metrics)
 		out[endpoint] = x
@@ -185,7 +185,7 @@
 }
 
 // Age tells how old each proxy's newest report is.
-func (l *Loads) Age(now time.Duration) map[string]time.Duration {
+func (l *Aggregator) ReportAges(now time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for proxy, clusters := range l.proxies {
 		for _, r := range clusters {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -32,24 +32,24 @@
 
 // Config is how a Merger judges. A span that is 0 switches its rule off.
 type Config struct {
-	Sources    []string      // by precedence: where words are equal in rank the first one's details count
-	StaleAfter time.Duration // after which a lost source's good words count no longer
-	HoldBelow  float64       // a whole list under this share of what its source named before is held
-	HoldFor    time.Duration // for so long
-	FlapMost   int           // returns within FlapWindow from which on a destination is held back
-	FlapWindow time.Duration
-	FlapHold   time.Duration // doubles with each further return, up to FlapWindow
-	Keep       time.Duration // bad words that nobody contradicts
+	Sources         []string      // by precedence: where words are equal in rank the first one's details count
+	StaleAfter      time.Duration // after which a lost source's good words count no longer
+	QuarantineBelow float64       // a whole list under this share of what its source named before is held
+	QuarantineFor   time.Duration // for so long
+	FlapThreshold   int           // returns within FlapWindow from which on a destination is held back
+	FlapWindow      time.Duration
+	FlapSuppression time.Duration // doubles with each further return, up to FlapWindow
+	Retention       time.Duration // bad words that nobody contradicts
 }
 
 // Defaults are the figures that docs/membership.md explains.
 func Defaults(sources ...string) Config {
-	return Config{Sources: sources, StaleAfter: 30 * time.Second, HoldBelow: 0.3, HoldFor: 10 * time.Second, FlapMost: 4,
-		FlapWindow: time.Minute, FlapHold: 5 * time.Second, Keep: 10 * time.Minute}
+	return Config{Sources: sources, StaleAfter: 30 * time.Second, QuarantineBelow: 0.3, QuarantineFor: 10 * time.Second, FlapThreshold: 4,
+		FlapWindow: time.Minute, FlapSuppression: 5 * time.Second, Retention: 10 * time.Minute}
 }
 
 // At is a place in a source's own history.
-type At struct {
+type Position struct {
 	History  string // what other histories cannot be compared with
 	Revision int64  // grows within it
 }
@@ -76,7 +76,7 @@
 	name   string
 	rank   int
 	spoken bool
-	at     At
+	at     Position
 	first  int64 // revision of its history's first list
 	words  map[string]*word
 	before map[string]*word // bad words of earlier histories
@@ -118,25 +118,25 @@
 
 // take makes a word of what a source says.
 func take(now time.Duration, old *word, d routing.Member) *word {
-	if d.State != balance.Ready && d.Since == 0 {
-		d.Since = now
+	if d.State != balance.Ready && d.StartedAt == 0 {
+		d.StartedAt = now
 		if old != nil && old.State == d.State { // said again
-			d.Since = old.Since
+			d.StartedAt = old.StartedAt
 		}
 	}
 	if d.State == balance.Gone && old != nil {
-		d.Since = max(d.Since, old.Since)
+		d.StartedAt = max(d.StartedAt, old.StartedAt)
 	}
 	return &word{d, now}
 }
 
 // Whole takes a source's whole list. It tells whether the list was taken: one of an older revision of the same history is not.
-func (m *Merger) Whole(now time.Duration, from string, at At, list []routing.Member) bool {
-	return m.WholeWritten(now, from, at, list, nil)
+func (m *Merger) ApplyList(now time.Duration, from string, at Position, list []routing.Member) bool {
+	return m.ApplyListWithRevisions(now, from, at, list, nil)
 }
 
 // WholeWritten is Whole for a source that knows at which revision it was last written what stands in its list, by name.
-func (m *Merger) WholeWritten(now time.Duration, from string, at At, list []routing.Member, written map[string]int64) bool {
+func (m *Merger) ApplyListWithRevisions(now time.Duration, from string, at Position, list []routing.Member, written map[string]int64) bool {
 	s := m.sources[from]
 	if s == nil {
 		return false
@@ -178,14 +178,14 @@
 			missing[name] = true
 		}
 	}
-	suspicious := m.c.HoldFor > 0 && before > 0 && len(missing) > 0 && (len(listed) == 0 || float64(len(listed)) < m.c.HoldBelow*float64(before))
+	suspicious := m.c.QuarantineFor > 0 && before > 0 && len(missing) > 0 && (len(listed) == 0 || float64(len(listed)) < m.c.QuarantineBelow*float64(before))
 	if !suspicious {
 		s.hold = nil
 		m.leave(now, s, missing)
 		return true
 	}
 	if s.hold == nil {
-		s.hold = &hold{since: now, until: now + m.c.HoldFor, before: before}
+		s.hold = &hold{since: now, until: now + m.c.QuarantineFor, before: before}
 	}
 	s.hold.missing, s.hold.named = missing, len(listed)
 	return true
@@ -221,7 +221,7 @@
 
 // Changed takes what has changed at a source since what it said last. It tells whether that was taken: of another history, or
 // before a whole list, it is not, and the source has to tell its whole list; of an older revision it is not needed.
-func (m *Merger) Changed(now time.Duration, from string, at At, changes []routing.Member) bool {
+func (m *Merger) ApplyChanges(now time.Duration, from string, at Position, changes []routing.Member) bool {
 	s := m.sources[from]
 	if s == nil || !s.spoken || s.at.History != at.History {
 		return false
@@ -249,7 +249,7 @@
 }
 
 // Alive notes that a source has been heard and has nothing new.
-func (m *Merger) Alive(now time.Duration, from string) {
+func (m *Merger) SourceAlive(now time.Duration, from string) {
 	if s := m.sources[from]; s != nil {
 		s.heard = now
 		if s.lost && s.spoken {
@@ -260,7 +260,7 @@
 }
 
 // Lost notes that a source is not heard any more.
-func (m *Merger) Lost(now time.Duration, from string) {
+func (m *Merger) SourceLost(now time.Duration, from string) {
 	if s := m.sources[from]; s != nil && !s.lost {
 		s.lost, s.lostAt = true, now
 	}
@@ -276,7 +276,7 @@
 }
 
 // Known tells whether every source has been heard, or been lost, since the start: what is merged before may lack a bad word.
-func (m *Merger) Known() bool {
+func (m *Merger) Initialized() bool {
 	m.known = m.known || m.heardAll()
 	return m.known
 }
@@ -297,7 +297,7 @@
 
 // order compares words: about the newer start, then the worse.
 func order(a, b *word) int {
-	return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(worse[a.State], worse[b.State]))
+	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(worse[a.State], worse[b.State]))
 }
 
 // void tells whether a source's good words count no longer.
@@ -347,7 +347,7 @@
 				d := old.Member
 				d.State = balance.Gone
 				if w != nil {
-					d.Since = w.Since
+					d.StartedAt = w.StartedAt
 				}
 				out = append(out, d)
 				delete(m.shown, name)
@@ -370,7 +370,7 @@
 
 // damped is a good word, or what stands in its place while the destination is held back.
 func (m *Merger) damped(now time.Duration, name string, old, w *word) *word {
-	if m.c.FlapMost == 0 || !m.was[name] || old != nil && old.State == balance.Ready {
+	if m.c.FlapThreshold == 0 || !m.was[name] || old != nil && old.State == balance.Ready {
 		return w
 	}
 	f := m.flaps[name]
@@ -386,8 +386,8 @@
 		return w
 	}
 	f.returns = slices.DeleteFunc(append(f.returns, now), func(t time.Duration) bool { return now-t > m.c.FlapWindow })
-	if more := len(f.returns) - m.c.FlapMost; more >= 0 {
-		f.until = now + min(m.c.FlapHold<<min(more, 16), m.c.FlapWindow)
+	if more := len(f.returns) - m.c.FlapThreshold; more >= 0 {
+		f.until = now + min(m.c.FlapSuppression<<min(more, 16), m.c.FlapWindow)
 		return old
 	}
 	return w
@@ -420,7 +420,7 @@
 	for name, at := range m.gone {
 		if m.shown[name] != nil {
 			delete(m.gone, name)
-		} else if now-at > m.c.Keep && m.forget(name) {
+		} else if now-at > m.c.Retention && m.forget(name) {
 			delete(m.gone, name)
 		}
 	}
@@ -443,7 +443,7 @@
 }
 
 // Next is when Merge has something to let pass, and whether there is such a time.
-func (m *Merger) Next(now time.Duration) (time.Duration, bool) {
+func (m *Merger) NextDue(now time.Duration) (time.Duration, bool) {
 	next := time.Duration(0)
 	sooner := func(t time.Duration) {
 		if next == 0 || t < next {
