--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,7 +19,7 @@
 
 // said is a destination as a source says it.
 func said(name string, state balance.State, since time.Duration) routing.Member {
-	return routing.Member{Name: name, Address: "10.0.0.1:1", State: state, Since: since, Weight: 1}
+	return routing.Member{Name: name, Address: "10.0.0.1:1", State: state, StartedAt: since, Weight: 1}
 }
 
 // shows is the list in short: r ready, d draining.
@@ -33,11 +33,11 @@
 
 // The stories of two sources that disagree.
 func TestDisagreement(t *testing.T) {
-	at := func(rev int64) At { return At{"h", rev} }
+	at := func(rev int64) Position { return Position{"h", rev} }
 	ready, drains, gone := balance.Ready, balance.Draining, balance.Gone
 	type step struct {
 		from   string
-		at     At
+		at     Position
 		whole  bool
 		list   []routing.Member
 		want   string
@@ -79,13 +79,13 @@
 		"a source that is not configured is not heard": {
 			refused(whole("c", 1, "", said("x", ready, 0)))},
 	} {
-		m := New(Config{Sources: []string{"a", "b"}, Keep: time.Hour})
+		m := New(Config{Sources: []string{"a", "b"}, Retention: time.Hour})
 		for i, x := range story {
 			taken := false
 			if x.whole {
-				taken = m.Whole(100*s, x.from, x.at, x.list)
+				taken = m.ApplyList(100*s, x.from, x.at, x.list)
 			} else {
-				taken = m.Changed(100*s, x.from, x.at, x.list)
+				taken = m.ApplyChanges(100*s, x.from, x.at, x.list)
 			}
 			m.Merge(100 * s)
 			if got := shows(m); got != x.want || taken != x.wanted {
@@ -107,27 +107,27 @@
 // A list that suddenly names few is held, drains in it are not, and it counts after its time or not at all.
 func TestSuspiciousLists(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		m := New(Config{Sources: []string{"a"}, HoldBelow: 0.3, HoldFor: 10 * s})
-		m.Whole(0, "a", At{"h", 1}, all(10))
+		m := New(Config{Sources: []string{"a"}, QuarantineBelow: 0.3, QuarantineFor: 10 * s})
+		m.ApplyList(0, "a", Position{"h", 1}, all(10))
 		m.Merge(0)
-		m.Whole(1*s, "a", At{"h", 2}, []routing.Member{said("d00", balance.Draining, 0)})
+		m.ApplyList(1*s, "a", Position{"h", 2}, []routing.Member{said("d00", balance.Draining, 0)})
 		if out := m.Merge(1 * s); len(out) != 1 || out[0].State != balance.Draining || len(m.List()) != 10 {
 			t.Fatalf("at once: %v of %d", out, len(m.List()))
 		}
-		m.Changed(2*s, "a", At{"h", 3}, []routing.Member{said("d01", balance.Gone, 0)})
+		m.ApplyChanges(2*s, "a", Position{"h", 3}, []routing.Member{said("d01", balance.Gone, 0)})
 		if m.Merge(2 * s); len(m.List()) != 9 {
 			t.Fatalf("what is told one by one is not believed: %d", len(m.List()))
 		}
 		if _, v := m.View(2 * s); v[0].Suspicious == "" {
 			t.Error("it is not shown")
 		}
-		m.Whole(3*s, "a", At{"h", 4}, nil)
-		if at, any := m.Next(3 * s); !any || at != 11*s {
+		m.ApplyList(3*s, "a", Position{"h", 4}, nil)
+		if at, any := m.NextDue(3 * s); !any || at != 11*s {
 			t.Fatalf("its time is %s", at)
 		}
 		want := 0
 		if back {
-			m.Whole(5*s, "a", At{"h", 5}, all(4))
+			m.ApplyList(5*s, "a", Position{"h", 5}, all(4))
 			m.Merge(5 * s)
 			want = 4
 		}
@@ -138,9 +138,9 @@
 			t.Errorf("back %v: %d after its time, want %d", back, len(m.List()), want)
 		}
 	}
-	m := New(Config{Sources: []string{"a"}, HoldBelow: 0.3, HoldFor: 10 * s})
-	m.Whole(0, "a", At{"h", 1}, all(10))
-	m.Whole(1*s, "a", At{"h", 2}, all(3))
+	m := New(Config{Sources: []string{"a"}, QuarantineBelow: 0.3, QuarantineFor: 10 * s})
+	m.ApplyList(0, "a", Position{"h", 1}, all(10))
+	m.ApplyList(1*s, "a", Position{"h", 2}, all(3))
 	if m.Merge(1 * s); len(m.List()) != 3 {
 		t.Errorf("a smaller list is held: %d", len(m.List()))
 	}
@@ -148,24 +148,24 @@
 
 // A lost source's list counts while nobody else is heard, then only its bad words; it counts again when it is back.
 func TestLostSource(t *testing.T) {
-	m := New(Config{Sources: []string{"a", "b"}, StaleAfter: 30 * s, Keep: time.Hour})
-	m.Whole(0, "a", At{"h", 1}, []routing.Member{said("x", balance.Ready, 0), said("y", balance.Draining, 0)})
-	if m.Known() {
+	m := New(Config{Sources: []string{"a", "b"}, StaleAfter: 30 * s, Retention: time.Hour})
+	m.ApplyList(0, "a", Position{"h", 1}, []routing.Member{said("x", balance.Ready, 0), said("y", balance.Draining, 0)})
+	if m.Initialized() {
 		t.Error("known before all are heard")
 	}
-	m.Lost(0, "b")
-	if !m.Known() {
+	m.SourceLost(0, "b")
+	if !m.Initialized() {
 		t.Error("not known though the other is lost")
 	}
-	m.Lost(1*s, "a")
+	m.SourceLost(1*s, "a")
 	if m.Merge(100 * s); shows(m) != "x y- " {
 		t.Errorf("nobody is heard: %q", shows(m))
 	}
-	m.Whole(100*s, "b", At{"h", 1}, []routing.Member{said("y", balance.Ready, 0), said("z", balance.Ready, 0)})
+	m.ApplyList(100*s, "b", Position{"h", 1}, []routing.Member{said("y", balance.Ready, 0), said("z", balance.Ready, 0)})
 	if m.Merge(100 * s); shows(m) != "y- z " {
 		t.Errorf("another is heard: %q", shows(m))
 	}
-	m.Alive(101*s, "a")
+	m.SourceAlive(101*s, "a")
 	if m.Merge(101 * s); shows(m) != "x y- z " {
 		t.Errorf("it is back: %q", shows(m))
 	}
@@ -173,14 +173,14 @@
 
 // What returns again and again is held back; word that it is gone is not.
 func TestFlaps(t *testing.T) {
-	m := New(Config{Sources: []string{"a"}, FlapMost: 2, FlapWindow: 60 * s, FlapHold: 5 * s, Keep: time.Hour})
+	m := New(Config{Sources: []string{"a"}, FlapThreshold: 2, FlapWindow: 60 * s, FlapSuppression: 5 * s, Retention: time.Hour})
 	rev, now := int64(1), time.Duration(0)
-	m.Whole(0, "a", At{"h", rev}, []routing.Member{said("x", balance.Ready, 0)})
+	m.ApplyList(0, "a", Position{"h", rev}, []routing.Member{said("x", balance.Ready, 0)})
 	m.Merge(0)
 	tell := func(state balance.State, want string) {
 		t.Helper()
 		rev, now = rev+1, now+s
-		m.Changed(now, "a", At{"h", rev}, []routing.Member{said("x", state, 0)})
+		m.ApplyChanges(now, "a", Position{"h", rev}, []routing.Member{said("x", state, 0)})
 		if m.Merge(now); shows(m) != want {
 			t.Errorf("at %s: %q, want %q", now, shows(m), want)
 		}
@@ -191,7 +191,7 @@
 	tell(balance.Ready, "")
 	tell(balance.Gone, "")
 	tell(balance.Ready, "")
-	at, any := m.Next(now)
+	at, any := m.NextDue(now)
 	if !any || at != 9*s {
 		t.Fatalf("until %s", at)
 	}
@@ -204,11 +204,11 @@
 
 // Words that nobody contradicts are forgotten in the end, others never.
 func TestForgetting(t *testing.T) {
-	m := New(Config{Sources: []string{"a", "b"}, Keep: 10 * s})
-	m.Whole(0, "a", At{"h", 1}, all(3))
-	m.Whole(0, "b", At{"h", 1}, all(1))
+	m := New(Config{Sources: []string{"a", "b"}, Retention: 10 * s})
+	m.ApplyList(0, "a", Position{"h", 1}, all(3))
+	m.ApplyList(0, "b", Position{"h", 1}, all(1))
 	m.Merge(0)
-	m.Whole(1*s, "a", At{"h", 2}, nil)
+	m.ApplyList(1*s, "a", Position{"h", 2}, nil)
 	m.Merge(1 * s)
 	m.Merge(20 * s)
 	if e, _ := m.View(20 * s); len(e) != 1 || e[0].State != "gone" || len(m.List()) != 0 {
@@ -224,7 +224,7 @@
 		from := []string{"a", "b", "c"}
 		type op struct {
 			whole bool
-			at    At
+			at    Position
 			list  []routing.Member
 		}
 		scripts := map[string][]op{}
@@ -236,7 +236,7 @@
 				if i > 0 && x.whole && rapid.IntRange(0, 3).Draw(t, "restored") == 0 {
 					history, rev = history+1, 1
 				}
-				x.at = At{fmt.Sprint(history), rev}
+				x.at = Position{fmt.Sprint(history), rev}
 				seen := map[string]bool{}
 				for range rapid.IntRange(0, 4).Draw(t, "words") {
 					d := said(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"), rapid.SampledFrom(states).Draw(t, "state"),
@@ -257,9 +257,9 @@
 				x := scripts[name][next[name]]
 				next[name]++
 				if x.whole {
-					m.Whole(100*s, name, x.at, x.list)
+					m.ApplyList(100*s, name, x.at, x.list)
 				} else {
-					m.Changed(100*s, name, x.at, x.list)
+					m.ApplyChanges(100*s, name, x.at, x.list)
 				}
 				m.Merge(100 * s)
 			}
@@ -290,7 +290,7 @@
 						last.State = balance.Gone
 					}
 				}
-				if last.Name != "" && (last.Since > d.Since && last.State == balance.Ready || last.Since >= d.Since && worse[last.State] > worse[d.State]) {
+				if last.Name != "" && (last.StartedAt > d.StartedAt && last.State == balance.Ready || last.StartedAt >= d.StartedAt && worse[last.State] > worse[d.State]) {
 					t.Fatalf("%v is shown, though %s says %v", d, name, last)
 				}
 			}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -12,21 +12,21 @@
 
 // EntryView is a destination with what each source says of it.
 type EntryView struct {
-	Name    string     `json:"name"`
-	Address string     `json:"address"`
-	State   string     `json:"state"` // that counts
-	Words   []WordView `json:"words"`
-	Held    string     `json:"held,omitempty"` // why the state is not what the words say
+	Name           string       `json:"name"`
+	Address        string       `json:"address"`
+	State          string       `json:"state"` // that counts
+	Reports        []ReportView `json:"words"`
+	OverrideReason string       `json:"held,omitempty"` // why the state is not what the words say
 }
 
 // WordView is what one source says.
-type WordView struct {
-	Source  string `json:"source"`
-	State   string `json:"state"`
-	AgeMS   int64  `json:"age_ms"`            // since it was said
-	SinceMS int64  `json:"since_ms"`          // the start that it is about, Unix time; 0 for long ago
-	Earlier bool   `json:"earlier,omitempty"` // of an earlier history of the source
-	Stale   bool   `json:"stale,omitempty"`   // the source is lost
+type ReportView struct {
+	Source             string `json:"source"`
+	State              string `json:"state"`
+	AgeMS              int64  `json:"age_ms"`            // since it was said
+	SinceMS            int64  `json:"since_ms"`          // the start that it is about, Unix time; 0 for long ago
+	FromEarlierHistory bool   `json:"earlier,omitempty"` // of an earlier history of the source
+	Stale              bool   `json:"stale,omitempty"`   // the source is lost
 }
 
 // SourceView is how a source stands.
@@ -69,20 +69,20 @@
 			e.State, e.Address = words[w.State], w.Address
 		}
 		if f := m.flaps[name]; f != nil && f.until > now {
-			e.Held = fmt.Sprintf("it returned %d times; held back for %.1f s more", len(f.returns), (f.until - now).Seconds())
+			e.OverrideReason = fmt.Sprintf("it returned %d times; held back for %.1f s more", len(f.returns), (f.until - now).Seconds())
 		}
 		for _, from := range m.c.Sources {
 			s := m.sources[from]
 			say := func(w *word, earlier bool) {
 				if w != nil {
 					e.Address = cmp.Or(e.Address, w.Address)
-					e.Words = append(e.Words, WordView{from, words[w.State], (now - w.came).Milliseconds(), w.Since.Milliseconds(), earlier, s.lost})
+					e.Reports = append(e.Reports, ReportView{from, words[w.State], (now - w.came).Milliseconds(), w.StartedAt.Milliseconds(), earlier, s.lost})
 				}
 			}
 			say(s.words[name], false)
 			say(s.before[name], true)
 			if s.hold != nil && s.hold.missing[name] {
-				e.Held = cmp.Or(e.Held, from+" leaves it out of a list that is not believed yet")
+				e.OverrideReason = cmp.Or(e.OverrideReason, from+" leaves it out of a list that is not believed yet")
 			}
 		}
 		entries = append(entries, e)
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -57,9 +57,9 @@
 
 // Counts tell how the streams of a Watcher stand.
 type Counts struct {
-	Asked   int `json:"asked"`   // destinations
-	Told    int `json:"told"`    // of them that have told their load
-	Without int `json:"without"` // of them that do not offer the service
+	Watched     int `json:"asked"`   // destinations
+	Reporting   int `json:"told"`    // of them that have told their load
+	Unsupported int `json:"without"` // of them that do not offer the service
 }
 
 // New returns a Watcher that asks for a report at every interval until the context ends, and hands each to take, which may
@@ -69,7 +69,7 @@
 }
 
 // Follow asks exactly these addresses from now on. Streams to those that were asked already stay.
-func (w *Watcher) Follow(addresses []string) {
+func (w *Watcher) SetAddresses(addresses []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	wanted := make(map[string]bool, len(addresses))
@@ -94,13 +94,13 @@
 func (w *Watcher) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := Counts{Asked: len(w.streams)}
+	c := Counts{Watched: len(w.streams)}
 	for _, s := range w.streams {
 		if s.told > 0 {
-			c.Told++
+			c.Reporting++
 		}
 		if s.without {
-			c.Without++
+			c.Unsupported++
 		}
 	}
 	return c
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -60,17 +60,17 @@
 		t.Fatal(err)
 	}
 	defer none.Stop()
-	w.Follow([]string{loaded.Address, none.Address})
-	testkit.Until(t, "five reports", func() bool { return b.count(loaded.Address) >= 5 })
-	testkit.Until(t, "one is known not to offer it", func() bool { return w.Counts() == Counts{Asked: 2, Told: 1, Without: 1} })
+	w.SetAddresses([]string{loaded.Address, none.Address})
+	testkit.WaitUntil(t, "five reports", func() bool { return b.count(loaded.Address) >= 5 })
+	testkit.WaitUntil(t, "one is known not to offer it", func() bool { return w.Counts() == Counts{Watched: 2, Reporting: 1, Unsupported: 1} })
 	if r := b.last[loaded.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
 		t.Errorf("%+v", r)
 	}
-	loaded.Break()
+	loaded.BreakStreams()
 	n := b.count(loaded.Address)
-	testkit.Until(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
-	w.Follow(nil)
-	testkit.Until(t, "the stream ends", func() bool { return loaded.Streams() == 0 })
+	testkit.WaitUntil(t, "it is asked again", func() bool { return b.count(loaded.Address) > n+1 })
+	w.SetAddresses(nil)
+	testkit.WaitUntil(t, "the stream ends", func() bool { return loaded.OpenStreams() == 0 })
 }
 
 // gRPC's own service, which we did not write, is understood: its first report comes at once.
@@ -89,8 +89,8 @@
 	}
 	go g.Serve(ln)
 	defer g.Stop()
-	w.Follow([]string{ln.Addr().String()})
-	testkit.Until(t, "a report", func() bool { return b.count(ln.Addr().String()) > 0 })
+	w.SetAddresses([]string{ln.Addr().String()})
+	testkit.WaitUntil(t, "a report", func() bool { return b.count(ln.Addr().String()) > 0 })
 	if r := b.last[ln.Addr().String()]; r.Metrics["cpu_utilization"] != 0.25 || r.Metrics["queue"] != 0.75 {
 		t.Errorf("%+v", r)
 	}
@@ -113,8 +113,8 @@
 		t.Fatal(err)
 	}
 	defer x.Stop()
-	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).Follow([]string{x.Address})
-	testkit.Until(t, "a stream", func() bool { return x.Streams() == 1 })
+	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).SetAddresses([]string{x.Address})
+	testkit.WaitUntil(t, "a stream", func() bool { return x.OpenStreams() == 1 })
 	cancel()
-	testkit.Until(t, "none", func() bool { return x.Streams() == 0 })
+	testkit.WaitUntil(t, "none", func() bool { return x.OpenStreams() == 0 })
 }
--- a/internal/pools/chain_test.go
+++ b/internal/pools/chain_test.go
@@ -76,7 +76,7 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	if w, err := chain.Parse(b.came("/ok0")[0]); err != nil || w.Repeats != 1 || w.Worth != 3 || strings.Join(w.Via, ",") != "a" || w.Left <= 0 {
+	if w, err := chain.Parse(b.came("/ok0")[0]); err != nil || w.Retries != 1 || w.Utility != 3 || strings.Join(w.Via, ",") != "a" || w.TimeLeft <= 0 {
 		t.Errorf("%+v %v", w, err)
 	}
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 			t.Errorf("%s %q: %d %v, %d attempts, want %+v", c.path, c.word, r.StatusCode, r.Header, len(got), c)
 		}
 	}
-	if w, err := chain.Parse(b.came("/further")[0]); err != nil || w.Worth != 2 || strings.Join(w.Via, ",") != "b,c,a" {
+	if w, err := chain.Parse(b.came("/further")[0]); err != nil || w.Utility != 2 || strings.Join(w.Via, ",") != "b,c,a" {
 		t.Errorf("%+v %v", w, err)
 	}
 }
--- a/internal/pools/limits.go
+++ b/internal/pools/limits.go
@@ -32,7 +32,7 @@
 	for _, w := range f.Wholes() {
 		var err error
 		if limit := l.all[w.Key]; limit != nil {
-			err = limit.Set(w.Units, w.Parts(f))
+			err = limit.Resize(w.Units, w.Parts(f))
 		} else {
 			l.all[w.Key], err = share.New(w.Units, w.Parts(f))
 		}
@@ -44,11 +44,11 @@
 }
 
 // uses is what each pool holds of a limit.
-func (l *limits) uses(key string) (whole, used int, pools map[string]share.Use) {
+func (l *limits) uses(key string) (whole, used int, pools map[string]share.Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	whole, used = l.all[key].Whole()
-	return whole, used, l.all[key].Uses()
+	whole, used = l.all[key].Total()
+	return whole, used, l.all[key].Usage()
 }
 
 // gate is a pool's share of operations, of those parked, and of memory. It implements transport.Gate.
@@ -57,10 +57,10 @@
 	pool string
 }
 
-var _ transport.Gate = gate{}
+var _ transport.AdmissionController = gate{}
 
 // Enter takes an operation's room, all of it or none.
-func (g gate) Enter(body int) (transport.Pass, bool) {
+func (g gate) Admit(body int) (transport.Admission, bool) {
 	kb := (body + 1023) >> 10
 	units := [...]struct {
 		key string
@@ -69,11 +69,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, u := range units {
-		if g.all[u.key].Take(g.now(), g.pool, u.n) {
+		if g.all[u.key].Acquire(g.now(), g.pool, u.n) {
 			continue
 		}
 		for _, taken := range units[:i] {
-			g.all[taken.key].Give(g.pool, taken.n)
+			g.all[taken.key].Release(g.pool, taken.n)
 		}
 		return nil, false
 	}
@@ -96,17 +96,17 @@
 
 func (p *pass) unpark() {
 	if !p.parked.Swap(true) {
-		p.all["parked"].Give(p.pool, 1)
+		p.all["parked"].Release(p.pool, 1)
 	}
 }
 
 // Leave gives back all.
-func (p *pass) Leave() {
+func (p *pass) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unpark()
-	p.all["operations"].Give(p.pool, 1)
-	p.all["memory_kb"].Give(p.pool, p.kb)
+	p.all["operations"].Release(p.pool, 1)
+	p.all["memory_kb"].Release(p.pool, p.kb)
 }
 
 // room is a pool's share of connections. It implements transport.Room.
@@ -115,10 +115,10 @@
 	pool string
 }
 
-var _ transport.Room = room{}
+var _ transport.ConnLimiter = room{}
 
 // Take takes one. Where others have borrowed what is the pool's own, one that stands idle is closed for it.
-func (r room) Take() bool {
+func (r room) Acquire() bool {
 	if r.take() {
 		return true
 	}
@@ -137,12 +137,12 @@
 func (r room) take() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.all["connections"].Take(r.now(), r.pool, 1)
+	return r.all["connections"].Acquire(r.now(), r.pool, 1)
 }
 
 // Give gives one back.
-func (r room) Give() {
+func (r room) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all["connections"].Give(r.pool, 1)
+	r.all["connections"].Release(r.pool, 1)
 }
--- a/internal/pools/pool.go
+++ b/internal/pools/pool.go
@@ -23,11 +23,11 @@
 	cancel       context.CancelFunc
 	loop         *routing.Loop
 	log          *slog.Logger
-	destinations *transport.Destinations
-	watch        routing.Directory
-	discovery    *transport.Directory // nil where the list is a file
+	destinations *transport.ConnectionPool
+	watch        routing.Discovery
+	discovery    *transport.DiscoveryClient // nil where the list is a file
 	classes      []protocol.Class
-	service      transport.Service
+	service      transport.Backend
 }
 
 // idleShare of the time that destinations keep an idle connection is how long it is used here: one that its peer closes
@@ -40,7 +40,7 @@
 // prepare makes a pool that does not run yet. Its list has been read if it is a file.
 func (s *Set) prepare(f *config.File, conf *config.Pool) (*pool, error) {
 	log := s.log.With("pool", conf.Name)
-	module := conf.Module(f.SeedOf(conf.Name))
+	module := conf.BalancerSettings(f.SeedOf(conf.Name))
 	loop, err := routing.New(module, routing.Names{Zones: conf.Zones, Kinds: conf.Kinds}, s.clock, log)
 	if err != nil {
 		return nil, err
@@ -49,33 +49,33 @@
 	p := &pool{name: conf.Name, conf: *conf, loop: loop, log: log}
 	p.ctx, p.cancel = context.WithCancel(s.ctx)
 	if conf.Members.Discovery != "" {
-		p.discovery = transport.NewDirectory(p.ctx, conf.Members.Discovery, loop, log)
-		p.discovery.Clock, p.discovery.OnHold = s.clock, loop.Hold
-		p.discovery.AtOnce = true // the pool has no list of its own
-		p.discovery.Seed, p.discovery.Grace = f.SeedOf(conf.Name+"/discovery"), module.Rules.DrainGrace
+		p.discovery = transport.NewDiscoveryClient(p.ctx, conf.Members.Discovery, loop, log)
+		p.discovery.Clock, p.discovery.OnLeaseExpiry = s.clock, loop.SetLeaseExpiry
+		p.discovery.NoInitialDelay = true // the pool has no list of its own
+		p.discovery.Seed, p.discovery.DrainGrace = f.SeedOf(conf.Name+"/discovery"), module.Rules.DrainGrace
 		p.watch = p.discovery
 	} else if p.watch, err = s.source(p.ctx, conf.Members.File, loop, log); err != nil {
 		p.cancel()
 		return nil, err
 	}
-	options := transport.Options{Clock: s.clock, ConnectTimeout: conf.Connections.Timeout.D(),
-		IdleFor: time.Duration(float64(conf.Connections.Idle) * idleShare), Room: room{s.limits, conf.Name}, PassErrors: true,
-		Fields: conf.Reports.Fields, ProbePath: "/health/live", Log: log}
-	if conf.Reports.Via != "none" {
+	options := transport.ConnectionPoolOptions{Clock: s.clock, ConnectTimeout: conf.Connections.Timeout.D(),
+		IdleTimeout: time.Duration(float64(conf.Connections.Idle) * idleShare), ConnectionLimiter: room{s.limits, conf.Name}, ForwardClientErrors: true,
+		LoadFields: conf.Reports.Fields, ProbePath: "/health/live", Log: log}
+	if conf.Reports.Source != "none" {
 		options.ProbePath = "/stats"
 	}
 	var worths []float64
 	for _, c := range conf.Classes {
 		worths = append(worths, c.Worth)
 	}
-	p.service = transport.Service{Loop: loop, Gate: gate{s.limits, conf.Name}, Advice: min(fullAdvice, conf.RetryAfter.D()), Worths: worths,
+	p.service = transport.Backend{Loop: loop, Admission: gate{s.limits, conf.Name}, RetryAfter: min(fullAdvice, conf.RetryAfter.D()), Utilities: worths,
 		Origin: textproto.CanonicalMIMEHeaderKey(conf.Origin)}
 	if c := conf.Chain; c != nil {
-		options.Chain, options.PassDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RepeatDeclined
-		p.service.Chain = transport.NewChain(options.Chain, chain.Limits{Service: c.Service, Hops: c.Hops, Repeats: c.Repeats},
+		options.ChainHeader, options.ForwardDeclined = textproto.CanonicalMIMEHeaderKey(c.Header), !c.RepeatDeclined
+		p.service.Chain = transport.NewChain(options.ChainHeader, chain.Limits{Service: c.Service, MaxHops: c.Hops, MaxRetries: c.Repeats},
 			f.SeedOf(conf.Name+"/chain"), s.clock.Now, log)
 	}
-	p.destinations = transport.NewDestinations(options)
+	p.destinations = transport.NewConnectionPool(options)
 	for _, c := range conf.Classes {
 		p.classes = append(p.classes, protocol.Class{Name: c.Name, Methods: c.Methods, Deadline: c.Deadline.D()})
 	}
@@ -83,7 +83,7 @@
 }
 
 // source watches a list file, by the one watcher of the process, which is made for the first.
-func (s *Set) source(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Directory, error) {
+func (s *Set) source(ctx context.Context, path string, loop *routing.Loop, log *slog.Logger) (routing.Discovery, error) {
 	if s.watcher == nil {
 		var err error
 		if s.watcher, err = filewatch.New(s.ctx, s.log); err != nil {
@@ -96,12 +96,12 @@
 // succeed has the pool take the place of another. Where both ask discovery it goes on with the list that the other had, until
 // discovery tells it one.
 func (p *pool) succeed(old *pool) {
-	p.loop.Succeed(old.loop)
+	p.loop.TakeOver(old.loop)
 	if p.discovery == nil || old.discovery == nil {
 		return
 	}
-	p.discovery.Succeed(old.discovery)
-	if !p.loop.Inherit(old.loop, viewWithin) {
+	p.discovery.TakeOver(old.discovery)
+	if !p.loop.InheritEndpoints(old.loop, viewWithin) {
 		p.log.Warn("the list of the pool before is not known: its loop does not answer")
 	}
 }
@@ -112,7 +112,7 @@
 // adopt takes what may change while the pool runs.
 func (p *pool) adopt(conf *config.Pool) {
 	if p.discovery != nil && conf.Members.Discovery != p.conf.Members.Discovery {
-		p.discovery.Move(conf.Members.Discovery)
+		p.discovery.SwitchAddress(conf.Members.Discovery)
 	}
 	p.conf = *conf
 }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -156,7 +156,7 @@
 	for range 4 {
 		go func() { status, _, _ := p.ask("x", "/a"); ended <- status }()
 	}
-	testkit.Until(t, "four operations are open", func() bool { _, _, u := p.limits.uses("operations"); return u["a"].Used == 4 })
+	testkit.WaitUntil(t, "four operations are open", func() bool { _, _, u := p.limits.uses("operations"); return u["a"].Used == 4 })
 	for range 20 {
 		status, _, head := p.ask("x", "/a")
 		if status != 503 || head.Get("Retry-After") == "" {
@@ -168,7 +168,7 @@
 	for range 4 {
 		<-ended
 	}
-	testkit.Until(t, "all is given back", func() bool {
+	testkit.WaitUntil(t, "all is given back", func() bool {
 		for _, key := range []string{"operations", "parked", "memory_kb"} {
 			if _, used, _ := p.limits.uses(key); used != 0 {
 				return false
@@ -191,7 +191,7 @@
 	kept := p.pools["b"]
 	answered := make(chan string, 1)
 	go func() { _, text, _ := p.ask("x", "/a"); answered <- text }()
-	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
+	testkit.WaitUntil(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
 	if err := p.take(only); err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	p.want("x", "/a", 200, "a")
-	testkit.Until(t, "the removed pool is forgotten", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.retired) == 0 })
+	testkit.WaitUntil(t, "the removed pool is forgotten", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.retired) == 0 })
 	before := p.pools["a"]
 	os.Remove(filepath.Join(p.dir, "b.yaml"))
 	bad := "pools:\n" + entry("a", "4s", "") + entry("c", "2s", "") + "routes: [{path: /c, pool: c}]\n"
@@ -232,7 +232,7 @@
 		"routes: [{path: /a, pool: a}, {path: /b, pool: b}]\n")
 	r := room{p.limits, "a"}
 	p.want("x", "/b", 200, "b") // one idle connection
-	testkit.Until(t, "b's connection is idle", func() bool { _, used, _ := p.limits.uses("connections"); return used == 1 })
+	testkit.WaitUntil(t, "b's connection is idle", func() bool { _, used, _ := p.limits.uses("connections"); return used == 1 })
 	rb := room{p.limits, "b"}
 	for rb.take() {
 	}
@@ -244,7 +244,7 @@
 	for r.take() {
 		n++
 	}
-	if !r.Take() || r.Take() {
+	if !r.Acquire() || r.Acquire() {
 		t.Errorf("after %d spare ones a gets the one that b left idle, and no more", n)
 	}
 }
@@ -266,7 +266,7 @@
 	}
 	answered := make(chan int, 1)
 	go func() { status, _, _ := p.ask("x", "/a"); answered <- status }()
-	testkit.Until(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
+	testkit.WaitUntil(t, "the operation is at its destination", func() bool { return a.open.Load() == 1 })
 	s, err := Ask(path)
 	if err != nil || len(s.Pools) != 2 || s.Pools[0].Name != "a" || s.Pools[0].Open != 1 || s.Pools[0].Destinations[0].InFlight != 1 ||
 		s.Pools[0].Destinations[0].State != "ready" || s.Pools[0].Shares["operations"].Used != 1 || s.Limits["operations"].Used != 1 {
@@ -283,7 +283,7 @@
 		t.Errorf("answered %d", status)
 	}
 	cancel()
-	testkit.Until(t, "the socket is closed", func() bool { _, err := Ask(path); return err != nil })
+	testkit.WaitUntil(t, "the socket is closed", func() bool { _, err := Ask(path); return err != nil })
 }
 
 // A pool whose settings change while discovery says nothing goes on with the list that its predecessor had: what was ready is
@@ -306,7 +306,7 @@
 			discovery.Listener.Addr(), deadline)
 	}
 	p := start(t, nil, text("2s"))
-	testkit.Until(t, "the list is there", func() bool { return len(p.Status().Pools[0].Destinations) == 2 })
+	testkit.WaitUntil(t, "the list is there", func() bool { return len(p.Status().Pools[0].Destinations) == 2 })
 	silent.Store(true)
 	if err := p.take(text("3s")); err != nil {
 		t.Fatal(err)
--- a/internal/pools/set.go
+++ b/internal/pools/set.go
@@ -30,7 +30,7 @@
 
 	mu        sync.Mutex // held by Apply, and by those who look
 	file      *config.File
-	front     *transport.Front
+	front     *transport.Server
 	listeners map[string]net.Listener
 	watcher   *filewatch.Watcher // nil until a pool needs it
 	pools     map[string]*pool
@@ -109,11 +109,11 @@
 	}
 	find := directions(f, table, pools)
 	if s.front == nil {
-		s.front = transport.NewFront(s.clock, find, f.Budget(), s.log)
+		s.front = transport.NewServer(s.clock, find, f.Budget(), s.log)
 		s.front.UseGuard(s.guard)
 	} else {
-		s.front.Lead(find)
-		s.front.Keep(f.Budget())
+		s.front.SetRoutes(find)
+		s.front.SetBudget(f.Budget())
 	}
 	for address, ln := range s.listeners {
 		if listeners[address] == nil {
@@ -139,24 +139,24 @@
 }
 
 // directions lead requests by a table to the pools of a configuration.
-func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Directions {
+func directions(f *config.File, table *route.Table, pools map[string]*pool) transport.Router {
 	type way struct {
-		to      *transport.Service
+		to      *transport.Backend
 		classes []protocol.Class
 		as      string
 	}
 	ways := make([]way, len(f.Routes))
 	for i, r := range f.Routes {
 		p := pools[r.Pool]
-		ways[i] = way{&p.service, p.classes, r.As}
+		ways[i] = way{&p.service, p.classes, r.DefaultClass}
 	}
-	return func(m *protocol.Message) (*transport.Service, protocol.Operation, error) {
-		i, bad := table.Match(route.Request{Target: m.Start[1], Header: m.Header, Class: m.Stated()})
+	return func(m *protocol.Message) (*transport.Backend, protocol.RequestMeta, error) {
+		i, bad := table.Match(route.Request{Target: m.StartLine[1], Header: m.Header, Class: m.StatedClass()})
 		if bad != nil {
-			return nil, protocol.Operation{}, &protocol.Error{Status: bad.Status, Why: bad.Why}
+			return nil, protocol.RequestMeta{}, &protocol.Error{Status: bad.Status, Reason: bad.Reason}
 		}
-		m.Origin()
-		op, err := protocol.ReadRouted(m, ways[i].classes, ways[i].as)
+		m.ToOriginForm()
+		op, err := protocol.ReadRoutedRequestMeta(m, ways[i].classes, ways[i].as)
 		return ways[i].to, op, err
 	}
 }
@@ -184,7 +184,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[name]
-	return p != nil && p.destinations.Evict()
+	return p != nil && p.destinations.EvictOldestIdle()
 }
 
 // Owed tells how many operations have no answer yet.
@@ -192,10 +192,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pools {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	for p := range s.retired {
-		n += p.loop.Owed()
+		n += p.loop.PendingRequests()
 	}
 	return n
 }
--- a/internal/pools/status.go
+++ b/internal/pools/status.go
@@ -46,7 +46,7 @@
 	Destinations []DestinationStatus `json:"destinations"`
 	Counts       map[string]uint64   `json:"counts"` // requests, attempts, refusals, retries and lists since the start, by name
 
-	Discovery *transport.DirectoryState `json:"discovery,omitempty"` // where its list comes from there
+	Discovery *transport.DiscoveryState `json:"discovery,omitempty"` // where its list comes from there
 }
 
 // Use is what a pool holds of a limit. Borrowed units are a part of those used.
@@ -82,7 +82,7 @@
 		Listeners: slices.Sorted(maps.Keys(s.listeners))}
 	out.Violations, out.Denials = s.guard.Violations(), s.guard.Denials()
 	if s.front != nil {
-		out.Closings = s.front.Closings()
+		out.Closings = s.front.CloseCounts()
 	}
 	s.mu.Unlock()
 	var memory runtime.MemStats
@@ -107,7 +107,7 @@
 				if out.Pools[i].Shares == nil {
 					out.Pools[i].Shares = map[string]Use{}
 				}
-				out.Pools[i].Shares[key] = Use{u.Guaranteed, u.Most, u.Used, u.Borrowed}
+				out.Pools[i].Shares[key] = Use{u.Guaranteed, u.Max, u.Used, u.Borrowed}
 			}
 		}
 	}
@@ -123,28 +123,28 @@
 	}
 	v, ok := p.loop.View(viewWithin)
 	if out.Stuck = !ok; out.Stuck {
-		out.Open = p.loop.Owed()
+		out.Open = p.loop.PendingRequests()
 		return out
 	}
-	out.Index, out.Open, out.Parked, out.Level, out.Below = v.Index, v.Open, v.Parked, v.Level, v.Below
+	out.Index, out.Open, out.Parked, out.Level, out.Below = v.Index, v.Pending, v.Queued, v.ShedLevel, v.DownstreamShed
 	out.Counts = v.Metrics.Counts()
-	for _, d := range v.Destinations {
+	for _, d := range v.Endpoints {
 		out.Destinations = append(out.Destinations, DestinationStatus{Name: d.Name, Address: d.Address, State: state(d), Weight: d.Weight,
-			Utilisation: d.Utilisation, Failed: d.Failed, InFlight: d.Out, HeldOffMS: d.HeldOff.Milliseconds()})
+			Utilisation: d.Utilisation, Failed: d.FailureRatio, InFlight: d.InFlight, HeldOffMS: d.EjectedFor.Milliseconds()})
 	}
 	return out
 }
 
 // state is a destination's state in one word.
-func state(d routing.DestinationView) string {
+func state(d routing.EndpointView) string {
 	switch {
 	case d.State == balance.Draining:
 		return "draining"
-	case d.HeldOff > 0 && d.Trial:
+	case d.EjectedFor > 0 && d.Probation:
 		return "ejected"
-	case d.HeldOff > 0:
+	case d.EjectedFor > 0:
 		return "held off"
-	case d.Trial:
+	case d.Probation:
 		return "trial"
 	case !d.Tracked:
 		return "untracked"
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -23,8 +23,8 @@
 	Name, Listen, Discovery string
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   protocol.EndpointList // the list as this sidecar last had it; it may be old
-	Module                  balance.Settings
+	CachedEndpoints         protocol.EndpointList // the list as this sidecar last had it; it may be old
+	Balancer                balance.Settings
 	Classes                 []protocol.Class
 	Zones, Kinds            []string
 	LoadFields              []string
@@ -115,14 +115,14 @@
 		return nil, errors.New("seed: it must be up to 16 hexadecimal digits")
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = protocol.ReadEndpointList(f.Known); err != nil {
+		if c.CachedEndpoints, err = protocol.ReadEndpointList(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings are missing")
 	}
-	if c.Module, err = wire.Settings(f.Settings, seed); err != nil {
+	if c.Balancer, err = wire.ParseSettings(f.Settings, seed); err != nil {
 		return nil, err
 	}
 	var s socketSettings
@@ -145,7 +145,7 @@
 		return nil, errors.New("settings: permissions.connIdleS and permissions.connectTimeoutS must be above 0")
 	}
 	// A module that does not take its settings says so here, not when the sidecar already serves.
-	if _, err := routing.New(c.Module, routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
+	if _, err := routing.New(c.Balancer, routing.Names{}, routing.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n4" || c.Module.Seed != 0x8c1f30d27a5be964 || len(c.Known.Destinations) != 1 || c.Sockets != 1024 ||
+	if c.Name != "n4" || c.Balancer.Seed != 0x8c1f30d27a5be964 || len(c.CachedEndpoints.Endpoints) != 1 || c.Sockets != 1024 ||
 		c.Classes[0].Methods[0] != "GET" || c.Classes[1].Methods[0] != "POST" || c.Classes[1].Deadline != 4*time.Second ||
 		c.ConnTimeout != 250*time.Millisecond || c.Kinds[1] != "m2" {
 		t.Errorf("%+v", c)
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -44,28 +44,28 @@
 
 	clock := routing.NewClock()
 	budget := transport.NewBudget(c.Sockets, int64(c.MemoryMB)<<20)
-	options := transport.Options{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleFor: c.ConnIdle * 7 / 10,
-		Room: transport.NewRoom(budget.Destinations), Fields: c.LoadFields, ProbePath: "/health/live", Log: log}
-	if c.Module.Report.Via != balance.NoReports {
+	options := transport.ConnectionPoolOptions{Clock: clock, ConnectTimeout: c.ConnTimeout, IdleTimeout: c.ConnIdle * 7 / 10,
+		ConnectionLimiter: transport.NewConnLimiter(budget.UpstreamConns), LoadFields: c.LoadFields, ProbePath: "/health/live", Log: log}
+	if c.Balancer.Report.Source != balance.NoReports {
 		options.ProbePath = "/stats"
 	}
-	destinations := transport.NewDestinations(options)
-	loop, err := routing.New(c.Module, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
+	destinations := transport.NewConnectionPool(options)
+	loop, err := routing.New(c.Balancer, routing.Names{Zones: c.Zones, Kinds: c.Kinds}, clock, log)
 	if err != nil {
 		return err
 	}
 	invariants := guard.New(log)
 	loop.UseGuard(invariants)
-	directory := transport.NewDirectory(ctx, c.Discovery, loop, log)
-	directory.Pushed, directory.Grace = !c.Module.Ask, c.Module.Rules.DrainGrace
-	directory.Seed = c.Module.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
-	directory.Clock, directory.OnHold = clock, loop.Hold
-	directory.AtOnce = len(c.Known.Destinations) == 0
-	service := &transport.Service{Loop: loop}
-	if c.Module.Limits.RetryAfter {
-		service.Advice = min(stuckAdvice, c.Module.Limits.MaxRetryAfter)
+	directory := transport.NewDiscoveryClient(ctx, c.Discovery, loop, log)
+	directory.Pushed, directory.DrainGrace = !c.Balancer.PollDiscovery, c.Balancer.Rules.DrainGrace
+	directory.Seed = c.Balancer.Seed ^ xxhash.Sum64String(c.Listen) // calls of sidecars with one seed must not come together
+	directory.Clock, directory.OnLeaseExpiry = clock, loop.SetLeaseExpiry
+	directory.NoInitialDelay = len(c.CachedEndpoints.Endpoints) == 0
+	service := &transport.Backend{Loop: loop}
+	if c.Balancer.Limits.RetryAfter {
+		service.RetryAfter = min(stuckAdvice, c.Balancer.Limits.MaxRetryAfter)
 	}
-	front := transport.NewFront(clock, transport.OnePool(service, c.Classes), budget, log)
+	front := transport.NewServer(clock, transport.SinglePoolRouter(service, c.Classes), budget, log)
 
 	front.UseGuard(invariants)
 
@@ -75,20 +75,20 @@
 	}
 	defer ln.Close()
 	go loop.Run(ctx, destinations, directory)
-	loop.Pool(balance.Cached, c.Known.Index, transport.Members(c.Known))
+	loop.UpdateEndpoints(balance.Cached, c.CachedEndpoints.Index, transport.Members(c.CachedEndpoints))
 	if directory.Pushed { // the module asks for no watch; what the agent beside the sidecar has counts as told already
-		directory.Follow(c.Known.Index)
+		directory.Watch(c.CachedEndpoints.Index)
 	}
 	go front.Serve(ln)
-	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Module.Tier, "destinations", len(c.Known.Destinations))
+	log.Info("serving", "name", c.Name, "listen", c.Listen, "tier", c.Balancer.Tier, "destinations", len(c.CachedEndpoints.Endpoints))
 
-	untilStopped(ctx, signals, log, loop.Owed, func() error {
+	untilStopped(ctx, signals, log, loop.PendingRequests, func() error {
 		next, err := Reload(env)
 		if err != nil {
 			return err
 		}
 		log.Info("configuration read again: discovery is taken from it, all else at the next start", "discovery", next.Discovery)
-		directory.Move(next.Discovery)
+		directory.SwitchAddress(next.Discovery)
 		return nil
 	})
 	longest := time.Duration(0)
@@ -97,10 +97,10 @@
 	}
 	front.Stop(ctx, min(longest, stopLongest)+stopMargin, ln)
 	if v, ok := loop.View(viewWithin); ok {
-		log.Info("counts", "requests", &v.Metrics, "connections", front.Closings(), "violations", invariants.Violations(), "denials", invariants.Denials(),
+		log.Info("counts", "requests", &v.Metrics, "connections", front.CloseCounts(), "violations", invariants.Violations(), "denials", invariants.Denials(),
 			"discovery", directory.State())
 	}
-	log.Info("stopped", "owed", loop.Owed())
+	log.Info("stopped", "owed", loop.PendingRequests())
 	return nil
 }
 
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -18,13 +18,13 @@
 
 // EndpointList is discovery's list of destinations, whole or only what changed.
 type EndpointList struct {
-	Index        int64
-	Whole        bool
-	Destinations []Destination
+	Index     int64
+	Snapshot  bool
+	Endpoints []Endpoint
 }
 
 // Destination is an entry of an endpoint list.
-type Destination struct {
+type Endpoint struct {
 	Name    string
 	Address string
 	Zone    string
@@ -55,9 +55,9 @@
 	if raw.Index == nil {
 		return list, fmt.Errorf("endpoint list: index is missing")
 	}
-	list.Index, list.Whole = *raw.Index, raw.Snapshot
+	list.Index, list.Snapshot = *raw.Index, raw.Snapshot
 	for i, e := range raw.Endpoints {
-		d := Destination{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Group: e.Group, Weight: e.Weight,
+		d := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Group: e.Group, Weight: e.Weight,
 			SinceMS: max(e.SinceMS, 0)}
 		switch e.Status {
 		case "Ready":
@@ -75,7 +75,7 @@
 		if _, err := netip.ParseAddrPort(d.Address); err != nil && d.State != Gone {
 			return list, fmt.Errorf("endpoint list: entry %d: %w", i, err)
 		}
-		list.Destinations = append(list.Destinations, d)
+		list.Endpoints = append(list.Endpoints, d)
 	}
 	return list, nil
 }
@@ -84,7 +84,7 @@
 var words = map[State]string{Ready: "Ready", Draining: "Terminating", Gone: "Gone"}
 
 // Text is an endpoint list as discovery writes it, on one line.
-func (c EndpointList) Text() ([]byte, error) {
+func (c EndpointList) Encode() ([]byte, error) {
 	type entry struct {
 		Name    string  `json:"name"`
 		Address string  `json:"address"`
@@ -99,8 +99,8 @@
 		Index     int64   `json:"index"`
 		Whole     bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{c.Index, c.Whole, make([]entry, 0, len(c.Destinations))}
-	for _, d := range c.Destinations {
+	}{c.Index, c.Snapshot, make([]entry, 0, len(c.Endpoints))}
+	for _, d := range c.Endpoints {
 		raw.Endpoints = append(raw.Endpoints, entry{d.Name, d.Address, d.Zone, d.Kind, d.Group, words[d.State], d.Weight, d.SinceMS})
 	}
 	return json.Marshal(raw)
--- a/internal/protocol/listreader.go
+++ b/internal/protocol/listreader.go
@@ -11,8 +11,8 @@
 // ListReader cuts the body of a watch into endpoint lists, whatever pieces it comes in. One ends with its last bracket, not
 // with its line: a list may come indented, over many lines. What stands between them is white space, the watch's beat.
 type ListReader struct {
-	Take func([]byte) error // takes the text of one; its error ends the reading
-	Err  error              // what ended it
+	OnList func([]byte) error // takes the text of one; its error ends the reading
+	Err    error              // what ended it
 
 	buf     []byte
 	depth   int
@@ -24,7 +24,7 @@
 func (r *ListReader) Partial() bool { return len(r.buf) > 0 }
 
 // Add takes the next piece.
-func (r *ListReader) Add(p []byte) {
+func (r *ListReader) Feed(p []byte) {
 	for len(p) > 0 && r.Err == nil {
 		if len(r.buf) == 0 {
 			if p = bytes.TrimLeft(p, " \t\r\n"); len(p) == 0 {
@@ -46,7 +46,7 @@
 		}
 		r.buf, p = append(r.buf, p[:n]...), p[n:]
 		if whole {
-			r.Err = r.Take(r.buf)
+			r.Err = r.OnList(r.buf)
 			r.buf = r.buf[:0]
 		}
 	}
--- a/internal/protocol/listreader_test.go
+++ b/internal/protocol/listreader_test.go
@@ -31,10 +31,10 @@
 			text += string(line) + rapid.SampledFrom([]string{"\n", "\r\n", "\n\n\r\n \n"}).Draw(t, "end")
 		}
 		var got []string
-		lists := ListReader{Take: func(b []byte) error { got = append(got, string(b)); return nil }}
+		lists := ListReader{OnList: func(b []byte) error { got = append(got, string(b)); return nil }}
 		for len(text) > 0 {
 			n := rapid.IntRange(1, len(text)).Draw(t, "piece")
-			lists.Add([]byte(text[:n]))
+			lists.Feed([]byte(text[:n]))
 			text = text[n:]
 		}
 		if !slices.Equal(got, want) || lists.Err != nil {
@@ -46,8 +46,8 @@
 // What is no list ends the reading, and so does one without an end.
 func TestListReaderRefuses(t *testing.T) {
 	for _, text := range []string{"x", "[]", "{}}", `{"a":1}"`, "{" + strings.Repeat(" ", maxList)} {
-		lists := ListReader{Take: func([]byte) error { return nil }}
-		if lists.Add([]byte(text)); lists.Err == nil {
+		lists := ListReader{OnList: func([]byte) error { return nil }}
+		if lists.Feed([]byte(text)); lists.Err == nil {
 			t.Errorf("%.20q is taken", text)
 		}
 	}
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -13,9 +13,9 @@
 
 // The sizes that a message may have.
 const (
-	MaxHead = 16 << 10 // start line and header fields
-	MaxBody = 64 << 10
-	maxLine = 256 // the line of a chunk's size, or of a trailer
+	MaxHeadBytes = 16 << 10 // start line and header fields
+	MaxBodyBytes = 64 << 10
+	maxLine      = 256 // the line of a chunk's size, or of a trailer
 
 	maxInterim = 8         // interim answers before one that counts
 	answers    = "HTTP/1." // what every answer begins with
@@ -24,44 +24,44 @@
 // Error is a message that breaks the protocol, with the status that its sender is told.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 	Allow  string // 405: the methods that are taken
 }
 
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
 func bad(status int, format string, args ...any) *Error {
-	return &Error{Status: status, Why: fmt.Sprintf(format, args...)}
+	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Message is a whole request or answer. Start holds the three parts of its first line.
 type Message struct {
-	Start  [3]string
-	Header textproto.MIMEHeader
-	Body   []byte
-	Close  bool // the connection ends with this message
+	StartLine [3]string
+	Header    textproto.MIMEHeader
+	Body      []byte
+	Close     bool // the connection ends with this message
 }
 
 // Status is the status code of an answer.
 func (m *Message) Status() int {
-	code, _ := strconv.Atoi(m.Start[1])
+	code, _ := strconv.Atoi(m.StartLine[1])
 	return code
 }
 
 // Origin turns the target of a request that is in absolute form into origin form, as destinations want it.
-func (m *Message) Origin() {
-	if _, rest, absolute := strings.Cut(m.Start[1], "://"); absolute && !strings.HasPrefix(m.Start[1], "/") {
-		m.Start[1] = "/"
+func (m *Message) ToOriginForm() {
+	if _, rest, absolute := strings.Cut(m.StartLine[1], "://"); absolute && !strings.HasPrefix(m.StartLine[1], "/") {
+		m.StartLine[1] = "/"
 		if at := strings.IndexByte(rest, '/'); at >= 0 {
-			m.Start[1] = rest[at:]
+			m.StartLine[1] = rest[at:]
 		}
 	}
 }
 
 // Machine takes the bytes of one message after another. The zero value reads requests.
-type Machine struct {
-	Answers bool         // it reads answers, not requests
-	OnBody  func([]byte) // if set, takes the body as it comes, and MaxBody does not bind
+type Parser struct {
+	Responses bool         // it reads answers, not requests
+	OnBody    func([]byte) // if set, takes the body as it comes, and MaxBody does not bind
 
 	step step
 	buf  []byte // the head or line that is not yet whole
@@ -85,13 +85,13 @@
 )
 
 // Idle tells whether the machine stands between two messages.
-func (m *Machine) Idle() bool { return m.step == inHead && len(m.buf) == 0 }
+func (m *Parser) Idle() bool { return m.step == inHead && len(m.buf) == 0 }
 
 // Head is the message whose head has come and whose body is not whole, if there is one.
-func (m *Machine) Head() *Message { return m.msg }
+func (m *Parser) Head() *Message { return m.msg }
 
 // Feed takes bytes. It returns how many it used and the message if that is whole; bytes after a message are left.
-func (m *Machine) Feed(p []byte) (int, *Message, error) {
+func (m *Parser) Feed(p []byte) (int, *Message, error) {
 	used := 0
 	for {
 		n, done, err := m.take(p[used:])
@@ -109,21 +109,21 @@
 }
 
 // End takes the end of the input. Only an answer without a length is whole by it.
-func (m *Machine) End() (*Message, error) {
+func (m *Parser) End() (*Message, error) {
 	if m.step == untilEnd {
 		return m.finish(), nil
 	}
 	return nil, bad(400, "cut off inside a message")
 }
 
-func (m *Machine) finish() *Message {
+func (m *Parser) finish() *Message {
 	msg := m.msg
 	m.step, m.msg, m.left, m.interim = inHead, nil, 0, 0
 	return msg
 }
 
 // take uses some bytes of p, and tells whether the message is whole.
-func (m *Machine) take(p []byte) (int, bool, error) {
+func (m *Parser) take(p []byte) (int, bool, error) {
 	switch m.step {
 	case inHead:
 		return m.takeHead(p)
@@ -160,16 +160,16 @@
 	return n, false, nil
 }
 
-func (m *Machine) body(p []byte) error {
+func (m *Parser) body(p []byte) error {
 	if m.OnBody != nil {
 		m.OnBody(p)
 		return nil
 	}
-	if len(m.msg.Body)+len(p) > MaxBody {
-		return bad(413, "the body is over %d bytes", MaxBody)
+	if len(m.msg.Body)+len(p) > MaxBodyBytes {
+		return bad(413, "the body is over %d bytes", MaxBodyBytes)
 	}
 	// A body grows with what comes, not with what is promised: whoever wants 64 KiB kept has sent a quarter of them.
-	if b := m.msg.Body; len(b)+len(p) > cap(b) && m.step == inBody && len(b)+len(p) >= MaxBody/4 {
+	if b := m.msg.Body; len(b)+len(p) > cap(b) && m.step == inBody && len(b)+len(p) >= MaxBodyBytes/4 {
 		m.msg.Body = append(make([]byte, 0, len(b)+len(p)+m.left), b...)
 	}
 	m.msg.Body = append(m.msg.Body, p...)
@@ -177,7 +177,7 @@
 }
 
 // takeHead collects a head. It looks for the end only in what is new, so bytes that come singly cost no more.
-func (m *Machine) takeHead(p []byte) (int, bool, error) {
+func (m *Parser) takeHead(p []byte) (int, bool, error) {
 	from := 0
 	if len(m.buf) == 0 { // empty lines before a message are passed over, as the standard asks
 		for from < len(p) && from < 2 && (p[from] == '\r' || p[from] == '\n') {
@@ -188,25 +188,25 @@
 		}
 	}
 	old := len(m.buf)
-	room := min(len(p), MaxHead+4-old)
+	room := min(len(p), MaxHeadBytes+4-old)
 	m.buf = append(m.buf, p[:room]...)
 	// Noise is known by its first bytes: it may hold no empty line, and who waits for one waits until the time is up.
-	if n := min(len(m.buf), len(answers)); m.Answers && string(m.buf[:n]) != answers[:n] {
+	if n := min(len(m.buf), len(answers)); m.Responses && string(m.buf[:n]) != answers[:n] {
 		return room, false, bad(400, "not an answer")
 	}
 	look := max(0, old-3)
 	at := bytes.Index(m.buf[look:], []byte("\r\n\r\n"))
 	if at < 0 {
-		if len(m.buf) >= MaxHead+4 {
-			return room, false, bad(431, "the head is over %d bytes", MaxHead)
+		if len(m.buf) >= MaxHeadBytes+4 {
+			return room, false, bad(431, "the head is over %d bytes", MaxHeadBytes)
 		}
 		return room, false, nil
 	}
 	end := look + at + 4
-	if end > MaxHead {
-		return room, false, bad(431, "the head is over %d bytes", MaxHead)
+	if end > MaxHeadBytes {
+		return room, false, bad(431, "the head is over %d bytes", MaxHeadBytes)
 	}
-	msg, err := parseHead(m.buf[:end], m.Answers)
+	msg, err := parseHead(m.buf[:end], m.Responses)
 	if err != nil {
 		return room, false, err
 	}
@@ -219,7 +219,7 @@
 }
 
 // takeLine collects a line that ends in CRLF; it returns nil until that is whole.
-func (m *Machine) takeLine(p []byte) (int, []byte, error) {
+func (m *Parser) takeLine(p []byte) (int, []byte, error) {
 	at := bytes.IndexByte(p, '\n')
 	n := at + 1
 	if at < 0 {
@@ -240,7 +240,7 @@
 	return n, line[:len(line)-2], nil
 }
 
-func (m *Machine) chunk(line string) error {
+func (m *Parser) chunk(line string) error {
 	digits, _, _ := strings.Cut(line, ";")
 	digits = strings.TrimRight(digits, " \t")
 	size, err := strconv.ParseUint(digits, 16, 31)
@@ -251,8 +251,8 @@
 		m.step = inTrailer
 		return nil
 	}
-	if m.OnBody == nil && len(m.msg.Body)+int(size) > MaxBody {
-		return bad(413, "the body is over %d bytes", MaxBody)
+	if m.OnBody == nil && len(m.msg.Body)+int(size) > MaxBodyBytes {
+		return bad(413, "the body is over %d bytes", MaxBodyBytes)
 	}
 	m.left, m.step = int(size), inChunk
 	return nil
@@ -285,7 +285,7 @@
 	msg := &Message{Header: header}
 	first, rest, _ := strings.Cut(line, " ")
 	second, third, _ := strings.Cut(rest, " ")
-	msg.Start = [3]string{first, second, third}
+	msg.StartLine = [3]string{first, second, third}
 	version := third
 	if answer {
 		version = first
@@ -313,9 +313,9 @@
 }
 
 // frame finds how the body of a message ends, and tells whether it has none.
-func (m *Machine) frame(msg *Message) (bool, error) {
+func (m *Parser) frame(msg *Message) (bool, error) {
 	lengths, codings := msg.Header["Content-Length"], msg.Header["Transfer-Encoding"]
-	if m.Answers {
+	if m.Responses {
 		switch code := msg.Status(); {
 		case code < 200: // an interim answer: the final one follows, but not for ever, and nobody asked for an upgrade
 			if m.interim++; m.interim > maxInterim || code == 101 {
@@ -351,8 +351,8 @@
 		if lengths[0] == "" {
 			return false, bad(400, "malformed Content-Length")
 		}
-		if err != nil || n > MaxBody && m.OnBody == nil {
-			return false, bad(413, "the body is over %d bytes", MaxBody)
+		if err != nil || n > MaxBodyBytes && m.OnBody == nil {
+			return false, bad(413, "the body is over %d bytes", MaxBodyBytes)
 		}
 		m.left, m.step = int(n), inBody
 		if n == 0 {
@@ -362,7 +362,7 @@
 			msg.Body = make([]byte, 0, min(int(n), 4<<10))
 		}
 		return false, nil
-	case m.Answers:
+	case m.Responses:
 		msg.Close, m.step = true, untilEnd
 		return false, nil
 	}
--- a/internal/protocol/operation.go
+++ b/internal/protocol/operation.go
@@ -33,12 +33,12 @@
 const maxKey = 256
 
 // Operation is what a client's request says of itself.
-type Operation struct {
-	Class    int
-	ID       string
-	TimeLeft time.Duration
-	Hint     float64 // seconds of a core, 0 for none
-	Repeat   bool
+type RequestMeta struct {
+	Class       int
+	ID          string
+	TimeLeft    time.Duration
+	CostHint    float64 // seconds of a core, 0 for none
+	ClientRetry bool
 }
 
 // maxTimeLeft bounds what a client may ask for, so that no sum of times overflows.
@@ -50,25 +50,25 @@
 
 // ReadOperation reads the figures of a request on the platform, whose class its path and field name. What it refuses
 // never reaches a destination.
-func ReadOperation(m *Message, classes []Class) (Operation, error) {
-	path, _, _ := strings.Cut(m.Start[1], "?")
+func ReadRequestMeta(m *Message, classes []Class) (RequestMeta, error) {
+	path, _, _ := strings.Cut(m.StartLine[1], "?")
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	stated := m.Header[headerClass]
 	class := find(classes, first)
 	switch {
 	case len(stated) > 1 || len(stated) == 1 && find(classes, stated[0]) < 0:
-		return Operation{}, bad(400, "unknown class in %s", headerClass)
+		return RequestMeta{}, bad(400, "unknown class in %s", headerClass)
 	case class < 0 || !strings.HasPrefix(path, "/"):
-		return Operation{}, bad(404, "no such path")
+		return RequestMeta{}, bad(404, "no such path")
 	case len(stated) == 1 && stated[0] != first:
-		return Operation{}, bad(400, "path and %s name different classes", headerClass)
-	case !slices.Contains(classes[class].Methods, m.Start[0]):
-		return Operation{}, wrongMethod("this class wants", classes[class].Methods)
+		return RequestMeta{}, bad(400, "path and %s name different classes", headerClass)
+	case !slices.Contains(classes[class].Methods, m.StartLine[0]):
+		return RequestMeta{}, wrongMethod("this class wants", classes[class].Methods)
 	case len(m.Header[headerID]) != 1 || m.Header[headerID][0] == "":
-		return Operation{}, bad(400, "a request names one %s", headerID)
+		return RequestMeta{}, bad(400, "a request names one %s", headerID)
 	}
 	if err := checkKey(m.Header[headerKey], classes[class].Keyed); err != nil {
-		return Operation{}, err
+		return RequestMeta{}, err
 	}
 	return figures(m, class, classes[class].Deadline)
 }
@@ -88,46 +88,46 @@
 }
 
 // Stated is the class that a request states, "" for none.
-func (m *Message) Stated() string { return m.Header.Get(headerClass) }
+func (m *Message) StatedClass() string { return m.Header.Get(headerClass) }
 
 // ReadRouted reads the figures of a request that a route has led to a pool with these classes. Where it states no class
 // it is of the class as, or where that is "" of the first that takes its method. It need not name an id.
-func ReadRouted(m *Message, classes []Class, as string) (Operation, error) {
+func ReadRoutedRequestMeta(m *Message, classes []Class, as string) (RequestMeta, error) {
 	stated, ids := m.Header[headerClass], m.Header[headerID]
 	if len(stated) == 1 {
 		as = stated[0]
 	}
 	class := find(classes, as)
 	if as == "" {
-		class = slices.IndexFunc(classes, func(c Class) bool { return slices.Contains(c.Methods, m.Start[0]) })
+		class = slices.IndexFunc(classes, func(c Class) bool { return slices.Contains(c.Methods, m.StartLine[0]) })
 	}
 	switch {
 	case len(stated) > 1 || class < 0 && as != "":
-		return Operation{}, bad(400, "unknown class in %s", headerClass)
+		return RequestMeta{}, bad(400, "unknown class in %s", headerClass)
 	case class < 0:
 		var all []string
 		for _, c := range classes {
 			all = append(all, c.Methods...)
 		}
 		slices.Sort(all)
-		return Operation{}, wrongMethod("this pool wants", slices.Compact(all))
-	case !slices.Contains(classes[class].Methods, m.Start[0]):
-		return Operation{}, wrongMethod("this class wants", classes[class].Methods)
+		return RequestMeta{}, wrongMethod("this pool wants", slices.Compact(all))
+	case !slices.Contains(classes[class].Methods, m.StartLine[0]):
+		return RequestMeta{}, wrongMethod("this class wants", classes[class].Methods)
 	case len(ids) > 1 || len(ids) == 1 && ids[0] == "":
-		return Operation{}, bad(400, "a request names one %s", headerID)
+		return RequestMeta{}, bad(400, "a request names one %s", headerID)
 	}
 	return figures(m, class, classes[class].Deadline)
 }
 
 func wrongMethod(who string, methods []string) *Error {
 	allow := strings.Join(methods, ", ")
-	return &Error{Status: 405, Why: who + " " + allow, Allow: allow}
+	return &Error{Status: 405, Reason: who + " " + allow, Allow: allow}
 }
 
 // figures reads what a request says of itself beside its class.
-func figures(m *Message, class int, deadline time.Duration) (Operation, error) {
-	op := Operation{Class: class, ID: m.Header.Get(headerID), TimeLeft: deadline}
-	if m.Start[0] == "GET" && len(m.Body) > 0 { // a destination may take it for a further request
+func figures(m *Message, class int, deadline time.Duration) (RequestMeta, error) {
+	op := RequestMeta{Class: class, ID: m.Header.Get(headerID), TimeLeft: deadline}
+	if m.StartLine[0] == "GET" && len(m.Body) > 0 { // a destination may take it for a further request
 		return op, bad(400, "a GET has no body")
 	}
 	if v, given := m.Header[headerTimeLeft]; given {
@@ -142,13 +142,13 @@
 		if err != nil || len(v) > 1 || math.IsInf(us, 0) || !(us >= 0) {
 			return op, bad(400, "malformed %s", headerHint)
 		}
-		op.Hint = us / 1e6
+		op.CostHint = us / 1e6
 	}
 	if v, given := m.Header[headerRepeat]; given {
 		if len(v) > 1 || v[0] != "0" && v[0] != "1" {
 			return op, bad(400, "malformed %s", headerRepeat)
 		}
-		op.Repeat = v[0] == "1"
+		op.ClientRetry = v[0] == "1"
 	}
 	for _, v := range m.Header[headerFacts] {
 		if _, ok := pairs(v); !ok {
@@ -192,9 +192,9 @@
 
 // Load reads the load report of an answer in the order of the settings' fields; nil if it has none that is whole. One
 // that cannot be read is passed over.
-func (m *Message) Load(fields []string) []float32 {
+func (m *Message) LoadReport(fields []string) []float32 {
 	for _, v := range m.Header[headerLoad] {
-		if load := LoadReport(v, fields); load != nil {
+		if load := ParseLoadReport(v, fields); load != nil {
 			return load
 		}
 	}
@@ -203,7 +203,7 @@
 
 // LoadReport reads a load report's text. Its values go by the words of the settings, or by those that the protocol shows:
 // read by the latter alone, reports in the former were no reports, and the module steered by failures only.
-func LoadReport(text string, fields []string) []float32 {
+func ParseLoadReport(text string, fields []string) []float32 {
 	values, ok := pairs(strings.TrimSpace(text))
 	if !ok || len(fields) == 0 {
 		return nil
@@ -227,13 +227,13 @@
 const Declined = "declined"
 
 // DeclinedBy tells whether an answer says so in the chain's field.
-func (m *Message) DeclinedBy(field string) bool {
+func (m *Message) IsDeclined(field string) bool {
 	v := m.Header[field]
 	return field != "" && (m.Status() == 503 || m.Status() == 508) && len(v) == 1 && v[0] == Declined
 }
 
 // NotRun tells whether an answer says that the request was turned away unseen.
-func (m *Message) NotRun() bool {
+func (m *Message) Unprocessed() bool {
 	v := m.Header[headerNotRun]
 	return (m.Status() == 503 || m.Status() == 504) && len(v) == 1 && v[0] == "1"
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -28,7 +28,7 @@
 }
 
 // feed gives a machine pieces and returns the messages and the first error.
-func feed(m *Machine, pieces ...[]byte) (out []*Message, err error) {
+func feed(m *Parser, pieces ...[]byte) (out []*Message, err error) {
 	for _, p := range pieces {
 		for len(p) > 0 {
 			used, msg, err := m.Feed(p)
@@ -73,7 +73,7 @@
 			part, body := message(t, start)
 			text, bodies = append(text, part...), append(bodies, body)
 		}
-		m := Machine{Answers: answers}
+		m := Parser{Responses: answers}
 		got, err := feed(&m, cuts(t, text)...)
 		if err != nil || len(got) != len(bodies) || !m.Idle() {
 			t.Fatalf("%d messages of %d, idle %v, error %v", len(got), len(bodies), m.Idle(), err)
@@ -90,18 +90,18 @@
 func TestPassedOnUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, body := message(t, "POST /pay?q=1 HTTP/1.1")
-		in, err := feed(&Machine{}, text)
+		in, err := feed(&Parser{}, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := feed(&Machine{}, RequestHead(in[0], 1500*time.Millisecond, Field{}), in[0].Body)
-		if err != nil || out[0].Start != in[0].Start || !bytes.Equal(out[0].Body, body) ||
+		out, err := feed(&Parser{}, RequestHead(in[0], 1500*time.Millisecond, Field{}), in[0].Body)
+		if err != nil || out[0].StartLine != in[0].StartLine || !bytes.Equal(out[0].Body, body) ||
 			out[0].Header.Get(headerTimeLeft) != "1500" || out[0].Header.Get(headerFacts) != "a=1,b=2" {
 			t.Fatalf("%v %+v", err, out)
 		}
-		in[0].Start = rapid.SampledFrom([][3]string{{"HTTP/1.1", "200", "OK"}, {"HTTP/1.1", "418", "I'm a teapot"}}).Draw(t, "start")
-		answer, err := feed(&Machine{Answers: true}, ServedHead(in[0], true), in[0].Body)
-		if err != nil || answer[0].Start != in[0].Start || !answer[0].Close || !bytes.Equal(answer[0].Body, body) {
+		in[0].StartLine = rapid.SampledFrom([][3]string{{"HTTP/1.1", "200", "OK"}, {"HTTP/1.1", "418", "I'm a teapot"}}).Draw(t, "start")
+		answer, err := feed(&Parser{Responses: true}, ResponseHead(in[0], true), in[0].Body)
+		if err != nil || answer[0].StartLine != in[0].StartLine || !answer[0].Close || !bytes.Equal(answer[0].Body, body) {
 			t.Fatalf("%v %+v", err, answer)
 		}
 	})
@@ -110,7 +110,7 @@
 // Garbage, alone or inside a valid message, ends in an error or a message, with no panic and no heap of bytes kept.
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Machine{Answers: rapid.Bool().Draw(t, "answers")}
+		m := Parser{Responses: rapid.Bool().Draw(t, "answers")}
 		text := rapid.SliceOfN(rapid.Byte(), 0, 400).Draw(t, "garbage")
 		if rapid.Bool().Draw(t, "spoilt") {
 			text, _ = message(t, "GET / HTTP/1.1")
@@ -119,14 +119,14 @@
 		}
 		messages, _ := feed(&m, cuts(t, text)...)
 		for _, msg := range messages {
-			ReadOperation(msg, classes)
-			msg.Load([]string{"q", "busy"})
+			ReadRequestMeta(msg, classes)
+			msg.LoadReport([]string{"q", "busy"})
 		}
-		LoadReport(string(text), []string{"q"})
+		ParseLoadReport(string(text), []string{"q"})
 		if _, err := ReadEndpointList(text); err == nil {
 			t.Fatalf("%q is an endpoint list", text)
 		}
-		if cap(m.buf) > 4*MaxHead {
+		if cap(m.buf) > 4*MaxHeadBytes {
 			t.Fatalf("%d bytes kept", cap(m.buf))
 		}
 	})
@@ -135,7 +135,7 @@
 // A request that a route has led somewhere is of the class that it states, that of the route, or the first that takes it.
 func TestReadRouted(t *testing.T) {
 	get := func(method string, fields ...string) *Message {
-		m := &Message{Start: [3]string{method, "/x", "HTTP/1.1"}, Header: textproto.MIMEHeader{}}
+		m := &Message{StartLine: [3]string{method, "/x", "HTTP/1.1"}, Header: textproto.MIMEHeader{}}
 		for i := 0; i < len(fields); i += 2 {
 			m.Header.Add(fields[i], fields[i+1])
 		}
@@ -159,7 +159,7 @@
 		{get("GET", headerID, "1", headerID, "1"), "", 0, 400, ""},
 		{get("GET", headerTimeLeft, "x"), "", 0, 400, ""},
 	} {
-		op, err := ReadRouted(c.m, classes, c.as)
+		op, err := ReadRoutedRequestMeta(c.m, classes, c.as)
 		var e *Error
 		if errors.As(err, &e); e == nil {
 			e = &Error{}
@@ -176,9 +176,9 @@
 
 // status reads one request and returns the status of its refusal, or 200.
 func status(text string) int {
-	got, err := feed(&Machine{}, []byte(text))
+	got, err := feed(&Parser{}, []byte(text))
 	if err == nil && len(got) == 1 {
-		_, err = ReadOperation(got[0], classes)
+		_, err = ReadRequestMeta(got[0], classes)
 	}
 	var e *Error
 	switch {
@@ -236,7 +236,7 @@
 		{413, "POST /pay HTTP/1.1\r\n" + fine + "Content-Length: 65537\r\n\r\n"},
 		{413, "POST /pay HTTP/1.1\r\n" + fine + "Content-Length: 99999999999999999999\r\n\r\n"},
 		{413, "POST /pay HTTP/1.1\r\n" + fine + "Transfer-Encoding: chunked\r\n\r\n10001\r\n"},
-		{431, "GET /look HTTP/1.1\r\n" + fine + "A: " + strings.Repeat("a", MaxHead) + "\r\n\r\n"},
+		{431, "GET /look HTTP/1.1\r\n" + fine + "A: " + strings.Repeat("a", MaxHeadBytes) + "\r\n\r\n"},
 		{501, "POST /pay HTTP/1.1\r\n" + fine + "Transfer-Encoding: gzip\r\n\r\n"},
 	} {
 		if got := status(c.text); got != c.want {
@@ -246,10 +246,10 @@
 }
 
 func TestFigures(t *testing.T) {
-	got, _ := feed(&Machine{}, []byte("POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 1\r\nX-Weight-Hint: 250000\r\n"+
+	got, _ := feed(&Parser{}, []byte("POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 1\r\nX-Weight-Hint: 250000\r\n"+
 		"X-Repeat: 1\r\n\r\n"))
-	op, err := ReadOperation(got[0], classes)
-	if want := (Operation{Class: 1, ID: "1", TimeLeft: 3 * time.Second, Hint: 0.25, Repeat: true}); err != nil || op != want {
+	op, err := ReadRequestMeta(got[0], classes)
+	if want := (RequestMeta{Class: 1, ID: "1", TimeLeft: 3 * time.Second, CostHint: 0.25, ClientRetry: true}); err != nil || op != want {
 		t.Errorf("%+v, %v; without a time left the class's deadline holds", op, err)
 	}
 }
@@ -257,13 +257,13 @@
 // Reports come in the protocol's words and in those of the settings.
 func TestLoadReport(t *testing.T) {
 	for _, text := range []string{"inflight=7,queue=2,util=0.5,qps=9", "q=2,rif=7,rate=9,busy=0.5"} {
-		load := LoadReport(text, []string{"q", "rif", "rate", "busy"})
+		load := ParseLoadReport(text, []string{"q", "rif", "rate", "busy"})
 		if !slices.Equal(load, []float32{2, 7, 9, 0.5}) {
 			t.Errorf("%s read as %v", text, load)
 		}
 	}
 	for _, bad := range []string{"", "queue=2", "queue=x,util=1", "queue=NaN,util=1", "queue"} {
-		if load := LoadReport(bad, []string{"q", "busy"}); load != nil {
+		if load := ParseLoadReport(bad, []string{"q", "busy"}); load != nil {
 			t.Errorf("%q read as %v", bad, load)
 		}
 	}
@@ -272,8 +272,8 @@
 func TestEndpointList(t *testing.T) {
 	entry := `{"name":"s","address":"10.1.0.18:7070","zone":"a","type":"m2","group":3,"status":"Ready","weight":1.0,"since_ms":5}`
 	list, err := ReadEndpointList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entry + `]}`))
-	want := Destination{"s", "10.1.0.18:7070", "a", "m2", 3, Ready, 1, 5}
-	if err != nil || list.Index != 41 || !list.Whole || len(list.Destinations) != 1 || list.Destinations[0] != want {
+	want := Endpoint{"s", "10.1.0.18:7070", "a", "m2", 3, Ready, 1, 5}
+	if err != nil || list.Index != 41 || !list.Snapshot || len(list.Endpoints) != 1 || list.Endpoints[0] != want {
 		t.Errorf("%+v, %v", list, err)
 	}
 	for _, bad := range []string{"", "[]", `{"endpoints":[]}`, `{"index":1,"endpoints":[{"name":"s","status":"Odd"}]}`,
@@ -287,7 +287,7 @@
 
 // An answer without a length ends with its connection; nothing else does.
 func TestEnd(t *testing.T) {
-	m := Machine{Answers: true}
+	m := Parser{Responses: true}
 	feed(&m, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end"))
 	if msg, err := m.End(); err != nil || string(msg.Body) != "to the end" || !msg.Close {
 		t.Errorf("%+v, %v", msg, err)
--- a/internal/protocol/write.go
+++ b/internal/protocol/write.go
@@ -12,7 +12,7 @@
 	"Content-Length", "Expect", "Host", headerTimeLeft, headerLoad}
 
 // OwnFields are the names of the fields that mean something to this program or end here.
-func OwnFields() []string {
+func ReservedFields() []string {
 	return append([]string{headerID, headerKey, headerClass, headerRepeat, headerHint, headerFacts, headerNotRun}, hopByHop...)
 }
 
@@ -43,30 +43,30 @@
 	if h := m.Header["Host"]; len(h) == 1 {
 		host = h[0]
 	}
-	b := []byte(m.Start[0] + " " + m.Start[1] + " HTTP/1.1\r\nHost: " + host + "\r\n")
+	b := []byte(m.StartLine[0] + " " + m.StartLine[1] + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	b = appendFields(b, m.Header, chain.Name)
 	if chain.Name != "" {
 		b = append(b, chain.Name+": "+chain.Value+"\r\n"...)
 	}
 	b = append(append(b, headerTimeLeft+": "...), strconv.FormatInt(max(timeLeft.Milliseconds(), 0), 10)...)
 	b = append(b, "\r\n"...)
-	if len(m.Body) > 0 || m.Start[0] != "GET" {
+	if len(m.Body) > 0 || m.StartLine[0] != "GET" {
 		b = appendLength(b, len(m.Body))
 	}
 	return append(b, "\r\n"...)
 }
 
 // GetText is a request of the sidecar's own.
-func GetText(host, target string) []byte {
+func GetRequest(host, target string) []byte {
 	return []byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
 }
 
 // ServedHead is the head of a destination's answer for the client. The body follows as it is.
-func ServedHead(m *Message, last bool) []byte {
+func ResponseHead(m *Message, last bool) []byte {
 	status := m.Status()
 	why := reason(status)
 	if why == "Error" {
-		why = m.Start[2]
+		why = m.StartLine[2]
 	}
 	b := appendFields([]byte("HTTP/1.1 "+strconv.Itoa(status)+" "+why+"\r\n"), m.Header, "")
 	if status == 204 || status == 304 { // neither has a body, nor its length
@@ -79,16 +79,16 @@
 }
 
 // Reply is an answer that the sidecar words itself.
-type Reply struct {
+type LocalReply struct {
 	Status     int
 	RetryAfter time.Duration // 0 for none
 	Allow      string        // the method that a 405 wants
-	Chain      string        // the field that says that the answer is final for all who are above; empty for none
-	Why        string        // its body
+	ChainField string        // the field that says that the answer is final for all who are above; empty for none
+	Reason     string        // its body
 }
 
 // Text is the whole answer.
-func (r Reply) Text(last bool) []byte {
+func (r LocalReply) Encode(last bool) []byte {
 	b := []byte("HTTP/1.1 " + strconv.Itoa(r.Status) + " " + reason(r.Status) + "\r\n")
 	if r.RetryAfter > 0 {
 		b = append(b, "Retry-After: "+strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', -1, 64)+"\r\n"...)
@@ -96,11 +96,11 @@
 	if r.Allow != "" {
 		b = append(b, "Allow: "+r.Allow+"\r\n"...)
 	}
-	if r.Chain != "" {
-		b = append(b, r.Chain+": "+Declined+"\r\n"...)
+	if r.ChainField != "" {
+		b = append(b, r.ChainField+": "+Declined+"\r\n"...)
 	}
 	b = append(b, "Content-Type: text/plain; charset=utf-8\r\n"...)
-	return append(appendEnd(b, len(r.Why)+1, last), r.Why+"\n"...)
+	return append(appendEnd(b, len(r.Reason)+1, last), r.Reason+"\n"...)
 }
 
 func appendEnd(b []byte, length int, last bool) []byte {
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -15,10 +15,10 @@
 // Error is why a request has no pool, with the status that its client is told.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
 // What may be wrong with a request. They are values of their own so that a flood of bad requests allocates nothing.
 var (
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -14,10 +14,10 @@
 
 // The stages of an attempt.
 const (
-	Waiting       Progress = iota // no connection was asked for
+	NotSent       Progress = iota // no connection was asked for
 	Connecting                    // there was no connection yet
 	PartlyWritten                 // the request's last byte was not written: it never ran
-	WhollyWritten                 // it was: from here on the request may have run
+	FullyWritten                  // it was: from here on the request may have run
 	Answering                     // part of an answer has come
 )
 
@@ -37,9 +37,9 @@
 // Status is the module's word for the error.
 func (e *AttemptError) Status() balance.Status {
 	switch {
-	case e.Progress == Waiting, e.Progress < WhollyWritten && errors.Is(e.Err, context.Canceled):
-		return balance.Moot
-	case e.Progress < WhollyWritten:
+	case e.Progress == NotSent, e.Progress < FullyWritten && errors.Is(e.Err, context.Canceled):
+		return balance.NotSent
+	case e.Progress < FullyWritten:
 		return balance.ConnectFailed
 	case errors.Is(e.Err, context.Canceled):
 		return balance.Cancelled
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -13,14 +13,14 @@
 var _ balance.Host = host{}
 
 // Send starts an attempt.
-func (h host) Send(id balance.RequestID, server balance.ServerID, timeout time.Duration) {
+func (h host) Send(id balance.RequestID, server balance.EndpointID, timeout time.Duration) {
 	h.send(id, server, timeout)
 }
 
 // Refuse answers at once that the sidecar is busy.
-func (h host) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
-	h.metrics.Refused[why]++
-	h.answerBecause(h.ops[id], Answer{Verdict: Busy, RetryAfter: retryAfter}, why.String())
+func (h host) Reject(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
+	h.metrics.Rejected[why]++
+	h.answerBecause(h.ops[id], Answer{Verdict: Rejected, RetryAfter: retryAfter}, why.String())
 }
 
 // Fail answers at once that the operation failed.
@@ -37,7 +37,7 @@
 }
 
 // Probe asks a destination for its health and load.
-func (h host) Probe(server balance.ServerID) {
+func (h host) Probe(server balance.EndpointID) {
 	began := h.Now()
 	report := func(r Result) {
 		status := r.Status
@@ -45,30 +45,30 @@
 			status = r.Err.Status()
 		}
 		now := h.Now()
-		h.balancer.Probed(now, server, now-began, status, r.Load)
+		h.balancer.ProbeDone(now, server, now-began, status, r.Load)
 	}
 	if d := h.pool.byID[server]; d != nil && !h.hold.holds(began) {
 		h.carrier.Probe(d, func(r Result) { h.post(func() { report(r) }) })
 		return
 	}
-	h.pending = append(h.pending, func() { report(Result{Status: balance.Moot}) })
+	h.pending = append(h.pending, func() { report(Result{Status: balance.NotSent}) })
 }
 
 // Close closes the idle connections to a destination.
-func (h host) Close(server balance.ServerID) {
+func (h host) CloseIdle(server balance.EndpointID) {
 	if d := h.pool.byID[server]; d != nil {
 		h.carrier.CloseIdle(d)
 	}
 }
 
 // Watch opens a watch of the endpoint list.
-func (h host) Watch() { h.directory.Follow(h.pool.index) }
+func (h host) Watch() { h.directory.Watch(h.pool.index) }
 
 // Tell does nothing: sidecars have no way to talk to each other, and the settings say so to the module.
-func (h host) Tell(int, []byte) {}
+func (h host) SendToPeer(int, []byte) {}
 
 // Timer asks for a timer.
-func (h host) Timer(delay time.Duration, token uint64) {
+func (h host) StartTimer(delay time.Duration, token uint64) {
 	h.asked++
 	heap.Push(&h.timers, timer{at: h.Now() + max(delay, 0), seq: h.asked, token: token})
 }
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -13,22 +13,22 @@
 )
 
 // Operation is a client's request on its way through the sidecar.
-type Operation struct {
-	Class    int
-	Deadline time.Duration // on the Loop's clock: when the client stops waiting
-	Hint     float64       // seconds of a core, 0 for none
-	Repeat   bool          // the client has tried before
-	Payload  any           // the request itself, for the Carrier alone
-	Done     func(Answer)  // takes the one final answer; it must not block
-	Key      string        // no two that are open share one; "" for none
-	Left     func() bool   // looks whether the client has left; nil if that cannot be told
-	Sent     func()        // told when the first attempt goes out; nil if nobody asks
-	Origin   uint64        // see balance.Request
+type Request struct {
+	Class       int
+	Deadline    time.Duration // on the Loop's clock: when the client stops waiting
+	CostHint    float64       // seconds of a core, 0 for none
+	ClientRetry bool          // the client has tried before
+	Payload     any           // the request itself, for the Carrier alone
+	Done        func(Answer)  // takes the one final answer; it must not block
+	Key         string        // no two that are open share one; "" for none
+	ClientGone  func() bool   // looks whether the client has left; nil if that cannot be told
+	OnFirstSend func()        // told when the first attempt goes out; nil if nobody asks
+	Origin      uint64        // see balance.Request
 	// Word writes what an attempt that goes out now carries on; ok is false if it may not, as the operation has cost enough.
 	// It is nil where nothing is carried on. Any goroutine may call it.
-	Word func() (text string, ok bool)
+	Header func() (text string, ok bool)
 
-	next     []*Operation // wait for the attempts of this one, which has ended and has their key
+	next     []*Request // wait for the attempts of this one, which has ended and has their key
 	id       balance.RequestID
 	came     time.Duration
 	ended    atomic.Bool   // the final answer was given, or nobody waits for it
@@ -45,10 +45,10 @@
 
 // The verdicts.
 const (
-	Served  Verdict = iota // Payload is a destination's answer, also one that declines
-	Busy                   // refused: trying again is harmless
-	Failed                 // it may have run
-	Doubled                // another open operation has its key: it reached no destination
+	Served    Verdict = iota // Payload is a destination's answer, also one that declines
+	Rejected                 // refused: trying again is harmless
+	Failed                   // it may have run
+	Duplicate                // another open operation has its key: it reached no destination
 )
 
 // Answer is the final answer to an operation.
@@ -59,8 +59,8 @@
 }
 
 // Destination is a server that the endpoint list has named.
-type Destination struct {
-	ID       balance.ServerID
+type Endpoint struct {
+	ID       balance.EndpointID
 	Name     string
 	Address  string
 	Zone     string
@@ -71,22 +71,22 @@
 }
 
 // Closed tells whether the destination takes nothing new. Any goroutine may ask.
-func (d *Destination) Closed() bool { return d.closed.Load() }
+func (d *Endpoint) Closed() bool { return d.closed.Load() }
 
 // Attempt is one send of an operation.
 type Attempt struct {
-	Op          *Operation
-	Destination *Destination
-	Deadline    time.Duration   // on the Loop's clock
-	Until       time.Duration   // it must have begun by then, 0 for no such time: its window for repeats ends
-	Context     context.Context // done when the attempt is called off
-	clock       Clock
-	hold        *sendHold
-	number      int
-	sent        time.Duration
-	cancel      context.CancelFunc
-	over        bool
-	opened      atomic.Bool
+	Request        *Request
+	Endpoint       *Endpoint
+	Deadline       time.Duration   // on the Loop's clock
+	RetryWindowEnd time.Duration   // it must have begun by then, 0 for no such time: its window for repeats ends
+	Context        context.Context // done when the attempt is called off
+	clock          Clock
+	hold           *sendHold
+	number         int
+	sent           time.Duration
+	cancel         context.CancelFunc
+	over           bool
+	opened         atomic.Bool
 
 	guard    *guard.Guard
 	status   balance.Status // of its end
@@ -98,21 +98,21 @@
 }
 
 // Opened notes that a connection was opened for the attempt. Any goroutine may call it.
-func (a *Attempt) Opened() { a.opened.Store(true) }
+func (a *Attempt) ConnectionOpened() { a.opened.Store(true) }
 
 // Stale guards the moment before the first byte: time may have passed since the decision, in which the destination
 // began to drain, the operation ended, the client left, or the time ran out in which a repeat would be dropped.
 func (a *Attempt) Stale() bool {
 	s := a.facts()
-	s.ClientLeft = a.Op.Left != nil && a.Op.Left()
+	s.ClientGone = a.Request.ClientGone != nil && a.Request.ClientGone()
 	return a.guard.Denied(guard.MaySend(s))
 }
 
 // facts are what the guard looks at, but for a look at the client's connection.
-func (a *Attempt) facts() guard.Sending {
+func (a *Attempt) facts() guard.SendFacts {
 	now := a.clock.Now()
-	return guard.Sending{Now: now, EndpointClosed: a.Destination.closed.Load(), ListTooOld: a.hold.holds(now), Answered: a.Op.ended.Load(),
-		Cancelled: a.Context.Err() != nil, Deadline: a.Deadline, Window: a.Until}
+	return guard.SendFacts{Now: now, EndpointClosed: a.Endpoint.closed.Load(), LeaseExpired: a.hold.holds(now), Answered: a.Request.ended.Load(),
+		Cancelled: a.Context.Err() != nil, Deadline: a.Deadline, RetryWindowEnd: a.RetryWindowEnd}
 }
 
 // Begin notes that the first byte is about to be written, and returns the time that the endpoint is to be told.
@@ -126,7 +126,7 @@
 }
 
 // Left is the time that the attempt still has.
-func (a *Attempt) Left() time.Duration { return a.Deadline - a.clock.Now() }
+func (a *Attempt) TimeLeft() time.Duration { return a.Deadline - a.clock.Now() }
 
 // Result is how an attempt or a probe ended: with an answer or with an error.
 type Result struct {
@@ -137,28 +137,28 @@
 }
 
 // Carrier takes attempts to destinations.
-type Carrier interface {
+type Transport interface {
 	// Carry starts an attempt and returns at once. done is called once, from any goroutine.
-	Carry(a *Attempt, done func(Result))
+	Send(a *Attempt, done func(Result))
 	// Probe asks a destination for its health and load.
-	Probe(d *Destination, done func(Result))
+	Probe(d *Endpoint, done func(Result))
 	// CloseIdle closes the idle connections to a destination.
-	CloseIdle(d *Destination)
+	CloseIdle(d *Endpoint)
 }
 
 // Lists takes what a source of endpoint lists tells, from any goroutine. A Loop is one.
-type Lists interface {
+type EndpointListReceiver interface {
 	// Pool takes an endpoint list, whole or what changed, with its version.
-	Pool(kind balance.ListKind, index int64, members []Member)
+	UpdateEndpoints(kind balance.ListKind, index int64, members []Member)
 	// Lost says that the source is not heard any more.
-	Lost()
+	SourceLost()
 }
 
 // Directory watches discovery.
-type Directory interface {
+type Discovery interface {
 	// Follow opens a watch of what has changed since a version and returns at once. The watch reports to the Loop by
 	// Pool and ends with one Lost.
-	Follow(since int64)
+	Watch(since int64)
 }
 
 // Clock is Unix time, read once and advanced by the monotonic clock, so that steps of the system's clock do no harm.
--- a/internal/routing/loop.go
+++ b/internal/routing/loop.go
@@ -19,8 +19,8 @@
 
 	set       balance.Settings
 	names     Names
-	carrier   Carrier
-	directory Directory
+	carrier   Transport
+	directory Discovery
 	log       *slog.Logger
 	balancer  *balance.Balancer
 
@@ -38,8 +38,8 @@
 	guard   *guard.Guard
 
 	lastID      balance.RequestID
-	ops         map[balance.RequestID]*Operation
-	keys        map[string]*Operation // those of ops that have a key
+	ops         map[balance.RequestID]*Request
+	keys        map[string]*Request // those of ops that have a key
 	pool        pool
 	hold        sendHold
 	holds       atomic.Uint64 // words on the hold so far
@@ -55,7 +55,7 @@
 // New returns a Loop that does not run yet, or an error if the module does not take its settings.
 func New(set balance.Settings, names Names, clock Clock, log *slog.Logger) (*Loop, error) {
 	l := &Loop{Clock: clock, guard: guard.New(log), set: set, names: names, log: log, events: make(chan func(), 256),
-		done: make(chan struct{}), ops: map[balance.RequestID]*Operation{}, keys: map[string]*Operation{}, pool: newPool()}
+		done: make(chan struct{}), ops: map[balance.RequestID]*Request{}, keys: map[string]*Request{}, pool: newPool()}
 	var err error
 	l.balancer, err = balance.New(set, host{l}, l.Now())
 	return l, err
@@ -65,10 +65,10 @@
 func (l *Loop) UseGuard(g *guard.Guard) { l.guard = g }
 
 // Notify has a function called after each event that may have changed something, on the Loop's goroutine; it must not block. It is set before Run.
-func (l *Loop) Notify(changed func()) { l.changed = changed }
+func (l *Loop) OnChange(changed func()) { l.changed = changed }
 
 // Run serves events until the context ends.
-func (l *Loop) Run(ctx context.Context, carrier Carrier, directory Directory) {
+func (l *Loop) Run(ctx context.Context, carrier Transport, directory Discovery) {
 	defer close(l.done)
 	l.carrier, l.directory = carrier, directory
 	alarm := time.NewTimer(time.Hour)
@@ -77,7 +77,7 @@
 		// What is due comes before what is new, as in the module's own order of time.
 		for l.timers.Len() > 0 && l.timers[0].at <= l.Now() {
 			t := heap.Pop(&l.timers).(timer)
-			l.handle(func() { l.balancer.Timer(l.Now(), t.token) })
+			l.handle(func() { l.balancer.TimerFired(l.Now(), t.token) })
 		}
 		if l.timers.Len() > 0 {
 			alarm.Reset(l.timers[0].at - l.Now())
@@ -145,7 +145,7 @@
 }
 
 // Owed tells how many operations have no final answer yet. Any goroutine may ask.
-func (l *Loop) Owed() int { return int(l.owed.Load()) }
+func (l *Loop) PendingRequests() int { return int(l.owed.Load()) }
 
 // timer is a Timer that the module asked for.
 type timer struct {
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -8,21 +8,21 @@
 
 // Metrics count what a Loop has done since its start. The Loop alone writes them; others get a copy by View.
 type Metrics struct {
-	Requests  uint64
-	Abandoned uint64                       // their clients left before the answer
-	Answers   [Doubled + 1]uint64          // by verdict
-	Refused   [balance.ReasonCount]uint64  // by reason
-	Failed    [balance.ReasonCount]uint64  // by reason
-	Attempts  uint64                       // all, first ones too
-	Retries   [balance.Declined + 1]uint64 // further attempts with none out, by how the one before ended
-	Hedges    uint64                       // further attempts beside one that is out
-	Outcomes  [balance.Declined + 1]uint64 // of attempts, by status
-	Lists     uint64                       // endpoint lists taken
-	ListsLost uint64                       // times that no source of lists was left
+	Requests      uint64
+	Abandoned     uint64                       // their clients left before the answer
+	Answers       [Duplicate + 1]uint64        // by verdict
+	Rejected      [balance.ReasonCount]uint64  // by reason
+	Failed        [balance.ReasonCount]uint64  // by reason
+	Attempts      uint64                       // all, first ones too
+	Retries       [balance.Declined + 1]uint64 // further attempts with none out, by how the one before ended
+	Hedges        uint64                       // further attempts beside one that is out
+	Outcomes      [balance.Declined + 1]uint64 // of attempts, by status
+	EndpointLists uint64                       // endpoint lists taken
+	SourcesLost   uint64                       // times that no source of lists was left
 }
 
 // attempt counts an attempt of an operation that is about to begin.
-func (m *Metrics) attempt(op *Operation) {
+func (m *Metrics) attempt(op *Request) {
 	m.Attempts++
 	switch {
 	case len(op.attempts) == 0:
@@ -45,13 +45,13 @@
 	add("abandoned", m.Abandoned)
 	add("attempts", m.Attempts)
 	add("hedges", m.Hedges)
-	add("endpoint lists", m.Lists)
-	add("endpoint lists lost", m.ListsLost)
+	add("endpoint lists", m.EndpointLists)
+	add("endpoint lists lost", m.SourcesLost)
 	for v, n := range m.Answers {
 		add("answers: "+Verdict(v).String(), n)
 	}
-	for why := range m.Refused {
-		add("refused: "+balance.Reason(why).String(), m.Refused[why])
+	for why := range m.Rejected {
+		add("refused: "+balance.Reason(why).String(), m.Rejected[why])
 		add("failed: "+balance.Reason(why).String(), m.Failed[why])
 	}
 	for s := range m.Outcomes {
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -2,9 +2,9 @@
 
 // Observation is what others saw of a destination: see balance.Balancer.Observed.
 type Observation struct {
-	Address string
-	Failed  float64
-	Load    []float32
+	Address      string
+	FailureShare float64
+	Load         []float32
 }
 
 // Probe asks the destinations at some addresses for their health and load, from any goroutine. Those that no destination
@@ -27,7 +27,7 @@
 		ids := l.pool.byAddress()
 		for _, o := range all {
 			if id, known := ids[o.Address]; known {
-				l.balancer.Observed(l.Now(), id, o.Failed, o.Load)
+				l.balancer.EndpointObserved(l.Now(), id, o.FailureShare, o.Load)
 			}
 		}
 	})
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -12,31 +12,31 @@
 // Member is an entry of an endpoint list.
 type Member struct {
 	Name, Address, Zone, Kind string
-	Group                     int
+	Cell                      int
 	State                     balance.State
 	Weight                    float64
-	Since                     time.Duration // Unix time of its last start; 0 for long ago
+	StartedAt                 time.Duration // Unix time of its last start; 0 for long ago
 }
 
 // pool holds the destinations that the endpoint list has named.
 type pool struct {
 	index  int64
-	byName map[string]*Destination
-	byID   map[balance.ServerID]*Destination
+	byName map[string]*Endpoint
+	byID   map[balance.EndpointID]*Endpoint
 }
 
 func newPool() pool {
-	return pool{byName: map[string]*Destination{}, byID: map[balance.ServerID]*Destination{}}
+	return pool{byName: map[string]*Endpoint{}, byID: map[balance.EndpointID]*Endpoint{}}
 }
 
 // Pool takes an endpoint list, from any goroutine.
-func (l *Loop) Pool(kind balance.ListKind, index int64, members []Member) {
+func (l *Loop) UpdateEndpoints(kind balance.ListKind, index int64, members []Member) {
 	l.post(func() { l.applyPool(kind, index, members) })
 }
 
 // Hold takes from which time of its clock on nothing may be sent, as the endpoint list is too old then, from any goroutine. It
 // goes by the lists that were handed over before. It does not wait for the Loop: whoever calls may be asked for other things.
-func (l *Loop) Hold(from time.Duration) {
+func (l *Loop) SetLeaseExpiry(from time.Duration) {
 	order := l.holds.Add(1)
 	l.hand(func() {
 		if order < l.lastHold { // a later word has overtaken it
@@ -47,7 +47,7 @@
 			l.confirmedAt = l.Now()
 		}
 		l.hold.from.Store(int64(from))
-		l.balancer.Hold(l.Now(), from)
+		l.balancer.SetLeaseExpiry(l.Now(), from)
 	})
 }
 
@@ -68,17 +68,17 @@
 func (h *sendHold) broken(now time.Duration) bool { return h.holds(now) && h.holds(now-holdSlack) }
 
 // Lost says that a watch has ended, from any goroutine.
-func (l *Loop) Lost() {
+func (l *Loop) SourceLost() {
 	l.post(func() {
-		l.metrics.ListsLost++
-		l.balancer.Members(l.Now(), balance.Failed, nil)
+		l.metrics.SourcesLost++
+		l.balancer.UpdateEndpoints(l.Now(), balance.Failed, nil)
 	})
 }
 
 func (l *Loop) applyPool(kind balance.ListKind, index int64, members []Member) {
 	l.pool.index = index
 	var closed []string
-	l.metrics.Lists++
+	l.metrics.EndpointLists++
 	// Ids are given in the order of names, so that a collision falls out alike at every sidecar.
 	slices.SortStableFunc(members, func(x, y Member) int {
 		if x.Name < y.Name {
@@ -88,7 +88,7 @@
 		}
 		return 0
 	})
-	servers := make([]balance.Server, 0, len(members))
+	servers := make([]balance.Endpoint, 0, len(members))
 	named, at := map[string]bool{}, map[string]bool{}
 	for _, m := range members {
 		d := l.pool.name(m.Name)
@@ -106,8 +106,8 @@
 		if l.closeTo(d, m.State != balance.Ready) {
 			closed = append(closed, d.Name)
 		}
-		servers = append(servers, balance.Server{ID: d.ID, Zone: place(l.names.Zones, m.Zone),
-			Kind: place(l.names.Kinds, m.Kind), Cell: m.Group, State: m.State, Units: m.Weight, ReadyAt: d.since})
+		servers = append(servers, balance.Endpoint{ID: d.ID, Zone: place(l.names.Zones, m.Zone),
+			Kind: place(l.names.Kinds, m.Kind), Cell: m.Cell, State: m.State, Units: m.Weight, ReadyAt: d.since})
 		if m.State == balance.Gone {
 			l.pool.drop(d)
 		}
@@ -125,11 +125,11 @@
 				closed = append(closed, name)
 			}
 			l.pool.drop(d)
-			servers = append(servers, balance.Server{ID: d.ID, State: balance.Gone})
+			servers = append(servers, balance.Endpoint{ID: d.ID, State: balance.Gone})
 		}
 	}
 	l.logPool(kind, index, members, closed)
-	l.balancer.Members(l.Now(), kind, servers)
+	l.balancer.UpdateEndpoints(l.Now(), kind, servers)
 }
 
 // newsLag is how late the news of a start may come while the endpoint list is confirmed.
@@ -138,14 +138,14 @@
 // startOf is when a destination started, on this process's clock. The list tells it by discovery's wall clock, and this
 // machine's can be off by any amount; but a start that is news is no older than the last time the list was confirmed, less the
 // lag of the news, and none lies in the future.
-func (l *Loop) startOf(d *Destination, m Member) time.Duration {
-	switch m.Since {
+func (l *Loop) startOf(d *Endpoint, m Member) time.Duration {
+	switch m.StartedAt {
 	case 0:
 		return 0
-	case d.member.Since:
+	case d.member.StartedAt:
 		return d.since
 	}
-	since := min(m.Since, l.Now())
+	since := min(m.StartedAt, l.Now())
 	if l.confirmedAt > 0 {
 		since = max(since, l.confirmedAt-newsLag)
 	}
@@ -154,7 +154,7 @@
 
 // closeTo guards the drain rule: attempts that are decided but not yet on their way look at the flag. It tells whether the
 // destination has just been closed.
-func (l *Loop) closeTo(d *Destination, closed bool) bool {
+func (l *Loop) closeTo(d *Endpoint, closed bool) bool {
 	if d.closed.Swap(closed) == closed {
 		return false
 	}
@@ -168,8 +168,8 @@
 }
 
 // byAddress are the ids of all destinations.
-func (p *pool) byAddress() map[string]balance.ServerID {
-	out := make(map[string]balance.ServerID, len(p.byName))
+func (p *pool) byAddress() map[string]balance.EndpointID {
+	out := make(map[string]balance.EndpointID, len(p.byName))
 	for _, d := range p.byName {
 		out[d.Address] = d.ID
 	}
@@ -178,30 +178,30 @@
 
 // name finds or makes the destination of a name. Its id is a hash of the name, for every sidecar must know it by the
 // same; where two names share one, the later takes the next that is free.
-func (p *pool) name(name string) *Destination {
+func (p *pool) name(name string) *Endpoint {
 	if d := p.byName[name]; d != nil {
 		return d
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	id := balance.ServerID(h.Sum32())
+	id := balance.EndpointID(h.Sum32())
 	for p.byID[id] != nil {
 		id++
 	}
-	d := &Destination{ID: id, Name: name}
+	d := &Endpoint{ID: id, Name: name}
 	p.byName[name], p.byID[id] = d, d
 	return d
 }
 
-func (p *pool) replace(old *Destination) *Destination {
-	d := &Destination{ID: old.ID, Name: old.Name}
+func (p *pool) replace(old *Endpoint) *Endpoint {
+	d := &Endpoint{ID: old.ID, Name: old.Name}
 	d.closed.Store(old.closed.Load())
 	old.closed.Store(true)
 	p.byName[d.Name], p.byID[d.ID] = d, d
 	return d
 }
 
-func (p *pool) drop(d *Destination) {
+func (p *pool) drop(d *Endpoint) {
 	delete(p.byName, d.Name)
 	delete(p.byID, d.ID)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -26,36 +26,36 @@
 	carried chan *Attempt
 	done    chan func(Result)
 	watched chan int64
-	closed  chan *Destination
+	closed  chan *Endpoint
 }
 
-func (f *fake) Carry(a *Attempt, done func(Result))     { f.done <- done; f.carried <- a }
-func (f *fake) Probe(_ *Destination, done func(Result)) { done(Result{Status: balance.OK}) }
-func (f *fake) CloseIdle(d *Destination)                { f.closed <- d }
-func (f *fake) Follow(since int64)                      { f.watched <- since }
+func (f *fake) Send(a *Attempt, done func(Result))   { f.done <- done; f.carried <- a }
+func (f *fake) Probe(_ *Endpoint, done func(Result)) { done(Result{Status: balance.OK}) }
+func (f *fake) CloseIdle(d *Endpoint)                { f.closed <- d }
+func (f *fake) Watch(since int64)                    { f.watched <- since }
 
 // start runs a Loop over a fake, with one class that is unsafe, and two destinations.
 func start(t testing.TB, limits balance.Limits) (*Loop, *fake) { return startLogged(t, limits, quiet) }
 
 func startLogged(t testing.TB, limits balance.Limits, log *slog.Logger) (*Loop, *fake) {
-	class := balance.Class{Aim: 5 * time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: balance.Unsafe}
-	l, err := New(balance.Settings{Balancers: 1, Classes: []balance.Class{class}, Limits: limits, Ask: true,
-		Rules: balance.Rules{DrainGrace: time.Second / 2, AskWithin: 80 * time.Millisecond}}, Names{}, NewClock(), log)
+	class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 5 * time.Second, Utility: 1, Effect: balance.Unsafe}
+	l, err := New(balance.Settings{Balancers: 1, Classes: []balance.Class{class}, Limits: limits, PollDiscovery: true,
+		Rules: balance.Rules{DrainGrace: time.Second / 2, DiscoveryInterval: 80 * time.Millisecond}}, Names{}, NewClock(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{make(chan *Attempt, 99), make(chan func(Result), 99), make(chan int64, 99), make(chan *Destination, 99)}
+	f := &fake{make(chan *Attempt, 99), make(chan func(Result), 99), make(chan int64, 99), make(chan *Endpoint, 99)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go l.Run(ctx, f, f)
-	l.Pool(balance.Cached, 4, []Member{{Name: "b", Address: "b:1", State: balance.Ready}, {Name: "a", Address: "a:1",
+	l.UpdateEndpoints(balance.Cached, 4, []Member{{Name: "b", Address: "b:1", State: balance.Ready}, {Name: "a", Address: "a:1",
 		State: balance.Ready}})
 	return l, f
 }
 
-func submit(l *Loop, left time.Duration) (*Operation, chan Answer) {
+func submit(l *Loop, left time.Duration) (*Request, chan Answer) {
 	answers := make(chan Answer, 9)
-	op := &Operation{Deadline: l.Now() + left, Done: func(a Answer) { answers <- a }}
+	op := &Request{Deadline: l.Now() + left, Done: func(a Answer) { answers <- a }}
 	l.Submit(op)
 	return op, answers
 }
@@ -72,13 +72,13 @@
 // What never ran goes out again, elsewhere, and only when the first is over; what may have run does not.
 func TestOutcomes(t *testing.T) {
 	never := &AttemptError{Connecting, errors.New("refused")}
-	maybe := &AttemptError{WhollyWritten, errors.New("reset")}
+	maybe := &AttemptError{FullyWritten, errors.New("reset")}
 	l, f := start(t, limits)
 	_, answers := submit(l, time.Minute)
 	first := <-f.carried
 	(<-f.done)(Result{Err: never})
 	second := <-f.carried
-	if first.Destination == second.Destination || first.Context.Err() == nil {
+	if first.Endpoint == second.Endpoint || first.Context.Err() == nil {
 		t.Error("the second attempt goes to the first's destination, or the first is not over")
 	}
 	(<-f.done)(Result{Err: maybe})
@@ -94,8 +94,8 @@
 		t.Errorf("answered %+v", a)
 	}
 	sync(l)
-	if len(f.carried) > 0 || len(answers) > 0 || l.Owed() != 0 || len(l.ops) != 0 {
-		t.Errorf("left over: %d attempts, %d answers, %d owed, %d kept", len(f.carried), len(answers), l.Owed(), len(l.ops))
+	if len(f.carried) > 0 || len(answers) > 0 || l.PendingRequests() != 0 || len(l.ops) != 0 {
+		t.Errorf("left over: %d attempts, %d answers, %d owed, %d kept", len(f.carried), len(answers), l.PendingRequests(), len(l.ops))
 	}
 }
 
@@ -105,9 +105,9 @@
 	_, answers := submit(l, time.Hour)
 	for range limits.MaxAttempts {
 		<-f.carried
-		(<-f.done)(Result{Status: balance.FullUp})
+		(<-f.done)(Result{Status: balance.Rejected})
 	}
-	if a := <-answers; a.Verdict != Busy || a.RetryAfter != time.Second {
+	if a := <-answers; a.Verdict != Rejected || a.RetryAfter != time.Second {
 		t.Errorf("answered %+v", a)
 	}
 }
@@ -120,13 +120,13 @@
 	if a.Stale() {
 		t.Error("a fresh attempt is stale")
 	}
-	l.Pool(balance.Delta, 5, []Member{{Name: a.Destination.Name, Address: a.Destination.Address, State: balance.Draining}})
-	if d := <-f.closed; d != a.Destination || !a.Stale() {
+	l.UpdateEndpoints(balance.Delta, 5, []Member{{Name: a.Endpoint.Name, Address: a.Endpoint.Address, State: balance.Draining}})
+	if d := <-f.closed; d != a.Endpoint || !a.Stale() {
 		t.Error("an attempt to a draining destination may start")
 	}
-	(<-f.done)(Result{Err: &AttemptError{Waiting, errNotSent}})
+	(<-f.done)(Result{Err: &AttemptError{NotSent, errNotSent}})
 	b := <-f.carried
-	if b.Destination == a.Destination || b.Stale() {
+	if b.Endpoint == a.Endpoint || b.Stale() {
 		t.Error("the draining destination was chosen again")
 	}
 	l.Abandon(op)
@@ -134,9 +134,9 @@
 	if !b.Stale() {
 		t.Error("an attempt for nobody may start")
 	}
-	(<-f.done)(Result{Err: &AttemptError{WhollyWritten, context.Canceled}})
+	(<-f.done)(Result{Err: &AttemptError{FullyWritten, context.Canceled}})
 	sync(l)
-	if l.Owed() != 0 || len(l.ops) != 0 {
+	if l.PendingRequests() != 0 || len(l.ops) != 0 {
 		t.Error("an operation that its client left is kept")
 	}
 }
@@ -146,9 +146,9 @@
 func TestKeys(t *testing.T) {
 	l, f := start(t, limits)
 	left := false
-	take := func() (*Operation, chan Answer) {
+	take := func() (*Request, chan Answer) {
 		answers := make(chan Answer, 9)
-		op := &Operation{Deadline: l.Now() + time.Minute, Key: "k", Left: func() bool { return left },
+		op := &Request{Deadline: l.Now() + time.Minute, Key: "k", ClientGone: func() bool { return left },
 			Done: func(a Answer) { answers <- a }}
 		l.Submit(op)
 		return op, answers
@@ -156,7 +156,7 @@
 	_, answers := take()
 	a := <-f.carried
 	_, doubled := take()
-	if a := <-doubled; a.Verdict != Doubled || len(answers) > 0 {
+	if a := <-doubled; a.Verdict != Duplicate || len(answers) > 0 {
 		t.Errorf("the second was answered %+v", a)
 	}
 	l.post(func() { left = true })
@@ -165,16 +165,16 @@
 	if sync(l); len(f.carried) > 0 {
 		t.Fatal("two attempts are out")
 	}
-	(<-f.done)(Result{Err: &AttemptError{WhollyWritten, context.Canceled}})
-	if a := <-f.carried; a.Op != again {
+	(<-f.done)(Result{Err: &AttemptError{FullyWritten, context.Canceled}})
+	if a := <-f.carried; a.Request != again {
 		t.Error("another operation went out")
 	}
 	(<-f.done)(Result{Status: balance.OK})
 	if a := <-answers; a.Verdict != Served {
 		t.Errorf("answered %+v", a)
 	}
-	if sync(l); len(l.keys) != 0 || len(l.ops) != 0 || l.Owed() != 0 {
-		t.Errorf("kept: %d keys, %d operations, %d owed", len(l.keys), len(l.ops), l.Owed())
+	if sync(l); len(l.keys) != 0 || len(l.ops) != 0 || l.PendingRequests() != 0 {
+		t.Errorf("kept: %d keys, %d operations, %d owed", len(l.keys), len(l.ops), l.PendingRequests())
 	}
 }
 
@@ -197,8 +197,8 @@
 	if since := <-f.watched; since != 4 {
 		t.Errorf("watched from %d", since)
 	}
-	l.Pool(balance.Full, 9, []Member{{Name: "a", Address: "a:1", State: balance.Ready}})
-	l.Lost()
+	l.UpdateEndpoints(balance.Full, 9, []Member{{Name: "a", Address: "a:1", State: balance.Ready}})
+	l.SourceLost()
 	if since := <-f.watched; since != 9 {
 		t.Errorf("watched again from %d", since)
 	}
@@ -212,7 +212,7 @@
 func TestAddressTakenOver(t *testing.T) {
 	l, f := start(t, limits)
 	for i := range 50 {
-		l.Pool(balance.Delta, int64(5+i), []Member{{Name: fmt.Sprint("c", i), Address: "a:1", State: balance.Ready}})
+		l.UpdateEndpoints(balance.Delta, int64(5+i), []Member{{Name: fmt.Sprint("c", i), Address: "a:1", State: balance.Ready}})
 		if sync(l); len(f.closed) != 1 {
 			t.Fatalf("%d destinations are closed to", len(f.closed))
 		}
@@ -265,7 +265,7 @@
 		sync(l)
 		_, answers := submit(l, time.Second)
 		a := <-f.carried
-		a.Opened()
+		a.ConnectionOpened()
 		(<-f.done)(Result{Status: balance.OK})
 		<-answers
 		sync(l)
@@ -297,8 +297,8 @@
 	for range cap(l.events) {
 		l.post(func() {})
 	}
-	late := &Operation{Deadline: l.Now() + 50*time.Millisecond}
-	if l.Submit(late) || l.Owed() != 0 {
+	late := &Request{Deadline: l.Now() + 50*time.Millisecond}
+	if l.Submit(late) || l.PendingRequests() != 0 {
 		t.Error("an operation was taken after its time")
 	}
 	l.Abandon(late) // does not wait
@@ -312,22 +312,22 @@
 func TestSuccessorKnowsOpenKeys(t *testing.T) {
 	old, f := start(t, limits)
 	next, g := start(t, limits)
-	next.Succeed(old)
+	next.TakeOver(old)
 	answers := make(chan Answer, 9)
-	op := func() *Operation {
-		return &Operation{Key: "k", Deadline: old.Now() + time.Minute, Done: func(a Answer) { answers <- a }}
+	op := func() *Request {
+		return &Request{Key: "k", Deadline: old.Now() + time.Minute, Done: func(a Answer) { answers <- a }}
 	}
 	old.Submit(op())
 	<-f.carried
 	third, h := start(t, limits)
-	third.Succeed(next)
+	third.TakeOver(next)
 	third.Submit(op())
-	if a := <-answers; a.Verdict != Doubled || len(h.carried) > 0 || third.Owed() != 0 {
+	if a := <-answers; a.Verdict != Duplicate || len(h.carried) > 0 || third.PendingRequests() != 0 {
 		t.Errorf("%+v at the successor's successor", a)
 	}
 	next.Submit(op())
-	if a := <-answers; a.Verdict != Doubled || len(g.carried) > 0 || next.Owed() != 0 {
-		t.Errorf("%+v, %d attempts at the successor, %d owed", a, len(g.carried), next.Owed())
+	if a := <-answers; a.Verdict != Duplicate || len(g.carried) > 0 || next.PendingRequests() != 0 {
+		t.Errorf("%+v, %d attempts at the successor, %d owed", a, len(g.carried), next.PendingRequests())
 	}
 	(<-f.done)(Result{Status: balance.OK})
 	<-answers
@@ -343,15 +343,15 @@
 // The guard's check goes by the attempts' notes: what a faulty Carrier begins although it may not is counted by its invariant.
 func TestGuardCountsWhatWasBegun(t *testing.T) {
 	for name, c := range map[string]struct {
-		between func(l *Loop, op *Operation)
+		between func(l *Loop, op *Request)
 		want    string
 	}{
-		"in time": {func(*Loop, *Operation) {}, ""},
-		"after drain": {func(l *Loop, _ *Operation) {
-			l.Pool(balance.Delta, 5, []Member{{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"}})
+		"in time": {func(*Loop, *Request) {}, ""},
+		"after drain": {func(l *Loop, _ *Request) {
+			l.UpdateEndpoints(balance.Delta, 5, []Member{{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"}})
 		}, "drain"},
-		"client left": {func(l *Loop, op *Operation) { l.Abandon(op) }, "client gone"},
-		"old list":    {func(l *Loop, _ *Operation) { l.Hold(l.Now()) }, "stale list"},
+		"client left": {func(l *Loop, op *Request) { l.Abandon(op) }, "client gone"},
+		"old list":    {func(l *Loop, _ *Request) { l.SetLeaseExpiry(l.Now()) }, "stale list"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -384,11 +384,11 @@
 		l, _ := start(t, balance.Limits{MaxAttempts: 1})
 		truth := l.Now() - off // the lists' clock
 		told := func(name string, since time.Duration) time.Duration {
-			l.Pool(balance.Delta, 5, []Member{{Name: name, Address: name + ":1", State: balance.Ready, Since: since}})
+			l.UpdateEndpoints(balance.Delta, 5, []Member{{Name: name, Address: name + ":1", State: balance.Ready, StartedAt: since}})
 			sync(l)
 			return l.Now() - l.pool.byName[name].since
 		}
-		l.Hold(l.Now() + time.Hour) // the list is confirmed
+		l.SetLeaseExpiry(l.Now() + time.Hour) // the list is confirmed
 		if age := told("new", truth-2*time.Second); age < 0 || age > newsLag+time.Second {
 			t.Errorf("clock off by %v: a server that started 2 s ago is taken for one of %v", off, age)
 		}
--- a/internal/routing/successor.go
+++ b/internal/routing/successor.go
@@ -9,11 +9,11 @@
 // Succeed has the Loop take the place of another, which takes nothing new and still ends what is open in it. A key that is
 // open there is open here, too: a client that sends its operation again must not have it out twice. It is called before
 // the first operation comes.
-func (l *Loop) Succeed(before *Loop) { l.before.Store(before) }
+func (l *Loop) TakeOver(before *Loop) { l.before.Store(before) }
 
 // Inherit hands a Loop that does not run yet the endpoint list of the one whose place it will take: what that one knows must
 // not be learnt anew while requests wait. It tells whether the other answered within a time.
-func (l *Loop) Inherit(before *Loop, within time.Duration) bool {
+func (l *Loop) InheritEndpoints(before *Loop, within time.Duration) bool {
 	type list struct {
 		index   int64
 		members []Member
@@ -27,7 +27,7 @@
 	defer left.Stop()
 	select {
 	case known := <-answer:
-		l.Pool(balance.Cached, known.index, known.members)
+		l.UpdateEndpoints(balance.Cached, known.index, known.members)
 		return true
 	case <-left.C:
 	case <-before.done:
@@ -61,9 +61,9 @@
 
 // admitAfter runs on a predecessor's goroutine, and has this Loop take the operation unless its key is open there, or at
 // that one's own predecessor.
-func (l *Loop) admitAfter(before *Loop, op *Operation) {
+func (l *Loop) admitAfter(before *Loop, op *Request) {
 	if before.keys[op.Key] != nil {
-		l.hand(func() { l.answer(op, Answer{Verdict: Doubled}) })
+		l.hand(func() { l.answer(op, Answer{Verdict: Duplicate}) })
 		return
 	}
 	older := before.predecessor()
@@ -71,7 +71,7 @@
 	case older == nil:
 		l.hand(func() { l.admit(op) })
 	case older.Stuck() || !older.postUntil(func() { l.admitAfter(older, op) }, 0):
-		l.hand(func() { l.answer(op, Answer{Verdict: Busy}) }) // whether the key is open there cannot be known
+		l.hand(func() { l.answer(op, Answer{Verdict: Rejected}) }) // whether the key is open there cannot be known
 	}
 }
 
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -16,32 +16,32 @@
 func (l *Loop) traces() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
 
 // traceAttempt notes how an attempt ended: at which destination, at which age of it, and what it reported.
-func (l *Loop) traceAttempt(a *Attempt, server balance.ServerID, status balance.Status, r Result, now time.Duration) {
+func (l *Loop) traceAttempt(a *Attempt, server balance.EndpointID, status balance.Status, r Result, now time.Duration) {
 	if !l.traces() {
 		return
 	}
 	name, age := "", time.Duration(0)
-	if a.Destination != nil {
-		name = a.Destination.Name
-		if a.Destination.since > 0 {
-			age = now - a.Destination.since
+	if a.Endpoint != nil {
+		name = a.Endpoint.Name
+		if a.Endpoint.since > 0 {
+			age = now - a.Endpoint.since
 		}
 	}
-	l.log.Debug("attempt", "operation", a.Op.id, "class", a.Op.Class, "hint", a.Op.Hint, "attempt", a.number,
-		"id", a.Op.Key, "destination", name, "server", server, "age", age, "status", status.String(), "took", now-a.sent,
+	l.log.Debug("attempt", "operation", a.Request.id, "class", a.Request.Class, "hint", a.Request.CostHint, "attempt", a.number,
+		"id", a.Request.Key, "destination", name, "server", server, "age", age, "status", status.String(), "took", now-a.sent,
 		"opened", a.opened.Load(), "load", r.Load, "error", r.Err)
 }
 
 // traceAnswer notes an operation's final answer, and why it was refused or failed.
-func (l *Loop) traceAnswer(op *Operation, v Verdict, why string) {
+func (l *Loop) traceAnswer(op *Request, v Verdict, why string) {
 	if l.traces() {
-		l.log.Debug("answer", "operation", op.id, "id", op.Key, "class", op.Class, "hint", op.Hint, "repeat", op.Repeat, "verdict",
+		l.log.Debug("answer", "operation", op.id, "id", op.Key, "class", op.Class, "hint", op.CostHint, "repeat", op.ClientRetry, "verdict",
 			v.String(), "reason", why, "attempts", len(op.attempts), "took", l.Now()-op.came, "left", op.Deadline-l.Now())
 	}
 }
 
 // traceAbandoned notes an operation whose client has left.
-func (l *Loop) traceAbandoned(op *Operation) {
+func (l *Loop) traceAbandoned(op *Request) {
 	if l.traces() {
 		l.log.Debug("abandoned", "operation", op.id, "id", op.Key, "attempts", len(op.attempts), "out", op.out, "took", l.Now()-op.came)
 	}
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -10,17 +10,17 @@
 
 // View is what a Loop knows at a moment.
 type View struct {
-	Index        int64   // of the last endpoint list
-	Open, Parked int     // operations
-	Level, Below float64 // of refusals: see balance.Balancer.Level
-	Destinations []DestinationView
-	Metrics      Metrics
+	Index                     int64   // of the last endpoint list
+	Pending, Queued           int     // operations
+	ShedLevel, DownstreamShed float64 // of refusals: see balance.Balancer.Level
+	Endpoints                 []EndpointView
+	Metrics                   Metrics
 }
 
 // DestinationView is a destination with what the module knows of it.
-type DestinationView struct {
+type EndpointView struct {
 	Name, Address, Zone string
-	balance.ServerView
+	balance.EndpointView
 }
 
 // View asks the Loop for what it knows, and tells whether it answered within a time.
@@ -43,13 +43,13 @@
 
 func (l *Loop) view() View {
 	servers, open, parked := l.balancer.View(l.Now())
-	v := View{Index: l.pool.index, Open: open, Parked: parked, Metrics: l.metrics}
-	v.Level, v.Below = l.balancer.Level(l.Now())
+	v := View{Index: l.pool.index, Pending: open, Queued: parked, Metrics: l.metrics}
+	v.ShedLevel, v.DownstreamShed = l.balancer.AdmissionLevel(l.Now())
 	for _, s := range servers {
 		if d := l.pool.byID[s.ID]; d != nil {
-			v.Destinations = append(v.Destinations, DestinationView{d.Name, d.Address, d.Zone, s})
+			v.Endpoints = append(v.Endpoints, EndpointView{d.Name, d.Address, d.Zone, s})
 		}
 	}
-	slices.SortFunc(v.Destinations, func(x, y DestinationView) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(v.Endpoints, func(x, y EndpointView) int { return cmp.Compare(x.Name, y.Name) })
 	return v
 }
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -10,9 +10,9 @@
 )
 
 // Part is what a pool may take of a limit.
-type Part struct {
+type Share struct {
 	Guaranteed int // units that no other pool can keep from it for longer than until the next is given back
-	Most       int // units, borrowed ones included; 0 for no limit but the whole
+	Max        int // units, borrowed ones included; 0 for no limit but the whole
 }
 
 // claimFor is how long a claim keeps room for a pool that was turned away inside its guaranteed part. Its clients may
@@ -34,7 +34,7 @@
 }
 
 type pool struct {
-	Part
+	Share
 	gone  bool // it takes nothing any more, and is forgotten once it has given all back
 	used  int
 	claim claim
@@ -48,21 +48,21 @@
 }
 
 // New divides a limit of some units. See Set for its errors.
-func New(whole int, parts map[string]Part) (*Limit, error) {
+func New(whole int, parts map[string]Share) (*Limit, error) {
 	l := &Limit{pools: map[string]*pool{}, claimed: map[*pool]bool{}}
-	return l, l.Set(whole, parts)
+	return l, l.Resize(whole, parts)
 }
 
 // Set divides the limit anew. What pools hold stays theirs, also beyond their new part, and what a pool that is no longer
 // named holds still counts until it is given back. On an error nothing is changed.
-func (l *Limit) Set(whole int, parts map[string]Part) error {
+func (l *Limit) Resize(whole int, parts map[string]Share) error {
 	sum := 0
 	for name, p := range parts {
 		if p.Guaranteed < 1 {
 			return fmt.Errorf("pool %q: the guaranteed part must be at least 1, not %d", name, p.Guaranteed)
 		}
-		if p.Most != 0 && p.Most < p.Guaranteed {
-			return fmt.Errorf("pool %q: at most %d are less than the guaranteed %d", name, p.Most, p.Guaranteed)
+		if p.Max != 0 && p.Max < p.Guaranteed {
+			return fmt.Errorf("pool %q: at most %d are less than the guaranteed %d", name, p.Max, p.Guaranteed)
 		}
 		sum += p.Guaranteed
 	}
@@ -73,7 +73,7 @@
 	clear(l.claimed)
 	for name, p := range l.pools {
 		if _, named := parts[name]; !named {
-			p.Part, p.gone, p.claim = Part{}, true, claim{}
+			p.Share, p.gone, p.claim = Share{}, true, claim{}
 			l.forget(name, p)
 		}
 	}
@@ -83,7 +83,7 @@
 			p = &pool{}
 			l.pools[name] = p
 		}
-		p.Part, p.gone, p.claim = part, false, claim{}
+		p.Share, p.gone, p.claim = part, false, claim{}
 	}
 	l.idle = 0
 	for _, p := range l.pools {
@@ -111,9 +111,9 @@
 
 // Take takes units for a pool, all or none. A refusal inside the guaranteed part keeps the next units that are given
 // back for the pool, for a second.
-func (l *Limit) Take(now time.Duration, name string, units int) bool {
+func (l *Limit) Acquire(now time.Duration, name string, units int) bool {
 	p := l.pools[name]
-	if p == nil || p.gone || units < 0 || p.Most > 0 && p.used+units > p.Most {
+	if p == nil || p.gone || units < 0 || p.Max > 0 && p.used+units > p.Max {
 		return false
 	}
 	free := l.whole - l.used
@@ -153,7 +153,7 @@
 }
 
 // Give gives units back.
-func (l *Limit) Give(name string, units int) {
+func (l *Limit) Release(name string, units int) {
 	p := l.pools[name]
 	if p == nil || units > p.used || units < 0 {
 		panic(fmt.Sprintf("share: pool %q gives back %d units that it does not hold", name, units))
@@ -163,21 +163,21 @@
 }
 
 // Use is what a pool holds of a limit.
-type Use struct {
-	Part
+type Usage struct {
+	Share
 	Used     int
 	Borrowed int // of Used, beyond the guaranteed part
 	Gone     bool
 }
 
 // Whole tells the units there are and those that are taken.
-func (l *Limit) Whole() (whole, used int) { return l.whole, l.used }
+func (l *Limit) Total() (whole, used int) { return l.whole, l.used }
 
 // Uses tells what each pool holds.
-func (l *Limit) Uses() map[string]Use {
-	out := make(map[string]Use, len(l.pools))
+func (l *Limit) Usage() map[string]Usage {
+	out := make(map[string]Usage, len(l.pools))
 	for name, p := range l.pools {
-		out[name] = Use{Part: p.Part, Used: p.used, Borrowed: max(p.used-p.Guaranteed, 0), Gone: p.gone}
+		out[name] = Usage{Share: p.Share, Used: p.used, Borrowed: max(p.used-p.Guaranteed, 0), Gone: p.gone}
 	}
 	return out
 }
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-func divide(t *testing.T, whole int, parts map[string]Part) *Limit {
+func divide(t *testing.T, whole int, parts map[string]Share) *Limit {
 	t.Helper()
 	l, err := New(whole, parts)
 	if err != nil {
@@ -25,14 +25,14 @@
 
 // take takes units one by one until one is refused.
 func take(l *Limit, name string) (n int) {
-	for l.Take(0, name, 1) {
+	for l.Acquire(0, name, 1) {
 		n++
 	}
 	return n
 }
 
 func TestBorrowedUnitsGoBackToTheirOwner(t *testing.T) {
-	l := divide(t, 16, map[string]Part{"a": {Guaranteed: 4}, "b": {Guaranteed: 8}, "c": {Guaranteed: 4, Most: 5}})
+	l := divide(t, 16, map[string]Share{"a": {Guaranteed: 4}, "b": {Guaranteed: 8}, "c": {Guaranteed: 4, Max: 5}})
 	if n := take(l, "c"); n != 5 {
 		t.Errorf("c took %d, want its most", n)
 	}
@@ -42,72 +42,72 @@
 	if n := take(l, "b"); n != 2 {
 		t.Errorf("b took %d, want the spare 2", n)
 	}
-	l.Give("a", 1)
-	if l.Take(0, "a", 1) {
+	l.Release("a", 1)
+	if l.Acquire(0, "a", 1) {
 		t.Error("a borrower took what b had asked for")
 	}
-	if !l.Take(0, "b", 1) {
+	if !l.Acquire(0, "b", 1) {
 		t.Error("b did not get the next unit")
 	}
-	l.Take(0, "b", 1)
-	l.Give("a", 3)
-	if l.Take(claimFor-1, "a", 2) {
+	l.Acquire(0, "b", 1)
+	l.Release("a", 3)
+	if l.Acquire(claimFor-1, "a", 2) {
 		t.Error("a borrower took what is kept for b")
 	}
-	if u := l.Uses()["a"]; u.Used != 5 || u.Borrowed != 1 {
+	if u := l.Usage()["a"]; u.Used != 5 || u.Borrowed != 1 {
 		t.Errorf("a holds %+v", u)
 	}
 	// b's clients do not come back: its claim ends, and the spare alone is kept.
-	if !l.Take(claimFor, "a", 1) || l.Take(claimFor, "a", 1) {
+	if !l.Acquire(claimFor, "a", 1) || l.Acquire(claimFor, "a", 1) {
 		t.Error("an old claim still keeps room")
 	}
 }
 
 // A claim may be larger than what borrowers leave free anyway.
 func TestClaimIsKeptWhole(t *testing.T) {
-	l := divide(t, 16, map[string]Part{"a": {Guaranteed: 4}, "b": {Guaranteed: 8}, "c": {Guaranteed: 4}})
+	l := divide(t, 16, map[string]Share{"a": {Guaranteed: 4}, "b": {Guaranteed: 8}, "c": {Guaranteed: 4}})
 	take(l, "a")
-	if l.Take(0, "b", 8) {
+	if l.Acquire(0, "b", 8) {
 		t.Fatal("a left 8 free")
 	}
-	l.Give("a", 4)
-	if l.Take(0, "a", 1) || l.Take(0, "c", 1) {
+	l.Release("a", 4)
+	if l.Acquire(0, "a", 1) || l.Acquire(0, "c", 1) {
 		t.Error("another took what is kept for b")
 	}
-	l.Give("a", 2)
-	if !l.Take(0, "b", 8) || !l.Take(0, "c", 0) {
+	l.Release("a", 2)
+	if !l.Acquire(0, "b", 8) || !l.Acquire(0, "c", 0) {
 		t.Error("b did not get its part")
 	}
 }
 
 func TestSetKeepsWhatIsHeld(t *testing.T) {
-	l := divide(t, 8, map[string]Part{"a": {Guaranteed: 4}, "b": {Guaranteed: 4}})
+	l := divide(t, 8, map[string]Share{"a": {Guaranteed: 4}, "b": {Guaranteed: 4}})
 	take(l, "a")
 	take(l, "b")
-	if err := l.Set(6, map[string]Part{"b": {Guaranteed: 2}, "c": {Guaranteed: 2}}); err != nil {
+	if err := l.Resize(6, map[string]Share{"b": {Guaranteed: 2}, "c": {Guaranteed: 2}}); err != nil {
 		t.Fatal(err)
 	}
-	if l.Take(0, "a", 1) || l.Take(0, "c", 1) {
+	if l.Acquire(0, "a", 1) || l.Acquire(0, "c", 1) {
 		t.Error("8 of 6 are held, and more was taken")
 	}
-	held := l.Uses()["a"].Used
-	l.Give("a", held)
-	if _, there := l.Uses()["a"]; there {
+	held := l.Usage()["a"].Used
+	l.Release("a", held)
+	if _, there := l.Usage()["a"]; there {
 		t.Error("a is gone, has given all back, and is remembered")
 	}
-	if !l.Take(0, "c", 1) {
+	if !l.Acquire(0, "c", 1) {
 		t.Error("c does not get its part")
 	}
-	for want, parts := range map[string]map[string]Part{
+	for want, parts := range map[string]map[string]Share{
 		"add up to 7 of 6": {"a": {Guaranteed: 3}, "b": {Guaranteed: 4}},
 		"at least 1":       {"a": {}},
-		"less than":        {"a": {Guaranteed: 3, Most: 2}},
+		"less than":        {"a": {Guaranteed: 3, Max: 2}},
 	} {
-		if err := l.Set(6, parts); err == nil || !strings.Contains(err.Error(), want) {
+		if err := l.Resize(6, parts); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if u := l.Uses()["c"]; u.Guaranteed != 2 || u.Used != 1 {
+	if u := l.Usage()["c"]; u.Guaranteed != 2 || u.Used != 1 {
 		t.Errorf("a refused division changed c: %+v", u)
 	}
 }
@@ -116,10 +116,10 @@
 // the next units that are given back.
 func TestPropertiesOfSharing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts, sum := map[string]Part{}, 0
+		parts, sum := map[string]Share{}, 0
 		for i := range rapid.IntRange(1, 5).Draw(t, "pools") {
 			g := rapid.IntRange(1, 6).Draw(t, "guaranteed")
-			parts[fmt.Sprint(i)] = Part{Guaranteed: g}
+			parts[fmt.Sprint(i)] = Share{Guaranteed: g}
 			sum += g
 		}
 		walk(t, sum+rapid.IntRange(0, 6).Draw(t, "more"), parts, 300, func(n int, what string) int {
@@ -130,13 +130,13 @@
 
 func TestAMillionRandomEvents(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	walk(t, 40, map[string]Part{"0": {Guaranteed: 1}, "1": {Guaranteed: 10}, "2": {Guaranteed: 5, Most: 12}, "3": {Guaranteed: 20}},
+	walk(t, 40, map[string]Share{"0": {Guaranteed: 1}, "1": {Guaranteed: 10}, "2": {Guaranteed: 5, Max: 12}, "3": {Guaranteed: 20}},
 		1_000_000, func(n int, _ string) int { return r.IntN(n) })
 }
 
 type failer interface{ Fatalf(string, ...any) }
 
-func walk(t failer, whole int, parts map[string]Part, events int, draw func(int, string) int) {
+func walk(t failer, whole int, parts map[string]Share, events int, draw func(int, string) int) {
 	l, err := New(whole, parts)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -150,16 +150,16 @@
 		switch {
 		case draw(2, "give") == 0 && held[name] > 0:
 			n := 1 + draw(held[name], "back")
-			l.Give(name, n)
+			l.Release(name, n)
 			held[name] -= n
 			all -= n
 			if first != "" && wants <= whole-all {
 				// Whoever is quicker takes none of it away.
-				if quick := fmt.Sprint(draw(len(parts), "quick")); quick != first && l.Take(now, quick, 1) {
+				if quick := fmt.Sprint(draw(len(parts), "quick")); quick != first && l.Acquire(now, quick, 1) {
 					held[quick]++
 					all++
 				}
-				if !l.Take(now, first, wants) {
+				if !l.Acquire(now, first, wants) {
 					t.Fatalf("%s asked first for %d of its own and does not get them with %d of %d free", first, wants, whole-all, whole)
 				}
 				held[first] += wants
@@ -170,7 +170,7 @@
 		default:
 			n := 1 + draw(2, "units")
 			free := whole - all
-			if l.Take(now, name, n) {
+			if l.Acquire(now, name, n) {
 				held[name] += n
 				all += n
 				if first == name {
@@ -189,21 +189,21 @@
 				t.Fatalf("the walk is wrong")
 			}
 		}
-		if most := part.Most; all > whole || most > 0 && held[name] > most {
+		if most := part.Max; all > whole || most > 0 && held[name] > most {
 			t.Fatalf("%d of %d are taken, %d by %s", all, whole, held[name], name)
 		}
 	}
 	for name, n := range held {
-		if l.Uses()[name].Used != n {
-			t.Fatalf("%s holds %d, the limit says %+v", name, n, l.Uses()[name])
+		if l.Usage()[name].Used != n {
+			t.Fatalf("%s holds %d, the limit says %+v", name, n, l.Usage()[name])
 		}
-		l.Give(name, n)
+		l.Release(name, n)
 	}
-	if _, used := l.Whole(); used != 0 {
+	if _, used := l.Total(); used != 0 {
 		t.Fatalf("%d units leaked", used)
 	}
 	for name, part := range parts {
-		if !l.Take(now+2*claimFor, name, part.Guaranteed) {
+		if !l.Acquire(now+2*claimFor, name, part.Guaranteed) {
 			t.Fatalf("%s does not get its part of an idle whole", name)
 		}
 	}
@@ -212,9 +212,9 @@
 // What a take costs does not grow with the pools.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{1, 1000} {
-		parts := map[string]Part{}
+		parts := map[string]Share{}
 		for i := range n {
-			parts[fmt.Sprint(i)] = Part{Guaranteed: 2}
+			parts[fmt.Sprint(i)] = Share{Guaranteed: 2}
 		}
 		l, err := New(4*n, parts)
 		if err != nil {
@@ -222,8 +222,8 @@
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				l.Take(0, "0", 1)
-				l.Give("0", 1)
+				l.Acquire(0, "0", 1)
+				l.Release("0", 1)
 			}
 		})
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -16,17 +16,17 @@
 )
 
 // Seed has property tests draw the same cases on every machine. It goes before the tests run.
-func Seed() { flag.Set("rapid.seed", "20261201") }
+func FixSeed() { flag.Set("rapid.seed", "20261201") }
 
 // Main runs a package's tests with fixed seeds.
 func Main(m *testing.M) {
-	Seed()
+	FixSeed()
 	os.Exit(m.Run())
 }
 
 // WithPrograms runs a package's tests beside built programs of this repository, as an operator has them. built gets their
 // folder before the tests run.
-func WithPrograms(m *testing.M, built func(dir string), names ...string) {
+func MainWithPrograms(m *testing.M, built func(dir string), names ...string) {
 	dir, err := os.MkdirTemp("", "kitewood-programs")
 	if err == nil {
 		args := []string{"build", "-o", dir + "/"}
@@ -48,7 +48,7 @@
 }
 
 // Run runs a program in a folder of its own and gives what it wrote.
-func Run(t *testing.T, program string, args ...string) (stdout, stderr string, ok bool) {
+func RunProgram(t *testing.T, program string, args ...string) (stdout, stderr string, ok bool) {
 	t.Helper()
 	var out, err bytes.Buffer
 	cmd := exec.Command(program, args...)
@@ -58,13 +58,13 @@
 }
 
 // Address is one of loopback that stays free for a process of the test until its end.
-func Address(t *testing.T) string {
+func ReserveAddress(t *testing.T) string {
 	t.Helper()
 	a, err := child.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.Free)
+	t.Cleanup(a.Release)
 	return a.String()
 }
 
@@ -72,7 +72,7 @@
 const patience = time.Minute
 
 // Until waits until something is so, and fails the test where it never is.
-func Until(t *testing.T, what string, is func() bool) {
+func WaitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -82,24 +82,24 @@
 }
 
 // Log is a log that goroutines write while a test reads it.
-type Log struct {
+type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write adds to the log.
-func (l *Log) Write(p []byte) (int, error) {
+func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
 // String is all of it.
-func (l *Log) String() string {
+func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 // Count tells how often it holds a text.
-func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
+func (l *LogBuffer) Count(text string) int { return strings.Count(l.String(), text) }
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -32,7 +32,7 @@
 // Accept fails for a while: that neither spins nor fills the log, and who waits is served as soon as it works again.
 func TestAcceptFails(t *testing.T) {
 	f, ln := unserved(t)
-	log := &testkit.Log{}
+	log := &testkit.LogBuffer{}
 	f.log = slog.New(slog.NewTextHandler(log, nil))
 	const fails = 700 * time.Millisecond
 	failing := &failingListener{Listener: ln, until: time.Now().Add(fails)}
@@ -40,7 +40,7 @@
 	io.WriteString(c, look)
 	began := time.Now()
 	go f.Serve(failing)
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Errorf("answered %s", status)
 	}
 	if took := time.Since(began); took > fails+300*time.Millisecond {
--- a/internal/transport/backoff.go
+++ b/internal/transport/backoff.go
@@ -40,26 +40,26 @@
 func (b *backoff) next(end callEnd, rng *rand.Rand) time.Duration {
 	part := func(of time.Duration) time.Duration { return time.Duration(rng.Float64() * float64(of)) }
 	around := func(d time.Duration) time.Duration { return d/2 + part(d) }
-	unserved := end.kind == callUnreachable || end.kind == callFailed || end.kind == callUnanswered || end.kind == callRefused
+	unserved := end.outcome == callUnreachable || end.outcome == callFailed || end.outcome == callUnanswered || end.outcome == callRefused
 	if !unserved {
 		b.failed = 0
 	}
 	switch {
-	case b.pushed && end.kind != callSilent && end.kind != callUnanswered:
+	case b.pushed && end.outcome != callSilent && end.outcome != callUnanswered:
 		return around(b.grow(mostPushed))
-	case end.kind == callSilent:
+	case end.outcome == callSilent:
 		return part(afterMiss)
-	case (end.kind == callEnded || end.kind == callCut) && end.stood > stood:
+	case (end.outcome == callEnded || end.outcome == callCut) && end.stood > stood:
 		return part(atOnce)
-	case b.moved && end.kind != callRefused && end.stood < waitedOut && time.Since(b.began) < settling:
+	case b.moved && end.outcome != callRefused && end.stood < waitedOut && time.Since(b.began) < settling:
 		return around(b.grow(mostPause))
-	case end.kind == callBroken, end.kind == callCut:
+	case end.outcome == callBroken, end.outcome == callCut:
 		return part(spreadWidth)
 	case !unserved:
 		return around(afterMishap)
 	}
 	b.failed++
-	if b.failed == 1 && end.kind == callRefused {
+	if b.failed == 1 && end.outcome == callRefused {
 		return part(afterRefusal)
 	}
 	return part(b.width(end.stood))
--- a/internal/transport/chain.go
+++ b/internal/transport/chain.go
@@ -16,7 +16,7 @@
 	log   *slog.Logger
 
 	mu   sync.Mutex // each operation takes it a few times, for less than a microsecond
-	book *chain.Book
+	book *chain.Tracker
 }
 
 // NewChain returns a Chain by its limits. The seed draws the tokens of its words.
@@ -25,10 +25,10 @@
 }
 
 // enter takes an operation that waits until a deadline; the reply is the client's where it goes no further.
-func (c *Chain) enter(m *protocol.Message, deadline time.Duration, worth float64) (*chain.Visit, *protocol.Reply) {
+func (c *Chain) enter(m *protocol.Message, deadline time.Duration, worth float64) (*chain.Entry, *protocol.LocalReply) {
 	text := ""
 	if v := m.Header[c.Field]; len(v) > 1 {
-		return nil, &protocol.Reply{Status: 400, Why: "a request has one " + c.Field}
+		return nil, &protocol.LocalReply{Status: 400, Reason: "a request has one " + c.Field}
 	} else if len(v) == 1 {
 		text = v[0]
 	}
@@ -38,29 +38,29 @@
 	c.mu.Unlock()
 	switch {
 	case err != nil:
-		return nil, &protocol.Reply{Status: 400, Why: c.Field + ": " + err.Error()}
+		return nil, &protocol.LocalReply{Status: 400, Reason: c.Field + ": " + err.Error()}
 	case no != nil:
 		if first {
-			c.log.Warn("a route leads operations in a circle or too far", "why", no.Why)
+			c.log.Warn("a route leads operations in a circle or too far", "why", no.Reason)
 		}
-		return nil, &protocol.Reply{Status: 508, Why: no.Why, Chain: c.Field}
+		return nil, &protocol.LocalReply{Status: 508, Reason: no.Reason, ChainField: c.Field}
 	case v.Deadline <= now:
 		c.end(v)
-		return nil, &protocol.Reply{Status: 503, Why: "busy: no time is left", Chain: c.Field}
+		return nil, &protocol.LocalReply{Status: 503, Reason: "busy: no time is left", ChainField: c.Field}
 	}
 	return v, nil
 }
 
 // word is what the next attempt carries on; ok is false if it may not go out.
-func (c *Chain) word(v *chain.Visit) (string, bool) {
+func (c *Chain) word(v *chain.Entry) (string, bool) {
 	now := c.clock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return v.Send(now)
+	return v.NextAttempt(now)
 }
 
-func (c *Chain) end(v *chain.Visit) {
+func (c *Chain) end(v *chain.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v.End()
+	v.Release()
 }
--- a/internal/transport/closing.go
+++ b/internal/transport/closing.go
@@ -47,7 +47,7 @@
 }
 
 // Closings tell how many clients' connections have ended so far, by reason.
-func (f *Front) Closings() map[string]uint64 { return f.closings.counts() }
+func (f *Server) CloseCounts() map[string]uint64 { return f.closings.counts() }
 
 // because notes why the connection ends; the first reason counts.
 func (c *frontConn) because(r closeReason) {
@@ -59,11 +59,11 @@
 // settleDebt answers a request that would be closed over: whatever led here, its client waits.
 func (c *frontConn) settleDebt() {
 	left := c.reason == closedByClient || c.reason == closedMidRequest || c.reason == closedWrite
-	if !c.front.guard.Denied(guard.MayClose(guard.Closing{Unanswered: c.owes, ClientLeft: left})) {
+	if !c.front.guard.Denied(guard.MayClose(guard.CloseFacts{Unanswered: c.owes, ClientGone: left})) {
 		return
 	}
-	if c.reply(protocol.Reply{Status: 502, Why: "failed"}, true); c.owes {
-		c.front.guard.Violated(guard.Answer, "id", c.lastID, "reason", c.reason.String())
+	if c.reply(protocol.LocalReply{Status: 502, Reason: "failed"}, true); c.owes {
+		c.front.guard.RecordViolation(guard.FinalAnswer, "id", c.lastID, "reason", c.reason.String())
 	}
 }
 
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -60,7 +60,7 @@
 }
 
 // serveHooked has a Front serve one connection with hooks, and returns the client's end.
-func serveHooked(t *testing.T, f *Front, h *hooked) (net.Conn, *bufio.Reader) {
+func serveHooked(t *testing.T, f *Server, h *hooked) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 // ask asks one connection to end, as making room does.
-func ask(f *Front) bool {
+func ask(f *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.askOne()
@@ -87,8 +87,8 @@
 // counted is a destination that answers, and counts what comes to it.
 func counted(t *testing.T) (string, chan string) {
 	came := make(chan string, 99)
-	return server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	return startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			came <- text
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		}
@@ -111,7 +111,7 @@
 	if !asked.Load() || len(came) != 1 {
 		t.Errorf("asked: %v; it was sent on %d times", asked.Load(), len(came))
 	}
-	testkit.Until(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.live == 0 && len(f.conns) == 0 })
+	testkit.WaitUntil(t, "nothing is held", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.live == 0 && len(f.conns) == 0 })
 }
 
 // A connection is asked to end as the first part of its request is read: the rest has a moment to come, and the request is
@@ -144,9 +144,9 @@
 }
 
 // unserved is a sidecar without a listener, and one that the test has it serve as it likes.
-func unserved(t *testing.T) (*Front, net.Listener) {
+func unserved(t *testing.T) (*Server, net.Listener) {
 	t.Helper()
-	f, plain, run := stopped(t, 4, server(t, echo), settings(), "")
+	f, plain, run := prepareSidecar(t, 4, startTestServer(t, serveOK), testSettings(), "")
 	run()
 	plain.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -185,7 +185,7 @@
 	}})
 	_, r := dial(t, ln)
 	began := time.Now()
-	testkit.Until(t, "it is asked to end", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) > 0 && f.live == 0 || f.askOne() })
+	testkit.WaitUntil(t, "it is asked to end", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) > 0 && f.live == 0 || f.askOne() })
 	if _, err := r.ReadByte(); err != io.EOF || time.Since(began) > time.Second {
 		t.Errorf("it ended %v after it was asked to: %v", time.Since(began), err)
 	}
@@ -196,8 +196,8 @@
 func TestTimeOfARequestSentAhead(t *testing.T) {
 	const wait, given = 400 * time.Millisecond, 1500
 	told := make(chan int, 9)
-	_, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	_, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			_, left, _ := strings.Cut(text, "X-Time-Left-Ms: ")
 			ms, _ := strconv.Atoi(strings.TrimSpace(strings.SplitN(left, "\r\n", 2)[0]))
 			told <- ms
@@ -210,7 +210,7 @@
 		io.WriteString(c, strings.Replace(look, "Id: 1", fmt.Sprintf("Id: %s\r\nX-Time-Left-Ms: %d", id, given), 1))
 	}
 	for i := range 3 {
-		if status, _ := answer(t, r); status != "200" {
+		if status, _ := readResponse(t, r); status != "200" {
 			t.Fatalf("request %d was answered %s", i, status)
 		}
 		if ms, most := <-told, given-i*int(wait/time.Millisecond)+20; ms > most || ms < most-300 {
@@ -223,13 +223,13 @@
 // it knows the request by the one and drops repeats by the other. Another field that it names so ends here.
 func TestIDAndKeyPassThoughConnectionNamesThem(t *testing.T) {
 	at, came := counted(t)
-	set := settings()
-	set.Classes[0].Effect, set.Classes[0].Window = balance.Keyed, time.Second
-	_, ln, run := stopped(t, 4, at, set, "")
+	set := testSettings()
+	set.Classes[0].Effect, set.Classes[0].DedupWindow = balance.Keyed, time.Second
+	_, ln, run := prepareSidecar(t, 4, at, set, "")
 	run()
 	c, r := dial(t, ln)
 	io.WriteString(c, strings.Replace(look, "Host", "Connection: x-correlation-id, Idempotency-Key, X-Mine\r\nX-Mine: 1\r\nIdempotency-Key: k1\r\nHost", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("answered %s", status)
 	}
 	text := <-came
@@ -250,10 +250,10 @@
 	client = c
 	close(ready)
 	io.WriteString(c, strings.Replace(look, "Id: 1", "Id: 0", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("the first request got %s", status)
 	}
-	testkit.Until(t, "it rests and is asked to end", func() bool { return ask(f) })
+	testkit.WaitUntil(t, "it rests and is asked to end", func() bool { return ask(f) })
 	if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
 		t.Errorf("the client read %q, %v", rest, err)
 	}
@@ -265,7 +265,7 @@
 // The wake-up of an answer comes when the connection already lets its client read that answer: it must not end that, or
 // what the client still sends is reset, and the answer with it.
 func TestLateWakeUpWhileTheClientReads(t *testing.T) {
-	f, _ := sidecar(t, 4, server(t, echo))
+	f, _ := sidecar(t, 4, startTestServer(t, serveOK))
 	var ending atomic.Bool
 	h := &hooked{closed: func() { ending.Store(true) }}
 	h.timed = func(time.Time) {
@@ -275,7 +275,7 @@
 	}
 	c, r := serveHooked(t, f, h)
 	io.WriteString(c, strings.Replace(look, "Host", "Connection: close\r\nHost", 1))
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Fatalf("answered %s", status)
 	}
 	time.Sleep(20 * time.Millisecond) // it lingers, and has been woken
@@ -327,7 +327,7 @@
 	ended := make(chan struct{})
 	go func() { f.Stop(context.Background(), 600*time.Millisecond, q); close(ended) }()
 	for i, r := range waiting {
-		if status, _ := answer(t, r); status != "200" && status != "503" || i < 4 && status != "200" {
+		if status, _ := readResponse(t, r); status != "200" && status != "503" || i < 4 && status != "200" {
 			t.Errorf("the one at place %d was answered %s", i, status)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // late is a destination whose connections come up only when it is let: its system's queue is full until then. What is sent
 // to it comes on a channel.
-func late(t *testing.T) (address string, let func(), came chan string) {
+func startSlowAcceptServer(t *testing.T) (address string, let func(), came chan string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
@@ -386,32 +386,32 @@
 
 // carried runs one attempt of an operation against a destination whose connection comes up late, with something done
 // meanwhile, and tells whether the request was sent.
-func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Operation, ran bool, meanwhile func(*routing.Loop)) bool {
+func carried(t *testing.T, class balance.Class, limits balance.Limits, op *routing.Request, ran bool, meanwhile func(*routing.Loop)) bool {
 	t.Helper()
-	at, let, came := late(t)
+	at, let, came := startSlowAcceptServer(t)
 	clock := routing.NewClock()
-	set := settings()
+	set := testSettings()
 	set.Classes, set.Limits = []balance.Class{class}, limits
-	loop, err := routing.New(set, routing.Names{}, clock, quiet)
+	loop, err := routing.New(set, routing.Names{}, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	u := NewDestinations(Options{Clock: clock, ConnectTimeout: 5 * time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+	u := NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: 5 * time.Second, IdleTimeout: time.Minute, ConnectionLimiter: NewConnLimiter(4), Log: discardLog})
 	members := []routing.Member{{Name: "s", Address: at, State: balance.Ready}}
 	first, cut := make(chan struct{}), make(chan struct{})
 	if ran { // the operation's first attempt may have run, at another destination, which drains by then
-		members[0].Address = server(t, func(conn net.Conn) { head(conn); close(first); <-cut; conn.Close() })
+		members[0].Address = startTestServer(t, func(conn net.Conn) { readRequest(conn); close(first); <-cut; conn.Close() })
 	}
-	loop.Pool(balance.Cached, 1, members)
-	go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+	loop.UpdateEndpoints(balance.Cached, 1, members)
+	go loop.Run(ctx, u, NewDiscoveryClient(ctx, "127.0.0.1:1", loop, discardLog))
 	op.Deadline, op.Done = loop.Now()+6*time.Second, func(routing.Answer) {}
-	op.Payload = &protocol.Message{Start: [3]string{"GET", "/look"}}
+	op.Payload = &protocol.Message{StartLine: [3]string{"GET", "/look"}}
 	loop.Submit(op)
 	if ran {
 		<-first
-		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: members[0].Address, State: balance.Draining},
+		loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: members[0].Address, State: balance.Draining},
 			{Name: "t", Address: at, State: balance.Ready}})
 		loop.View(time.Second) // it has taken that
 		close(cut)
@@ -431,56 +431,56 @@
 // do not allow that attempts are called off.
 func TestClientLeavesBeforeTheConnectionIsUp(t *testing.T) {
 	t.Parallel()
-	class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1}
-	op := &routing.Operation{}
+	class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 6 * time.Second, Utility: 1}
+	op := &routing.Request{}
 	if carried(t, class, balance.Limits{MaxAttempts: 1}, op, false, func(l *routing.Loop) { l.Abandon(op) }) {
 		t.Error("the request was sent on after its client had left")
 	}
-	if !carried(t, class, balance.Limits{MaxAttempts: 1}, &routing.Operation{}, false, func(*routing.Loop) {}) {
+	if !carried(t, class, balance.Limits{MaxAttempts: 1}, &routing.Request{}, false, func(*routing.Loop) {}) {
 		t.Error("the request of a client that stays was not sent on")
 	}
 }
 
 // gated is a Room in which whoever asks once it is shut waits until it is opened.
 type gated struct {
-	Room
+	ConnLimiter
 	shut          atomic.Bool
 	waits, opened chan struct{}
 }
 
-func (g *gated) Take() bool {
+func (g *gated) Acquire() bool {
 	if g.shut.Load() {
 		g.waits <- struct{}{}
 		<-g.opened
 	}
-	return g.Room.Take()
+	return g.ConnLimiter.Acquire()
 }
 
 // A destination begins to drain between the decision to probe it and the probe's first byte: the probe does not begin.
 func TestDrainBeforeAProbeBegins(t *testing.T) {
 	for drains, sent := range map[bool]bool{true: false, false: true} {
 		at, came := counted(t)
-		clock, set := routing.NewClock(), settings()
-		set.Report.Via, set.Limits.Probes = balance.OnProbes, true
-		loop, err := routing.New(set, routing.Names{}, clock, quiet)
+		clock, set := routing.NewClock(), testSettings()
+		set.Report.Source, set.Limits.Probes = balance.OnProbes, true
+		loop, err := routing.New(set, routing.Names{}, clock, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		room := &gated{Room: NewRoom(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
-		loop.Pool(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
-		u := NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: room, ProbePath: "/stats", Log: quiet})
-		go loop.Run(ctx, u, NewDirectory(ctx, "127.0.0.1:1", loop, quiet))
+		room := &gated{ConnLimiter: NewConnLimiter(9), waits: make(chan struct{}, 9), opened: make(chan struct{})}
+		loop.UpdateEndpoints(balance.Cached, 1, []routing.Member{{Name: "s", Address: at, State: balance.Ready}})
+		u := NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ConnectionLimiter: room, ProbePath: "/stats", Log: discardLog})
+		go loop.Run(ctx, u, NewDiscoveryClient(ctx, "127.0.0.1:1", loop, discardLog))
 		done := make(chan routing.Answer, 9)
 		for n := range 3 { // one probe for three requests: it comes with the third, and both need a connection
 			if n == 2 {
 				room.shut.Store(true)
-				for u.Evict() {
+				for u.EvictOldestIdle() {
 				}
 			}
-			m := &protocol.Message{Start: [3]string{"GET", "/look"}}
-			loop.Submit(&routing.Operation{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
+			m := &protocol.Message{StartLine: [3]string{"GET", "/look"}}
+			loop.Submit(&routing.Request{Deadline: loop.Now() + time.Second, Done: func(a routing.Answer) { done <- a }, Payload: m})
 			if n < 2 {
 				<-done
 				<-came
@@ -489,7 +489,7 @@
 		<-room.waits
 		<-room.waits
 		if drains {
-			loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: balance.Draining}})
+			loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: balance.Draining}})
 			loop.View(time.Second) // it has taken that
 		}
 		close(room.opened)
@@ -516,7 +516,7 @@
 	f, ln := sidecar(t, 4, at)
 	loop := leads(t, f)
 	state := func(s balance.State) {
-		loop.Pool(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: s}})
+		loop.UpdateEndpoints(balance.Full, 2, []routing.Member{{Name: "s", Address: at, State: s}})
 		loop.View(time.Second) // it has taken that
 	}
 	state(balance.Draining)
@@ -524,15 +524,15 @@
 	io.WriteString(leaver, look)
 	stayer, r := dial(t, ln)
 	io.WriteString(stayer, strings.Replace(look, "Id: 1", "Id: 2", 1))
-	testkit.Until(t, "both wait", func() bool { return loop.Owed() == 2 })
+	testkit.WaitUntil(t, "both wait", func() bool { return loop.PendingRequests() == 2 })
 	left := time.Now()
 	leaver.Close()
-	testkit.Until(t, "one has gone", func() bool { return loop.Owed() == 1 })
+	testkit.WaitUntil(t, "one has gone", func() bool { return loop.PendingRequests() == 1 })
 	if took := time.Since(left); took > 100*time.Millisecond {
 		t.Errorf("its leaving was known after %v", took)
 	}
 	state(balance.Ready)
-	if status, _ := answer(t, r); status != "200" {
+	if status, _ := readResponse(t, r); status != "200" {
 		t.Errorf("the other was answered %s", status)
 	}
 	if len(came) != 1 || !strings.Contains(<-came, "Id: 2\r\n") {
@@ -547,9 +547,9 @@
 	for window, sent := range map[time.Duration]bool{400 * time.Millisecond: false, 5 * time.Second: true} {
 		t.Run(window.String(), func(t *testing.T) {
 			t.Parallel()
-			class := balance.Class{Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: balance.Keyed, Window: window}
+			class := balance.Class{LatencyTarget: 5 * time.Second, Deadline: 6 * time.Second, Utility: 1, Effect: balance.Keyed, DedupWindow: window}
 			limits := balance.Limits{MaxAttempts: 2, RetryShare: 1, RetryBurst: 8}
-			if got := carried(t, class, limits, &routing.Operation{}, true, func(*routing.Loop) {}); got != sent {
+			if got := carried(t, class, limits, &routing.Request{}, true, func(*routing.Loop) {}); got != sent {
 				t.Errorf("with a window of %v the repeat was sent: %v", window, got)
 			}
 		})
@@ -560,8 +560,8 @@
 // not begun. Its leaving was not seen while more than some kilobytes of it waited.
 func TestFloodAndGo(t *testing.T) {
 	came, ended := make(chan string, 99), make(chan struct{}, 9)
-	f, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		came <- head(conn)
+	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		came <- readRequest(conn)
 		conn.Read(make([]byte, 1))
 		ended <- struct{}{}
 	}))
@@ -575,7 +575,7 @@
 	case <-time.After(time.Second):
 		t.Error("the attempt goes on a second after its client went")
 	}
-	testkit.Until(t, "nothing is owed", func() bool { return leads(t, f).Owed() == 0 })
+	testkit.WaitUntil(t, "nothing is owed", func() bool { return leads(t, f).PendingRequests() == 0 })
 	if len(came) > 0 {
 		t.Errorf("begun for a client that had gone: %q", <-came)
 	}
@@ -585,31 +585,31 @@
 // the next one, which would have to wait as long for another.
 func TestLateConnectionServesTheNext(t *testing.T) {
 	t.Parallel()
-	at, let, came := late(t)
-	u := NewDestinations(Options{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleFor: time.Minute,
-		Room: NewRoom(1), Log: quiet})
-	d := &routing.Destination{Address: at}
+	at, let, came := startSlowAcceptServer(t)
+	u := NewConnectionPool(ConnectionPoolOptions{Clock: routing.NewClock(), ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute,
+		ConnectionLimiter: NewConnLimiter(1), Log: discardLog})
+	d := &routing.Endpoint{Address: at}
 	began := time.Now()
-	if s := probe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
+	if s := runProbe(u, d); s != balance.ConnectFailed || time.Since(began) > time.Second {
 		t.Errorf("the first ended %v after %v", s, time.Since(began))
 	}
 	let()
-	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
+	testkit.WaitUntil(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
 	if len(came) > 0 {
 		t.Errorf("something was sent over it: %q", <-came)
 	}
-	time.Sleep(2 * leastRest)
-	if s := probe(u, d); s != balance.OK { // there is room for one: it is that one
+	time.Sleep(2 * minIdleTime)
+	if s := runProbe(u, d); s != balance.OK { // there is room for one: it is that one
 		t.Errorf("the next ended %v", s)
 	}
-	testkit.Until(t, "the room is given back", func() bool { u.Close(); ok := u.Room.Take(); return ok })
+	testkit.WaitUntil(t, "the room is given back", func() bool { u.Close(); ok := u.ConnectionLimiter.Acquire(); return ok })
 }
 
 // A second copy of an answer comes some milliseconds behind it: the next request does not travel on that connection, and gets
 // its own answer.
 func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
-	at := server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	at := startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			own := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%c", text[strings.Index(text, "Id: ")+4])
 			io.WriteString(conn, own)
 			time.Sleep(12 * time.Millisecond)
@@ -620,7 +620,7 @@
 	c, r := dial(t, ln)
 	for i, id := range []string{"1", "2", "3"} {
 		io.WriteString(c, strings.Replace(look, "Id: 1", "Id: "+id, 1))
-		if status, body := answer(t, r); status != "200" || body != id {
+		if status, body := readResponse(t, r); status != "200" || body != id {
 			t.Errorf("request %s was answered %s %q", id, status, body)
 		}
 		time.Sleep(time.Duration(5+2*i) * time.Millisecond)
@@ -632,8 +632,8 @@
 func TestRequestsReadAheadAreAnsweredAtTheEnd(t *testing.T) {
 	let := make(chan bool)
 	came := make(chan bool, 9)
-	f, ln := sidecar(t, 4, server(t, func(conn net.Conn) {
-		for text := head(conn); text != ""; text = head(conn) {
+	f, ln := sidecar(t, 4, startTestServer(t, func(conn net.Conn) {
+		for text := readRequest(conn); text != ""; text = readRequest(conn) {
 			came <- true
 			<-let
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -651,7 +651,7 @@
 	f.closing.Store(true)
 	close(let)
 	for i := range requests {
-		if status, _ := answer(t, r); status != "200" {
+		if status, _ := readResponse(t, r); status != "200" {
 			t.Errorf("request %d was answered %s", i, status)
 		}
 	}
--- a/internal/transport/destinations.go
+++ b/internal/transport/destinations.go
@@ -17,70 +17,70 @@
 )
 
 // Options are what the connections to destinations are held by.
-type Options struct {
-	Clock          routing.Clock
-	ConnectTimeout time.Duration
-	IdleFor        time.Duration // a connection that has stood idle this long is closed
-	Room           Room          // connections at a time
-	PassErrors     bool          // answers of every status under 500 are the client's; otherwise those of 200 alone
-	Fields         []string      // of load reports, in the settings' words
-	ProbePath      string
-	Chain          string // the field of the chain's word; empty for none
-	PassDeclined   bool   // what a service below has declined is the client's answer; otherwise it is one that never ran
-	Log            *slog.Logger
+type ConnectionPoolOptions struct {
+	Clock               routing.Clock
+	ConnectTimeout      time.Duration
+	IdleTimeout         time.Duration // a connection that has stood idle this long is closed
+	ConnectionLimiter   ConnLimiter   // connections at a time
+	ForwardClientErrors bool          // answers of every status under 500 are the client's; otherwise those of 200 alone
+	LoadFields          []string      // of load reports, in the settings' words
+	ProbePath           string
+	ChainHeader         string // the field of the chain's word; empty for none
+	ForwardDeclined     bool   // what a service below has declined is the client's answer; otherwise it is one that never ran
+	Log                 *slog.Logger
 }
 
 // Destinations carries attempts over pooled connections. It implements routing.Carrier.
-type Destinations struct {
-	Options
+type ConnectionPool struct {
+	ConnectionPoolOptions
 	mu     sync.Mutex
 	closed bool
-	idle   map[*routing.Destination][]*link // newest last
+	idle   map[*routing.Endpoint][]*link // newest last
 }
 
 // NewDestinations returns a Destinations without connections.
-func NewDestinations(o Options) *Destinations {
-	return &Destinations{Options: o, idle: map[*routing.Destination][]*link{}}
+func NewConnectionPool(o ConnectionPoolOptions) *ConnectionPool {
+	return &ConnectionPool{ConnectionPoolOptions: o, idle: map[*routing.Endpoint][]*link{}}
 }
 
 // probeTimeout is how long the answer to a probe is waited for.
 const probeTimeout = time.Second
 
-var _ routing.Carrier = (*Destinations)(nil)
+var _ routing.Transport = (*ConnectionPool)(nil)
 
 // Carry starts an attempt. It implements routing.Carrier.
-func (u *Destinations) Carry(a *routing.Attempt, done func(routing.Result)) {
+func (u *ConnectionPool) Send(a *routing.Attempt, done func(routing.Result)) {
 	go func() {
-		t := &task{done: done, deadline: u.Clock.At(a.Deadline), opened: a.Opened}
+		t := &task{done: done, deadline: u.Clock.At(a.Deadline), opened: a.ConnectionOpened}
 		defer u.caught(t)
-		word := protocol.Field{Name: u.Chain}
+		word := protocol.Field{Name: u.ChainHeader}
 		stale := func() bool {
 			ok := !a.Stale()
-			if ok && a.Op.Word != nil {
-				word.Value, ok = a.Op.Word()
+			if ok && a.Request.Header != nil {
+				word.Value, ok = a.Request.Header()
 			}
 			return !ok
 		}
-		u.run(a.Context, a.Destination, t, stale, func() net.Buffers {
-			m := a.Op.Payload.(*protocol.Message)
+		u.run(a.Context, a.Endpoint, t, stale, func() net.Buffers {
+			m := a.Request.Payload.(*protocol.Message)
 			return net.Buffers{protocol.RequestHead(m, a.Begin(), word), m.Body}
 		})
 	}()
 }
 
 // Probe asks a destination for its health and load. It implements routing.Carrier.
-func (u *Destinations) Probe(d *routing.Destination, done func(routing.Result)) {
+func (u *ConnectionPool) Probe(d *routing.Endpoint, done func(routing.Result)) {
 	go func() {
 		t := &task{done: done, deadline: time.Now().Add(probeTimeout), probe: true, opened: func() {}}
 		defer u.caught(t)
 		u.run(context.Background(), d, t, d.Closed, func() net.Buffers { // a probe, too, is nothing for who drains
-			return net.Buffers{protocol.GetText(d.Address, u.ProbePath)}
+			return net.Buffers{protocol.GetRequest(d.Address, u.ProbePath)}
 		})
 	}()
 }
 
 // caught keeps a panic at its attempt, which ends by how far it had come.
-func (u *Destinations) caught(t *task) {
+func (u *ConnectionPool) caught(t *task) {
 	if p := recover(); p != nil {
 		u.Log.Error("panic at a destination", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		t.fail(errPanic)
@@ -96,7 +96,7 @@
 )
 
 // run takes a task through a connection up to the last byte written; the connection's reader ends it.
-func (u *Destinations) run(ctx context.Context, d *routing.Destination, t *task, stale func() bool, text func() net.Buffers) {
+func (u *ConnectionPool) run(ctx context.Context, d *routing.Endpoint, t *task, stale func() bool, text func() net.Buffers) {
 	k, err := u.connect(ctx, d, t)
 	if err != nil {
 		t.fail(err)
@@ -113,7 +113,7 @@
 }
 
 // connect gives a task a connection: the newest idle one that still stands, or a new one.
-func (u *Destinations) connect(ctx context.Context, d *routing.Destination, t *task) (*link, error) {
+func (u *ConnectionPool) connect(ctx context.Context, d *routing.Endpoint, t *task) (*link, error) {
 	for {
 		k := u.newest(d)
 		if k == nil {
@@ -123,8 +123,8 @@
 			return k, nil
 		}
 	}
-	for !u.Room.Take() {
-		if !u.Evict() {
+	for !u.ConnectionLimiter.Acquire() {
+		if !u.EvictOldestIdle() {
 			return nil, errNoRoom
 		}
 	}
@@ -139,19 +139,19 @@
 		return nil, err
 	}
 	k := u.link(d, conn)
-	t.progress = routing.Waiting
+	t.progress = routing.NotSent
 	k.begin(t)
 	go k.read()
 	return k, nil
 }
 
-func (u *Destinations) link(d *routing.Destination, conn net.Conn) *link {
-	return &link{home: u, to: d, conn: conn, machine: protocol.Machine{Answers: true}}
+func (u *ConnectionPool) link(d *routing.Endpoint, conn net.Conn) *link {
+	return &link{home: u, to: d, conn: conn, machine: protocol.Parser{Responses: true}}
 }
 
 // dial opens a connection for which there is room. One that is not up in time is waited for without the attempt: it comes
 // to rest for the next one, which would have to wait as long for a new one.
-func (u *Destinations) dial(ctx context.Context, d *routing.Destination, until time.Time) (net.Conn, error) {
+func (u *ConnectionPool) dial(ctx context.Context, d *routing.Endpoint, until time.Time) (net.Conn, error) {
 	type dialed struct {
 		conn net.Conn
 		err  error
@@ -161,7 +161,7 @@
 		dialer := net.Dialer{Timeout: max(time.Until(until), latestUp), KeepAlive: -1}
 		conn, err := dialer.Dial("tcp", d.Address)
 		if err != nil {
-			u.Room.Give()
+			u.ConnectionLimiter.Release()
 		}
 		came <- dialed{conn, err}
 	}()
@@ -191,15 +191,15 @@
 // latestUp is how long a connection may take to come up.
 const latestUp = 2 * time.Second
 
-func (u *Destinations) newest(d *routing.Destination) *link {
+func (u *ConnectionPool) newest(d *routing.Endpoint) *link {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[d]
 	// What comes behind an answer, a second copy of it say, is seen while the connection rests; one that works again at
 	// once would take it for its next answer.
-	rested := time.Now().Add(-leastRest)
+	rested := time.Now().Add(-minIdleTime)
 	// One that has been idle for too long is left to its reader, which ends it when it runs: the process may have stood still.
-	oldest := time.Now().Add(-u.IdleFor)
+	oldest := time.Now().Add(-u.IdleTimeout)
 	for i := len(list) - 1; i >= 0; i-- {
 		if k := list[i]; k.since.Before(rested) && k.since.After(oldest) {
 			u.keep(d, slices.Delete(list, i, i+1))
@@ -210,9 +210,9 @@
 }
 
 // leastRest is how long a connection is idle at the least: a copy may come some milliseconds late.
-const leastRest = 20 * time.Millisecond
+const minIdleTime = 20 * time.Millisecond
 
-func (u *Destinations) keep(d *routing.Destination, list []*link) {
+func (u *ConnectionPool) keep(d *routing.Endpoint, list []*link) {
 	if len(list) == 0 {
 		delete(u.idle, d)
 	} else {
@@ -221,7 +221,7 @@
 }
 
 // put keeps an idle connection, unless its destination takes nothing new.
-func (u *Destinations) put(k *link) {
+func (u *ConnectionPool) put(k *link) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	k.mu.Lock()
@@ -235,7 +235,7 @@
 	}
 }
 
-func (u *Destinations) remove(k *link) {
+func (u *ConnectionPool) remove(k *link) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	list := u.idle[k.to]
@@ -245,7 +245,7 @@
 }
 
 // CloseIdle closes the idle connections to a destination. It implements routing.Carrier.
-func (u *Destinations) CloseIdle(d *routing.Destination) {
+func (u *ConnectionPool) CloseIdle(d *routing.Endpoint) {
 	u.mu.Lock()
 	list := u.idle[d]
 	delete(u.idle, d)
@@ -256,16 +256,16 @@
 }
 
 // Close closes all idle connections. Others are closed when their attempts end.
-func (u *Destinations) Close() {
+func (u *ConnectionPool) Close() {
 	u.mu.Lock()
 	u.closed = true
 	u.mu.Unlock()
-	for u.Evict() {
+	for u.EvictOldestIdle() {
 	}
 }
 
 // Evict closes the connection that has been idle longest, to make room, and tells whether there was one.
-func (u *Destinations) Evict() bool {
+func (u *ConnectionPool) EvictOldestIdle() bool {
 	u.mu.Lock()
 	var oldest *link
 	for _, list := range u.idle {
@@ -287,18 +287,18 @@
 }
 
 // result turns a destination's answer into what it means.
-func (u *Destinations) result(m *protocol.Message, probe bool) routing.Result {
-	r := routing.Result{Load: m.Load(u.Fields)}
+func (u *ConnectionPool) result(m *protocol.Message, probe bool) routing.Result {
+	r := routing.Result{Load: m.LoadReport(u.LoadFields)}
 	if probe && r.Load == nil {
-		r.Load = protocol.LoadReport(string(m.Body), u.Fields)
+		r.Load = protocol.ParseLoadReport(string(m.Body), u.LoadFields)
 	}
 	switch {
-	case m.Status() == 200 || u.PassErrors && m.Status() < 500:
+	case m.Status() == 200 || u.ForwardClientErrors && m.Status() < 500:
 		r.Status, r.Payload = balance.OK, m
-	case m.DeclinedBy(u.Chain) && u.PassDeclined:
+	case m.IsDeclined(u.ChainHeader) && u.ForwardDeclined:
 		r.Status, r.Payload = balance.Declined, m
-	case m.NotRun(), m.DeclinedBy(u.Chain):
-		r.Status = balance.FullUp
+	case m.Unprocessed(), m.IsDeclined(u.ChainHeader):
+		r.Status = balance.Rejected
 	default:
 		r.Status = balance.Error
 	}
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -21,19 +21,19 @@
 // that a later reload has superseded is not called again once its call or its watch has ended.
 //
 // The latest subscription is called again for as long as the Directory lives, at the pace of a backoff.
-type Directory struct {
-	Loop    routing.Lists
-	Log     *slog.Logger
-	Context context.Context // ends all subscriptions
-	Pushed  bool            // lists come by themselves and count as told at once
-	Seed    uint64          // of the pauses
-	AtOnce  bool            // the first call is not spread: the list that it starts with is empty
-	Grace   time.Duration   // requests may go to a server for so long after word that it drains
-	Clock   routing.Clock   // of the Loop, for OnHold
+type DiscoveryClient struct {
+	Loop           routing.EndpointListReceiver
+	Log            *slog.Logger
+	Context        context.Context // ends all subscriptions
+	Pushed         bool            // lists come by themselves and count as told at once
+	Seed           uint64          // of the pauses
+	NoInitialDelay bool            // the first call is not spread: the list that it starts with is empty
+	DrainGrace     time.Duration   // requests may go to a server for so long after word that it drains
+	Clock          routing.Clock   // of the Loop, for OnHold
 
 	// OnHold is told from which time of the Clock on no request may be sent, as the list is too old then. It is nil where
 	// nobody sends by the list.
-	OnHold func(from time.Duration)
+	OnLeaseExpiry func(from time.Duration)
 
 	mu            sync.Mutex
 	subscriptions []*subscription // oldest first; the last one is the latest
@@ -81,18 +81,18 @@
 	errSucceeded = errors.New("another call is answered")
 )
 
-var _ routing.Directory = (*Directory)(nil)
+var _ routing.Discovery = (*DiscoveryClient)(nil)
 
 // NewDirectory returns a Directory of discovery at an address.
-func NewDirectory(ctx context.Context, address string, loop routing.Lists, log *slog.Logger) *Directory {
-	d := &Directory{Context: ctx, Loop: loop, Log: log, Clock: routing.NewClock(), created: time.Now(), listAt: time.Now()}
+func NewDiscoveryClient(ctx context.Context, address string, loop routing.EndpointListReceiver, log *slog.Logger) *DiscoveryClient {
+	d := &DiscoveryClient{Context: ctx, Loop: loop, Log: log, Clock: routing.NewClock(), created: time.Now(), listAt: time.Now()}
 	d.add(0, address)
 	return d
 }
 
 // Follow subscribes, once. It implements routing.Directory. The version is that of the list that the sidecar started with;
 // what an address has told since goes before it.
-func (d *Directory) Follow(since int64) {
+func (d *DiscoveryClient) Watch(since int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.followed {
@@ -106,14 +106,14 @@
 }
 
 // Move subscribes to discovery at another address, which counts its versions for itself: its list is asked for whole.
-func (d *Directory) Move(address string) {
+func (d *DiscoveryClient) SwitchAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.latest()
 	if address == old.address {
 		return
 	}
-	d.prepare()
+	d.initLease()
 	if d.movedAt.IsZero() {
 		d.movedAt = time.Now()
 	}
@@ -124,24 +124,24 @@
 	for len(d.subscriptions) >= mostSubscriptions {
 		d.remove(d.leastUseful(), errEvicted)
 	}
-	next := d.add(d.lease.Moved(d.Clock.Now()), address)
+	next := d.add(d.lease.AddressChanged(d.Clock.Now()), address)
 	d.renewed()
 	d.start(next)
 }
 
 // Succeed has the Directory start with the list of another, which is no younger for that. It is called before Follow.
-func (d *Directory) Succeed(old *Directory) {
+func (d *DiscoveryClient) TakeOver(old *DiscoveryClient) {
 	old.mu.Lock()
 	defer old.mu.Unlock()
 	if old.lease != nil {
-		d.listAt = time.Now().Add(old.lease.Proven() - old.Clock.Now())
+		d.listAt = time.Now().Add(old.lease.LastProven() - old.Clock.Now())
 	}
 }
 
 // latest is the subscription that the configuration names. d.mu is held, or nobody else has the Directory.
-func (d *Directory) latest() *subscription { return d.subscriptions[len(d.subscriptions)-1] }
+func (d *DiscoveryClient) latest() *subscription { return d.subscriptions[len(d.subscriptions)-1] }
 
-func (d *Directory) add(generation int, address string) *subscription {
+func (d *DiscoveryClient) add(generation int, address string) *subscription {
 	s := &subscription{generation: generation, address: address, superseded: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancelCause(d.Context)
 	d.subscriptions = append(d.subscriptions, s)
@@ -149,20 +149,20 @@
 }
 
 // start has a subscription called. d.mu is held.
-func (d *Directory) start(s *subscription) {
-	d.prepare()
+func (d *DiscoveryClient) start(s *subscription) {
+	d.initLease()
 	d.followed = true
 	go d.run(s)
 }
 
 // prepare makes what depends on the fields that are set after New. d.mu is held.
-func (d *Directory) prepare() {
+func (d *DiscoveryClient) initLease() {
 	if d.lease != nil {
 		return
 	}
-	rules := lease.Asked(d.Grace)
+	rules := lease.PullRules(d.DrainGrace)
 	if d.Pushed {
-		rules = lease.Pushed(d.Grace)
+		rules = lease.PushRules(d.DrainGrace)
 	}
 	d.lease = lease.New(rules, d.Clock.Now()-time.Since(d.listAt))
 	d.rng = rand.New(rand.NewPCG(d.Seed, 0x6469726563746f72))
@@ -171,7 +171,7 @@
 
 // leastUseful is the subscription to give up for a new one: the oldest that neither stands nor waits for its turn, else the
 // oldest that does not stand, else the oldest. d.mu is held.
-func (d *Directory) leastUseful() *subscription {
+func (d *DiscoveryClient) leastUseful() *subscription {
 	for _, useless := range []func(*subscription) bool{
 		func(s *subscription) bool { return !s.standing && !s.waiting },
 		func(s *subscription) bool { return !s.standing },
@@ -186,7 +186,7 @@
 }
 
 // remove ends a subscription. d.mu is held.
-func (d *Directory) remove(s *subscription, cause error) {
+func (d *DiscoveryClient) remove(s *subscription, cause error) {
 	s.cancel(cause)
 	for i, other := range d.subscriptions {
 		if other == s {
@@ -197,7 +197,7 @@
 }
 
 // run calls discovery for a subscription until that is given up, or ends after a later reload.
-func (d *Directory) run(s *subscription) {
+func (d *DiscoveryClient) run(s *subscription) {
 	if s.generation == 0 {
 		d.awaitTurn(s)
 	} else {
@@ -235,8 +235,8 @@
 }
 
 // awaitTurn spreads the first calls of sidecars that start together, counted from the start.
-func (d *Directory) awaitTurn(s *subscription) {
-	if d.Pushed || d.AtOnce {
+func (d *DiscoveryClient) awaitTurn(s *subscription) {
+	if d.Pushed || d.NoInitialDelay {
 		return
 	}
 	d.mu.Lock()
@@ -250,7 +250,7 @@
 }
 
 // awaitQuiet has a reload wait for others in quick succession, while an older watch stands.
-func (d *Directory) awaitQuiet(s *subscription) {
+func (d *DiscoveryClient) awaitQuiet(s *subscription) {
 	quiet, most := quietAfterMove, mostQuiet
 	if d.Pushed {
 		quiet, most = quietPushed, mostQuietPushed
@@ -282,7 +282,7 @@
 }
 
 // stands tells whether any watch stands. d.mu is held.
-func (d *Directory) stands() bool {
+func (d *DiscoveryClient) stands() bool {
 	for _, s := range d.subscriptions {
 		if s.standing {
 			return true
@@ -292,76 +292,76 @@
 }
 
 // ended takes the end of a call, and gives the pause before the next one.
-func (d *Directory) ended(s *subscription, end callEnd, pace *backoff) time.Duration {
+func (d *DiscoveryClient) ended(s *subscription, end callEnd, pace *backoff) time.Duration {
 	d.mu.Lock()
 	stoodWatch := s.standing
 	s.standing, s.waiting = false, false
 	latest := d.latest() == s
-	d.ends[end.kind]++
+	d.ends[end.outcome]++
 	d.note(end, stoodWatch, latest)
 	d.renewed()
 	pause := pace.next(end, d.rng)
 	heard, since, state := d.stands(), s.since, d.state()
 	d.mu.Unlock()
-	d.Log.Warn("the watch of discovery has ended", "address", s.address, "since", since, "kind", end.kind.String(), "error", end.err,
+	d.Log.Warn("the watch of discovery has ended", "address", s.address, "since", since, "kind", end.outcome.String(), "error", end.err,
 		"stood", end.stood.Round(time.Millisecond), "next", pause.Round(time.Millisecond), "superseded", !latest,
 		"discovery", state)
 	if !heard {
-		d.Loop.Lost()
+		d.Loop.SourceLost()
 	}
 	return pause
 }
 
 // note tells the lease what the end of a call, or of a watch that stood, has shown. Of a discovery that a reload has superseded
 // only the end of its watch counts. d.mu is held.
-func (d *Directory) note(end callEnd, stoodWatch, latest bool) {
+func (d *DiscoveryClient) note(end callEnd, stoodWatch, latest bool) {
 	now := d.Clock.Now()
-	if end.kind == callEnded || end.kind == callCut {
-		d.lease.Ended(now)
+	if end.outcome == callEnded || end.outcome == callCut {
+		d.lease.RecordEndedWatch(now)
 	}
 	if !latest {
 		return
 	}
-	switch end.kind {
+	switch end.outcome {
 	case callBroken, callCut: // what was cut may have ended in order, or be an outage
 		if stoodWatch {
-			d.lease.Broken(now)
+			d.lease.RecordBrokenWatch(now)
 		}
 	case callUnreachable:
-		d.lease.Unreachable(now - time.Since(end.began))
+		d.lease.RecordUnreachable(now - time.Since(end.began))
 	case callFailed, callUnanswered:
-		d.lease.Failed(now)
+		d.lease.RecordFailedCall(now)
 	case callRefused:
-		d.lease.Refused()
+		d.lease.RecordRefusedCall()
 	}
 }
 
 // renewed hands on what the lease says. d.mu is held.
-func (d *Directory) renewed() {
-	if d.OnHold != nil {
-		d.OnHold(d.lease.Until())
+func (d *DiscoveryClient) renewed() {
+	if d.OnLeaseExpiry != nil {
+		d.OnLeaseExpiry(d.lease.ExpiresAt())
 	}
 }
 
 // heard takes a sign of life of a subscription's watch.
-func (d *Directory) heard(s *subscription) {
+func (d *DiscoveryClient) heard(s *subscription) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s.ctx.Err() == nil {
-		d.lease.Told(d.Clock.Now(), s.generation)
+		d.lease.Confirm(d.Clock.Now(), s.generation)
 		d.renewed()
 	}
 }
 
 // line takes one list of a watch. Bad data are the watch's end: the last list is kept, and the next watch asks again from
 // there.
-func (d *Directory) line(w *discoveryWatch, text []byte) error {
+func (d *DiscoveryClient) line(w *discoveryWatch, text []byte) error {
 	list, err := protocol.ReadEndpointList(text)
 	if err != nil {
 		return err
 	}
 	kind := balance.Delta
-	if list.Whole {
+	if list.Snapshot {
 		kind = balance.Full
 	}
 	d.telling.Lock()
@@ -369,14 +369,14 @@
 	if err := d.adopt(w, list.Index); err != nil {
 		return err
 	}
-	d.Loop.Pool(kind, list.Index, Members(list))
+	d.Loop.UpdateEndpoints(kind, list.Index, Members(list))
 	w.told = true
 	d.heard(w.s) // after the list is on its way: what is held back goes by it
 	return nil
 }
 
 // adopt makes a watch the source of lists, and gives up those before it.
-func (d *Directory) adopt(w *discoveryWatch, index int64) error {
+func (d *DiscoveryClient) adopt(w *discoveryWatch, index int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w.ctx.Err() != nil { // a later one has told meanwhile
@@ -404,10 +404,10 @@
 func Members(list protocol.EndpointList) []routing.Member {
 	states := map[protocol.State]balance.State{protocol.Ready: balance.Ready, protocol.Draining: balance.Draining,
 		protocol.Gone: balance.Gone}
-	out := make([]routing.Member, 0, len(list.Destinations))
-	for _, e := range list.Destinations {
-		out = append(out, routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: states[e.State], Weight: e.Weight, Since: time.Duration(e.SinceMS) * time.Millisecond})
+	out := make([]routing.Member, 0, len(list.Endpoints))
+	for _, e := range list.Endpoints {
+		out = append(out, routing.Member{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Group,
+			State: states[e.State], Weight: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
 	}
 	return out
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -28,7 +28,7 @@
 // asked again until one stands.
 func TestDiscoveryMisbehaves(t *testing.T) {
 	t.Parallel()
-	echoes := server(t, echo)
+	echoes := startTestServer(t, serveOK)
 	entry := func(name, status string) string {
 		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":%q,"weight":1}`, name, echoes, status)
 	}
@@ -60,9 +60,9 @@
 			t.Parallel()
 			asked, stands := make(chan bool, 99), make(chan bool, 99)
 			var calls atomic.Int32
-			discovery := server(t, func(conn net.Conn) {
+			discovery := startTestServer(t, func(conn net.Conn) {
 				defer conn.Close()
-				head(conn)
+				readRequest(conn)
 				first := calls.Add(1) <= 2
 				if !first {
 					io.WriteString(conn, good)
@@ -76,15 +76,15 @@
 					io.Copy(io.Discard, conn)
 				}
 			})
-			set := settings()
-			set.Ask, set.Rules.AskWithin = true, 640*time.Millisecond
-			_, ln, run := stopped(t, 4, echoes, set, discovery)
+			set := testSettings()
+			set.PollDiscovery, set.Rules.DiscoveryInterval = true, 640*time.Millisecond
+			_, ln, run := prepareSidecar(t, 4, echoes, set, discovery)
 			run()
 			<-asked
 			time.Sleep(20 * time.Millisecond) // what it said is taken, or the watch ends
 			conn, r := dial(t, ln)
-			io.WriteString(conn, pay("a"))
-			if status, _ := answer(t, r); !strings.Contains(status, c.want) {
+			io.WriteString(conn, payRequest("a"))
+			if status, _ := readResponse(t, r); !strings.Contains(status, c.want) {
 				t.Errorf("an operation was answered %q, want %s", status, c.want)
 			}
 			if !c.closes {
@@ -106,22 +106,22 @@
 }
 
 // follows runs a Loop that follows a discovery, whose settings let it ask as seldom as can be, and returns its Directory.
-func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *Directory) {
+func follows(t *testing.T, discovery string, ask bool) (*routing.Loop, *DiscoveryClient) {
 	t.Helper()
-	set := settings()
-	set.Ask, set.Rules.AskWithin = ask, 100*time.Second
-	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), quiet)
+	set := testSettings()
+	set.PollDiscovery, set.Rules.DiscoveryInterval = ask, 100*time.Second
+	loop, err := routing.New(set, routing.Names{}, routing.NewClock(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	d := NewDirectory(ctx, discovery, loop, quiet)
+	d := NewDiscoveryClient(ctx, discovery, loop, discardLog)
 	d.Pushed = !ask
-	go loop.Run(ctx, destinations(routing.NewClock()), d)
-	loop.Pool(balance.Cached, 1, nil)
+	go loop.Run(ctx, newTestPool(routing.NewClock()), d)
+	loop.UpdateEndpoints(balance.Cached, 1, nil)
 	if d.Pushed {
-		d.Follow(1)
+		d.Watch(1)
 	}
 	return loop, d
 }
@@ -129,7 +129,7 @@
 // knows tells whether a Loop has heard of a destination.
 func knows(l *routing.Loop, name string) bool {
 	v, ok := l.View(time.Second)
-	return ok && len(v.Destinations) == 1 && v.Destinations[0].Name == name
+	return ok && len(v.Endpoints) == 1 && v.Endpoints[0].Name == name
 }
 
 // Whatever the calls before met, a change is there within 6 s of the moment at which discovery had it and could be reached:
@@ -150,9 +150,9 @@
 			t.Parallel()
 			var reached atomic.Bool
 			calls := make(chan bool, 999)
-			at := server(t, func(c net.Conn) {
+			at := startTestServer(t, func(c net.Conn) {
 				defer c.Close()
-				head(c)
+				readRequest(c)
 				if calls <- true; !reached.Load() {
 					bad(c)
 					return
@@ -166,7 +166,7 @@
 			}
 			reached.Store(true) // right behind the start of a call, which it is too late for
 			from := time.Now()
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
+			testkit.WaitUntil(t, "the change is there", func() bool { return knows(loop, "new") })
 			if took := time.Since(from); took > 6*time.Second {
 				t.Errorf("the change was there after %v", took)
 			}
@@ -174,7 +174,7 @@
 	}
 	t.Run("never up", func(t *testing.T) {
 		t.Parallel()
-		at, let, came := late(t)
+		at, let, came := startSlowAcceptServer(t)
 		_, _ = follows(t, at, true)
 		time.Sleep(2 * time.Second)
 		let()
@@ -195,9 +195,9 @@
 			t.Parallel()
 			calls := make(chan time.Time, 99)
 			ended := make(chan time.Time, 99)
-			at := server(t, func(c net.Conn) {
+			at := startTestServer(t, func(c net.Conn) {
 				defer c.Close()
-				head(c)
+				readRequest(c)
 				if calls <- time.Now(); len(ended) < 1 {
 					text := chunked(line(2, "old", "Ready"))
 					io.WriteString(c, text)
@@ -215,7 +215,7 @@
 			if took := next.Sub(<-ended); took < want[0] || took > want[1] {
 				t.Errorf("the next call came %v after the end, want %v to %v", took, want[0], want[1])
 			}
-			testkit.Until(t, "the change is there", func() bool { return knows(loop, "new") })
+			testkit.WaitUntil(t, "the change is there", func() bool { return knows(loop, "new") })
 		})
 	}
 }
@@ -225,9 +225,9 @@
 func TestPushed(t *testing.T) {
 	ends := make(chan bool)
 	calls := 0
-	at := server(t, func(c net.Conn) {
+	at := startTestServer(t, func(c net.Conn) {
 		defer c.Close()
-		head(c)
+		readRequest(c)
 		calls++
 		io.WriteString(c, chunked(line(calls, fmt.Sprint("s", calls), "Ready")))
 		<-ends
@@ -235,7 +235,7 @@
 	loop, _ := follows(t, at, false)
 	for n := 1; n < 5; n++ {
 		from := time.Now()
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, fmt.Sprint("s", n)) })
+		testkit.WaitUntil(t, "the list is there", func() bool { return knows(loop, fmt.Sprint("s", n)) })
 		if took := time.Since(from); took > 450*time.Millisecond {
 			t.Errorf("list %d was there after %v", n, took)
 		}
@@ -246,8 +246,8 @@
 
 // Lists that come indented, over many lines and in pieces, are taken as those on one line.
 func TestIndentedLists(t *testing.T) {
-	at := server(t, func(c net.Conn) {
-		head(c)
+	at := startTestServer(t, func(c net.Conn) {
+		readRequest(c)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for i, name := range []string{"a", "b"} {
 			var b bytes.Buffer
@@ -263,7 +263,7 @@
 	})
 	loop, _ := follows(t, at, true)
 	for _, name := range []string{"a", "b"} {
-		testkit.Until(t, "the list is there", func() bool { return knows(loop, name) })
+		testkit.WaitUntil(t, "the list is there", func() bool { return knows(loop, name) })
 	}
 }
 
@@ -273,37 +273,37 @@
 	lost func()
 }
 
-func (t told) Pool(_ balance.ListKind, index int64, _ []routing.Member) { t.pool(index) }
-func (t told) Lost()                                                    { t.lost() }
+func (t told) UpdateEndpoints(_ balance.ListKind, index int64, _ []routing.Member) { t.pool(index) }
+func (t told) SourceLost()                                                         { t.lost() }
 
 // The discovery moves while a list of the old one is being told, and the new one fails for longer than the Directory tries
 // by itself: whatever version the module then asks from, the new one is asked for its whole list.
 func TestMoveWhileAListIsTold(t *testing.T) {
 	asked := make(chan string, 99)
 	var ready atomic.Bool
-	next := server(t, func(c net.Conn) {
+	next := startTestServer(t, func(c net.Conn) {
 		defer c.Close()
-		asked <- head(c)
+		asked <- readRequest(c)
 		if ready.Load() {
 			io.WriteString(c, chunked(line(3, "a", "Ready")))
 			io.Copy(io.Discard, c)
 		}
 	})
-	old := server(t, func(c net.Conn) {
-		head(c)
+	old := startTestServer(t, func(c net.Conn) {
+		readRequest(c)
 		io.WriteString(c, chunked(line(77, "a", "Ready")))
 		io.Copy(io.Discard, c)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := NewDirectory(ctx, old, nil, quiet)
+	d := NewDiscoveryClient(ctx, old, nil, discardLog)
 	var once sync.Once
 	d.Loop = told{pool: func(int64) {
 		once.Do(func() {
-			d.Move(next)
+			d.SwitchAddress(next)
 		})
-	}, lost: func() { ready.Store(true); d.Follow(77) }} // as the module does, from the last version that it knows
-	d.Follow(1)
+	}, lost: func() { ready.Store(true); d.Watch(77) }} // as the module does, from the last version that it knows
+	d.Watch(1)
 	for range 2 {
 		select {
 		case text := <-asked:
@@ -324,9 +324,9 @@
 	var calls atomic.Int32
 	began := time.Now()
 	ended := make(chan time.Duration, 9)
-	at := server(t, func(c net.Conn) {
+	at := startTestServer(t, func(c net.Conn) {
 		defer c.Close()
-		head(c)
+		readRequest(c)
 		if calls.Add(1) > 1 {
 			time.Sleep(time.Until(began.Add(turn)))
 			io.WriteString(c, chunked(line(4, "last", "Ready")))
@@ -341,11 +341,11 @@
 		ended <- time.Since(began)
 	})
 	loop, _ := follows(t, at, true)
-	testkit.Until(t, "what was held is there", func() bool { return knows(loop, "new") })
+	testkit.WaitUntil(t, "what was held is there", func() bool { return knows(loop, "new") })
 	if took := time.Since(began); took > held+300*time.Millisecond {
 		t.Errorf("what was held was there %v after it came", took-held)
 	}
-	testkit.Until(t, "the next call's list is there", func() bool { return knows(loop, "last") })
+	testkit.WaitUntil(t, "the next call's list is there", func() bool { return knows(loop, "last") })
 	select {
 	case at := <-ended:
 		if at < turn-50*time.Millisecond {
@@ -361,8 +361,8 @@
 func TestReloadsInARowAreGathered(t *testing.T) {
 	t.Parallel()
 	tell := make(chan bool)
-	old := server(t, func(c net.Conn) {
-		head(c)
+	old := startTestServer(t, func(c net.Conn) {
+		readRequest(c)
 		io.WriteString(c, chunked(line(2, "old", "Ready")))
 		<-tell
 		text := line(3, "new", "Ready") + "\n"
@@ -371,15 +371,15 @@
 	})
 	var between, last atomic.Int32
 	loop, d := follows(t, old, true)
-	testkit.Until(t, "the first list is there", func() bool { return knows(loop, "old") })
+	testkit.WaitUntil(t, "the first list is there", func() bool { return knows(loop, "old") })
 	for range 4 {
-		d.Move(server(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
+		d.SwitchAddress(startTestServer(t, func(c net.Conn) { between.Add(1); io.Copy(io.Discard, c) }))
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.Move(server(t, func(c net.Conn) { last.Add(1); head(c); io.Copy(io.Discard, c) }))
-	testkit.Until(t, "the last one is asked", func() bool { return last.Load() > 0 })
+	d.SwitchAddress(startTestServer(t, func(c net.Conn) { last.Add(1); readRequest(c); io.Copy(io.Discard, c) }))
+	testkit.WaitUntil(t, "the last one is asked", func() bool { return last.Load() > 0 })
 	close(tell)
-	testkit.Until(t, "the old watch tells on", func() bool { return knows(loop, "new") })
+	testkit.WaitUntil(t, "the old watch tells on", func() bool { return knows(loop, "new") })
 	if n := between.Load(); n > 0 {
 		t.Errorf("discoveries that were named for a moment got %d calls", n)
 	}
@@ -399,10 +399,10 @@
 	_, d := follows(t, "127.0.0.1:1", true)
 	const moves = 6
 	for range moves {
-		d.Move(server(t, silent))
+		d.SwitchAddress(startTestServer(t, silent))
 		time.Sleep(100 * time.Millisecond)
 	}
-	testkit.Until(t, "each was called", func() bool { return called.Load() >= moves })
+	testkit.WaitUntil(t, "each was called", func() bool { return called.Load() >= moves })
 	if n := most.Load(); n > mostSubscriptions+1 { // one may be ending
 		t.Errorf("%d connections at a time", n)
 	}
@@ -415,18 +415,18 @@
 // presumed anew, however many pools follow one another.
 func TestSuccessorPresumesNoOutageOnTopOfAnother(t *testing.T) {
 	heard := time.Now().Add(-time.Minute)
-	d := &Directory{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: heard}
+	d := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), listAt: heard}
 	d.add(0, "127.0.0.1:1")
-	d.prepare()
+	d.initLease()
 	for range 9 {
-		d.lease.Failed(d.Clock.Now())
-		next := &Directory{Context: t.Context(), Log: quiet, Clock: routing.NewClock(), listAt: time.Now()}
+		d.lease.RecordFailedCall(d.Clock.Now())
+		next := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), listAt: time.Now()}
 		next.add(0, "127.0.0.1:1")
-		next.Succeed(d)
-		next.prepare()
+		next.TakeOver(d)
+		next.initLease()
 		d = next
 	}
-	if left := d.lease.Until() - d.Clock.Now(); left > -40*time.Second {
+	if left := d.lease.ExpiresAt() - d.Clock.Now(); left > -40*time.Second {
 		t.Errorf("a list that was heard of a minute ago may be used for %v more", left)
 	}
 }
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -14,33 +14,33 @@
 )
 
 // callKind tells how a call to discovery, or the watch that it became, has ended.
-type callKind uint8
+type callOutcome uint8
 
 // The kinds.
 const (
-	callUnreachable callKind = iota // no connection came up
-	callFailed                      // it broke before an answer, or the call failed after a wait: in an outage and in a crowd
-	callUnanswered                  // taken, and not answered within the time that discovery gives a call
-	callRefused                     // discovery is there, and takes no more calls
-	callUnreadable                  // what came is no endpoint list
-	callSilent                      // the watch missed its beats
-	callBroken                      // the watch broke
-	callEnded                       // the watch was ended by discovery, in order
-	callCut                         // discovery closed the watch's connection in the middle of its answer
-	callLocal                       // this machine could not make the call
+	callUnreachable callOutcome = iota // no connection came up
+	callFailed                         // it broke before an answer, or the call failed after a wait: in an outage and in a crowd
+	callUnanswered                     // taken, and not answered within the time that discovery gives a call
+	callRefused                        // discovery is there, and takes no more calls
+	callUnreadable                     // what came is no endpoint list
+	callSilent                         // the watch missed its beats
+	callBroken                         // the watch broke
+	callEnded                          // the watch was ended by discovery, in order
+	callCut                            // discovery closed the watch's connection in the middle of its answer
+	callLocal                          // this machine could not make the call
 	callKinds
 )
 
-func (k callKind) String() string {
+func (k callOutcome) String() string {
 	return [...]string{"unreachable", "failed", "unanswered", "refused", "unreadable", "silent", "broken", "ended in order", "cut", "local failure"}[k]
 }
 
 // callEnd is the end of a call.
 type callEnd struct {
-	kind  callKind
-	err   error
-	began time.Time
-	stood time.Duration // from its begin to its end
+	outcome callOutcome
+	err     error
+	began   time.Time
+	stood   time.Duration // from its begin to its end
 }
 
 const (
@@ -66,12 +66,12 @@
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered with status %d", int(e)) }
 
 // call makes one call for a subscription and runs the watch that it becomes to its end.
-func (d *Directory) call(s *subscription) (end callEnd) {
+func (d *DiscoveryClient) call(s *subscription) (end callEnd) {
 	began := time.Now()
 	w := &discoveryWatch{d: d, s: s, ctx: s.ctx}
 	defer func() {
 		if p := recover(); p != nil {
-			end.kind, end.err = callUnreadable, fmt.Errorf("panic: %v", p)
+			end.outcome, end.err = callUnreadable, fmt.Errorf("panic: %v", p)
 		}
 		end.began, end.stood = began, time.Since(began)
 	}()
@@ -83,18 +83,18 @@
 	d.mu.Unlock()
 	d.Log.Info("discovery is asked", "call", w.number, "address", s.address, "since", since, "generation", s.generation)
 	err := w.run(since)
-	return callEnd{kind: w.kindOf(err, time.Since(began)), err: err}
+	return callEnd{outcome: w.kindOf(err, time.Since(began)), err: err}
 }
 
 // discoveryWatch is one call on its connection.
 type discoveryWatch struct {
-	d        *Directory
+	d        *DiscoveryClient
 	s        *subscription
 	ctx      context.Context // ends it
 	number   int
 	began    time.Time
 	conn     net.Conn
-	machine  protocol.Machine
+	machine  protocol.Parser
 	lists    protocol.ListReader
 	answered bool // discovery has begun to answer
 	watching bool // with 200
@@ -115,12 +115,12 @@
 	defer stop()
 	conn.SetDeadline(w.began.Add(opening))
 	target := fmt.Sprintf("/registry/instances?follow=1&since=%d", since)
-	if _, err := conn.Write(protocol.GetText(w.s.address, target)); err != nil {
+	if _, err := conn.Write(protocol.GetRequest(w.s.address, target)); err != nil {
 		conn.Close()
 		return err
 	}
-	w.lists.Take = func(text []byte) error { return w.d.line(w, text) }
-	w.machine = protocol.Machine{Answers: true, OnBody: w.lists.Add}
+	w.lists.OnList = func(text []byte) error { return w.d.line(w, text) }
+	w.machine = protocol.Parser{Responses: true, OnBody: w.lists.Feed}
 	if err = w.read(silence); isTimeout(err) && w.watching {
 		w.linger()
 		return err
@@ -163,7 +163,7 @@
 			w.conn.SetReadDeadline(time.Now().Add(patience))
 		}
 		n, err := w.conn.Read(buf)
-		if n == 0 && w.watching && isTimeout(err) && peek(w.conn) == waits {
+		if n == 0 && w.watching && isTimeout(err) && peek(w.conn) == peekData {
 			continue // the process stood still over the watch's time: what it was told meanwhile has not been read
 		}
 		if err := w.took(buf[:n], err); err != nil {
@@ -213,7 +213,7 @@
 }
 
 // kindOf tells what an error that ended the call after some time means.
-func (w *discoveryWatch) kindOf(err error, took time.Duration) callKind {
+func (w *discoveryWatch) kindOf(err error, took time.Duration) callOutcome {
 	var status statusError
 	timedOut := isTimeout(err)
 	switch {
