--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -19,9 +19,9 @@
 
 // Front serves listeners, which clients connect to. It is ready as soon as it serves: whatever clients send then
 // comes to the loop after the list that the sidecar started with.
-type Front struct {
+type Server struct {
 	clock  routing.Clock
-	find   atomic.Pointer[Directions]
+	find   atomic.Pointer[Router]
 	log    *slog.Logger
 	budget Budget
 
@@ -42,25 +42,25 @@
 }
 
 // Service is a pool as the listener sees it.
-type Service struct {
-	Loop   *routing.Loop
-	Gate   Gate          // nil lets everything in
-	Advice time.Duration // when to come back to a pool that is full or stuck, 0 for no advice
-	Chain  *Chain        // nil where operations carry no word of a chain
-	Worths []float64     // of the classes, for the chain
-	Origin string        // the field that names whom an operation comes from; empty for none
+type Backend struct {
+	Loop       *routing.Loop
+	Admission  AdmissionController // nil lets everything in
+	RetryAfter time.Duration       // when to come back to a pool that is full or stuck, 0 for no advice
+	Chain      *Chain              // nil where operations carry no word of a chain
+	Utilities  []float64           // of the classes, for the chain
+	Origin     string              // the field that names whom an operation comes from; empty for none
 }
 
 // worth is that of a class, for the chain's word.
-func (s *Service) worth(class int) float64 {
-	if class < len(s.Worths) {
-		return s.Worths[class]
+func (s *Backend) worth(class int) float64 {
+	if class < len(s.Utilities) {
+		return s.Utilities[class]
 	}
 	return 0
 }
 
 // origin is a hash of whom a request comes from, 0 where that is not known.
-func (s *Service) origin(m *protocol.Message) uint64 {
+func (s *Backend) origin(m *protocol.Message) uint64 {
 	if v := m.Header[s.Origin]; s.Origin != "" && len(v) == 1 && v[0] != "" {
 		return max(xxhash.Sum64String(v[0]), 1)
 	}
@@ -68,55 +68,55 @@
 }
 
 // Gate lets operations into a pool as far as its share of the process goes. Any goroutine may call it.
-type Gate interface {
+type AdmissionController interface {
 	// Enter takes room for an operation with a body of some bytes; ok is false where there is none.
-	Enter(body int) (pass Pass, ok bool)
+	Admit(body int) (pass Admission, ok bool)
 }
 
 // Pass is an operation's room in its pool.
-type Pass interface {
-	Sent()  // it waits for a destination no more
-	Leave() // it has its answer
+type Admission interface {
+	Sent()    // it waits for a destination no more
+	Release() // it has its answer
 }
 
 // Directions find the service of a request and read its figures. An error is a *protocol.Error.
-type Directions func(*protocol.Message) (*Service, protocol.Operation, error)
+type Router func(*protocol.Message) (*Backend, protocol.RequestMeta, error)
 
 // OnePool leads all requests to one pool, by the platform's protocol.
-func OnePool(s *Service, classes []protocol.Class) Directions {
-	return func(m *protocol.Message) (*Service, protocol.Operation, error) {
-		op, err := protocol.ReadOperation(m, classes)
+func SinglePoolRouter(s *Backend, classes []protocol.Class) Router {
+	return func(m *protocol.Message) (*Backend, protocol.RequestMeta, error) {
+		op, err := protocol.ReadRequestMeta(m, classes)
 		return s, op, err
 	}
 }
 
 // NewFront returns a Front that keeps to its part of a budget.
-func NewFront(clock routing.Clock, find Directions, budget Budget, log *slog.Logger) *Front {
-	f := &Front{clock: clock, budget: budget, log: log, guard: guard.New(log), conns: map[*frontConn]struct{}{}}
+func NewServer(clock routing.Clock, find Router, budget Budget, log *slog.Logger) *Server {
+	f := &Server{clock: clock, budget: budget, log: log, guard: guard.New(log), conns: map[*frontConn]struct{}{}}
 	f.changed = sync.NewCond(&f.mu)
-	f.Lead(find)
+	f.SetRoutes(find)
 	return f
 }
 
 // UseGuard has the Front ask and tell the guard of its process. It is called before Serve.
-func (f *Front) UseGuard(g *guard.Guard) { f.guard = g }
+func (f *Server) UseGuard(g *guard.Guard) { f.guard = g }
 
 // Lead has requests that come from now on go by other directions.
-func (f *Front) Lead(find Directions) { f.find.Store(&find) }
+func (f *Server) SetRoutes(find Router) { f.find.Store(&find) }
 
 // Keep has the Front keep to another part of a budget. Connections beyond it end as they become idle.
-func (f *Front) Keep(budget Budget) {
+func (f *Server) SetBudget(budget Budget) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.budget = budget
-	for f.live > f.budget.Front && f.askOne() {
+	for f.live > f.budget.ClientConns && f.askOne() {
 	}
 	f.changed.Broadcast()
 }
 
 // Serve accepts connections until the listener closes, or until nobody comes any more once the Front stops. Several
 // listeners may be served at a time.
-func (f *Front) Serve(ln net.Listener) {
+func (f *Server) Serve(ln net.Listener) {
 	f.mu.Lock()
 	f.accepts++
 	f.serving.Store(true)
@@ -148,15 +148,15 @@
 
 // enter makes a connection one of the Front's. It may be asked to end from its first mark on: before, it has not set the time
 // of its read, and would do so over the wake-up. It stood for its whole time then, and whoever waited for its descriptor with it.
-func (f *Front) enter(conn net.Conn) *frontConn {
+func (f *Server) enter(conn net.Conn) *frontConn {
 	c := &frontConn{front: f, conn: conn, stage: working, since: time.Now()}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// Those that have just come cannot be asked yet, and are the first that should be: a client that rests was asked in their place.
-	for f.live >= f.budget.Front && f.fresh > 0 {
+	for f.live >= f.budget.ClientConns && f.fresh > 0 {
 		f.changed.Wait()
 	}
-	c.beyond = f.live >= f.budget.Front && !f.askOne()
+	c.beyond = f.live >= f.budget.ClientConns && !f.askOne()
 	f.conns[c] = struct{}{}
 	f.live++
 	f.fresh++
@@ -164,11 +164,11 @@
 }
 
 // room waits until there is a descriptor for one more connection.
-func (f *Front) room() {
+func (f *Server) room() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.crowded.Store(false)
-	for len(f.conns) >= f.budget.Front+f.budget.Overflow {
+	for len(f.conns) >= f.budget.ClientConns+f.budget.OverflowConns {
 		f.crowded.Store(true)
 		// One at a time, or those that were just asked to end would cost others their connection.
 		if f.live == len(f.conns) && !f.askOne() { // a request that is coming now may be late in a moment
@@ -185,7 +185,7 @@
 // closed from here a connection could be closed over a request that had just come. Those that have never sent one go
 // first, then those that are slow to: crowds of them must not crowd out clients that ask again on the connection they
 // have. f.mu is held.
-func (f *Front) askOne() bool {
+func (f *Server) askOne() bool {
 	for {
 		var next *frontConn
 		for c := range f.conns {
@@ -199,7 +199,7 @@
 		if next == nil {
 			return false
 		}
-		if next.stage != coming && peek(next.conn) == waits {
+		if next.stage != coming && peek(next.conn) == peekData {
 			next.stage = working // a request has come, and its goroutine has not run yet
 			continue
 		}
@@ -216,7 +216,7 @@
 // Stop serves on for two thirds of its time: clients keep the connections that they have, there may be no other sidecar
 // for them, and the next one starts no sooner for this one's end. Then it takes what still waits to be accepted, ends
 // what is idle and waits until nothing is owed. What comes meanwhile has no more time than is left.
-func (f *Front) Stop(ctx context.Context, within time.Duration, lns ...net.Listener) {
+func (f *Server) Stop(ctx context.Context, within time.Duration, lns ...net.Listener) {
 	f.until.Store(int64(f.clock.Now() + within - answerGrace))
 	f.draining.Store(true)
 	f.stopsSince.Store(int64(f.clock.Now())) // behind it: whoever comes after this time has seen that it stops
@@ -250,10 +250,10 @@
 
 // checkReady counts a violation where the answer to a question that came at some time was that the process is ready, and it was
 // not: it had no listener of its own yet, or had been told to stop before.
-func (f *Front) checkReady(came time.Duration) {
+func (f *Server) checkReady(came time.Duration) {
 	since := time.Duration(f.stopsSince.Load())
 	if !f.serving.Load() || since > 0 && came > since {
-		f.guard.Violated(guard.Start, "came", came, "stops_since", since, "serving", f.serving.Load())
+		f.guard.RecordViolation(guard.Start, "came", came, "stops_since", since, "serving", f.serving.Load())
 	}
 }
 
--- a/internal/transport/frontconn.go
+++ b/internal/transport/frontconn.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	slowRequest = 2500 * time.Millisecond             // a request that takes longer to come is given up, as is a connection without one
-	idleFor     = 3 * time.Second                     // between two requests; clients ask once and keep their connections for good
-	slowAnswer  = 5 * time.Second                     // an answer that the client does not take
-	answerGrace = 25 * time.Millisecond               // after the deadline the connection answers by itself
-	maxAhead    = protocol.MaxHead + protocol.MaxBody // bytes kept of what a client sends before it has its answer
-	goodbye     = 500 * time.Millisecond              // how long the client may take to close its side
-	oneRead     = 5 * time.Millisecond                // reads this close together count as one
-	makingRoom  = 50 * time.Millisecond               // the same, where another client waits for its descriptor
+	slowRequest = 2500 * time.Millisecond                       // a request that takes longer to come is given up, as is a connection without one
+	idleFor     = 3 * time.Second                               // between two requests; clients ask once and keep their connections for good
+	slowAnswer  = 5 * time.Second                               // an answer that the client does not take
+	answerGrace = 25 * time.Millisecond                         // after the deadline the connection answers by itself
+	maxAhead    = protocol.MaxHeadBytes + protocol.MaxBodyBytes // bytes kept of what a client sends before it has its answer
+	goodbye     = 500 * time.Millisecond                        // how long the client may take to close its side
+	oneRead     = 5 * time.Millisecond                          // reads this close together count as one
+	makingRoom  = 50 * time.Millisecond                         // the same, where another client waits for its descriptor
 )
 
 // frontConn is one connection of a client. One goroutine serves it, and it alone ends it; others ask it to. While an
 // operation is out that goroutine goes on reading: the client's leaving shows in nothing else. The answer wakes it by
 // moving the time of its read.
 type frontConn struct {
-	front   *Front
+	front   *Server
 	conn    net.Conn
 	beyond  bool // beyond the budget: told that the sidecar is busy
-	machine protocol.Machine
+	machine protocol.Parser
 	ahead   []byte    // read, and not yet fed
 	reads   []reading // when that was read, and the bytes fed last
 	kept    int       // bytes read so far
@@ -49,8 +49,8 @@
 	lastID string      // of the last request
 	owes   bool        // a request was read whole, and its answer is not written
 
-	op     *routing.Operation // out, nil for none
-	loop   *routing.Loop      // that op is out in
+	op     *routing.Request // out, nil for none
+	loop   *routing.Loop    // that op is out in
 	answer chan routing.Answer
 }
 
@@ -106,7 +106,7 @@
 			promised = true
 			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
-		if c.ending && peek(c.conn) != waits {
+		if c.ending && peek(c.conn) != peekData {
 			rest := begun.Add(tooSlow) // as much time as keeps a connection from being asked
 			if at != coming || !time.Now().Before(rest) {
 				c.because(closedAsked)
@@ -133,7 +133,7 @@
 		case n > 0 || err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if !time.Now().Before(until) {
-				if at == coming || peek(c.conn) != waits {
+				if at == coming || peek(c.conn) != peekData {
 					c.because(map[bool]closeReason{true: closedIdle, false: closedSlow}[at == resting])
 					c.bow(at)
 					return
@@ -157,7 +157,7 @@
 func (c *frontConn) bow(at stage) {
 	switch {
 	case at == coming:
-		c.refuse(&protocol.Error{Status: 408, Why: "the request took too long to come"})
+		c.refuse(&protocol.Error{Status: 408, Reason: "the request took too long to come"})
 	case at == resting || c.front.closing.Load():
 		c.linger()
 	}
@@ -244,12 +244,12 @@
 func (c *frontConn) handle(m *protocol.Message, buf []byte) bool {
 	c.owes = true
 	last := func() bool { return m.Close || c.flooded || c.endsSoon() && len(c.ahead) == 0 }
-	if path, _, _ := strings.Cut(m.Start[1], "?"); path == "/health/ready" {
-		r := protocol.Reply{Status: 200, Why: "ready"}
-		if m.Start[0] != "GET" {
-			r = protocol.Reply{Status: 405, Allow: "GET", Why: "this path wants GET"}
-		} else if d := guard.MayStart(guard.Starting{Serving: c.front.serving.Load(), Stopping: c.front.draining.Load()}); d != nil {
-			r = protocol.Reply{Status: 503, Why: d.Why}
+	if path, _, _ := strings.Cut(m.StartLine[1], "?"); path == "/health/ready" {
+		r := protocol.LocalReply{Status: 200, Reason: "ready"}
+		if m.StartLine[0] != "GET" {
+			r = protocol.LocalReply{Status: 405, Allow: "GET", Reason: "this path wants GET"}
+		} else if d := guard.MayStart(guard.StartFacts{Serving: c.front.serving.Load(), Stopping: c.front.draining.Load()}); d != nil {
+			r = protocol.LocalReply{Status: 503, Reason: d.Reason}
 		} else {
 			c.front.checkReady(c.front.clock.Now() - time.Since(c.came()))
 		}
@@ -259,28 +259,28 @@
 	if err != nil {
 		var e *protocol.Error
 		errors.As(err, &e)
-		return c.reply(protocol.Reply{Status: e.Status, Why: e.Why, Allow: e.Allow}, last())
+		return c.reply(protocol.LocalReply{Status: e.Status, Reason: e.Reason, Allow: e.Allow}, last())
 	}
 	if c.beyond {
-		return c.reply(protocol.Reply{Status: 503, Why: "busy: too many connections"}, last())
+		return c.reply(protocol.LocalReply{Status: 503, Reason: "busy: too many connections"}, last())
 	}
 	return c.operate(m, to, figures, buf, last)
 }
 
 // operate has an operation carried out and answers it.
-func (c *frontConn) operate(m *protocol.Message, to *Service, figures protocol.Operation, buf []byte, last func() bool) bool {
+func (c *frontConn) operate(m *protocol.Message, to *Backend, figures protocol.RequestMeta, buf []byte, last func() bool) bool {
 	loop := to.Loop
-	busy := protocol.Reply{Status: 503, RetryAfter: to.Advice, Why: "busy"}
+	busy := protocol.LocalReply{Status: 503, RetryAfter: to.RetryAfter, Reason: "busy"}
 	if to.Chain != nil {
-		busy.Chain = to.Chain.Field
+		busy.ChainField = to.Chain.Field
 	}
 	var sent func()
-	if to.Gate != nil {
-		pass, ok := to.Gate.Enter(len(m.Body))
+	if to.Admission != nil {
+		pass, ok := to.Admission.Admit(len(m.Body))
 		if !ok {
 			return c.reply(busy, last())
 		}
-		defer pass.Leave()
+		defer pass.Release()
 		sent = pass.Sent
 	}
 	answer := make(chan routing.Answer, 1)
@@ -298,10 +298,10 @@
 	if c.front.draining.Load() { // the process may be killed after that, and the operation lost
 		deadline = min(deadline, time.Duration(c.front.until.Load()))
 	}
-	op := &routing.Operation{Class: figures.Class, Deadline: deadline, Hint: figures.Hint,
-		Repeat: figures.Repeat, Payload: m, Key: figures.ID, Sent: sent, Origin: to.origin(m), Word: word, Left: func() bool { return peek(c.conn) == broken }}
+	op := &routing.Request{Class: figures.Class, Deadline: deadline, CostHint: figures.CostHint,
+		ClientRetry: figures.ClientRetry, Payload: m, Key: figures.ID, OnFirstSend: sent, Origin: to.origin(m), Header: word, ClientGone: func() bool { return peek(c.conn) == peekClosed }}
 	c.lastID = figures.ID
-	if op.Left() { // it sent its request and went: nothing is begun for it
+	if op.ClientGone() { // it sent its request and went: nothing is begun for it
 		c.because(closedMidRequest)
 		return false
 	}
@@ -325,15 +325,15 @@
 	switch a.Verdict {
 	case routing.Served:
 		served := a.Payload.(*protocol.Message)
-		return c.send(close, protocol.ServedHead(served, close), served.Body)
-	case routing.Busy:
+		return c.send(close, protocol.ResponseHead(served, close), served.Body)
+	case routing.Rejected:
 		busy.RetryAfter = a.RetryAfter
 		return c.reply(busy, close)
 	}
-	if a.Verdict == routing.Doubled {
-		return c.reply(protocol.Reply{Status: 409, Why: "a request with this id is open"}, close)
+	if a.Verdict == routing.Duplicate {
+		return c.reply(protocol.LocalReply{Status: 409, Reason: "a request with this id is open"}, close)
 	}
-	return c.reply(protocol.Reply{Status: 502, Why: "failed"}, close)
+	return c.reply(protocol.LocalReply{Status: 502, Reason: "failed"}, close)
 }
 
 // wait reads on until the answer is there, or tells that the client has left. Where the time is up and no answer has
@@ -372,12 +372,12 @@
 func (c *frontConn) refuse(err error) {
 	var e *protocol.Error
 	if errors.As(err, &e) {
-		c.reply(protocol.Reply{Status: e.Status, Why: e.Why}, true)
+		c.reply(protocol.LocalReply{Status: e.Status, Reason: e.Reason}, true)
 	}
 }
 
-func (c *frontConn) reply(r protocol.Reply, last bool) bool {
-	return c.send(last, r.Text(last))
+func (c *frontConn) reply(r protocol.LocalReply, last bool) bool {
+	return c.send(last, r.Encode(last))
 }
 
 // send writes an answer and tells whether the connection stays.
@@ -410,7 +410,7 @@
 	}
 	began := time.Now()
 	buf := make([]byte, 4<<10)
-	for left := 4 * protocol.MaxBody; ; {
+	for left := 4 * protocol.MaxBodyBytes; ; {
 		gone := time.Since(began)
 		if gone >= goodbye || gone >= makingRoom && c.front.crowded.Load() {
 			return
@@ -435,7 +435,7 @@
 		if c.op != nil {
 			c.loop.Abandon(c.op)
 		}
-		c.reply(protocol.Reply{Status: 500, Why: "failed"}, true)
+		c.reply(protocol.LocalReply{Status: 500, Reason: "failed"}, true)
 	}
 	c.settleDebt()
 	c.noteEnd()
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -74,8 +74,8 @@
 	defer t.mu.Unlock()
 	t.writing = false
 	close(t.wrote)
-	if err == nil && t.progress < routing.WhollyWritten {
-		t.progress = routing.WhollyWritten
+	if err == nil && t.progress < routing.FullyWritten {
+		t.progress = routing.FullyWritten
 	}
 	if t.broke != nil {
 		return t.broke
@@ -105,7 +105,7 @@
 func (t *task) answered() (early, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.progress < routing.WhollyWritten {
+	if t.progress < routing.FullyWritten {
 		return true, false
 	}
 	first = t.progress < routing.Answering
@@ -137,13 +137,13 @@
 // link is one connection to a destination. Its reader runs for as long as it stands, so the end of an idle
 // connection is seen when it comes.
 type link struct {
-	home *Destinations
-	to   *routing.Destination
+	home *ConnectionPool
+	to   *routing.Endpoint
 	conn net.Conn
 	once sync.Once
 
 	mu      sync.Mutex
-	machine protocol.Machine
+	machine protocol.Parser
 	task    *task     // on its way, nil while idle
 	used    bool      // it has brought an answer
 	since   time.Time // idle since then
@@ -156,7 +156,7 @@
 func (k *link) begin(t *task) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.dead || k.task != nil || peek(k.conn) != still {
+	if k.dead || k.task != nil || peek(k.conn) != peekNothing {
 		k.close()
 		return false
 	}
@@ -195,7 +195,7 @@
 func (k *link) rest() {
 	k.task = nil
 	k.since = time.Now()
-	k.conn.SetReadDeadline(k.since.Add(k.home.IdleFor))
+	k.conn.SetReadDeadline(k.since.Add(k.home.IdleTimeout))
 }
 
 // close ends the connection. k.mu is held.
@@ -203,7 +203,7 @@
 	k.dead = true
 	k.once.Do(func() {
 		k.conn.Close()
-		k.home.Room.Give()
+		k.home.ConnectionLimiter.Release()
 	})
 }
 
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -28,7 +28,7 @@
 		{"closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balance.OK, false},
 		{"extra bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokay", balance.OK, false},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.FullUp, true},
+		{"turned away", "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
 		{"503 that may have run", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
 		{"no such page", "HTTP/1.1 404 N\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Error, true},
 		{"garbage", "SMTP ready\r\n\r\n", balance.Reset, false},
@@ -45,18 +45,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			var conns atomic.Int32
-			at := server(t, func(conn net.Conn) {
+			at := startTestServer(t, func(conn net.Conn) {
 				conns.Add(1)
-				for head(conn) != "" {
+				for readRequest(conn) != "" {
 					if conn.Write([]byte(c.answer)); c.answer == "" {
 						conn.Close()
 					}
 				}
 			})
-			u, d := destinations(routing.NewClock()), &routing.Destination{Address: at}
-			first := probe(u, d)
-			time.Sleep(2 * leastRest) // it is used again when it has rested
-			second := probe(u, d)
+			u, d := newTestPool(routing.NewClock()), &routing.Endpoint{Address: at}
+			first := runProbe(u, d)
+			time.Sleep(2 * minIdleTime) // it is used again when it has rested
+			second := runProbe(u, d)
 			if first != c.status || second != c.status {
 				t.Errorf("ended %d, then %d; want %d", first, second, c.status)
 			}
@@ -70,13 +70,13 @@
 // What is left of an answer comes over a connection that the next request has just been given: it is not that request's,
 // which may have run if its last byte went out, and has not if that was kept back.
 func TestLeftover(t *testing.T) {
-	for progress, want := range map[routing.Progress]balance.Status{routing.WhollyWritten: balance.Reset,
+	for progress, want := range map[routing.Progress]balance.Status{routing.FullyWritten: balance.Reset,
 		routing.PartlyWritten: balance.ConnectFailed} {
 		here, there := net.Pipe()
 		ended := make(chan routing.Result, 1)
 		late := &task{done: func(r routing.Result) { ended <- r }, deadline: time.Now().Add(time.Minute)}
-		k := &link{home: destinations(routing.NewClock()), to: &routing.Destination{}, conn: here, used: true, task: late,
-			machine: protocol.Machine{Answers: true}}
+		k := &link{home: newTestPool(routing.NewClock()), to: &routing.Endpoint{}, conn: here, used: true, task: late,
+			machine: protocol.Parser{Responses: true}}
 		late.startWriting()
 		go k.read()
 		go io.WriteString(there, "HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -84,7 +84,7 @@
 		if _, err := there.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the connection stays: %v", err)
 		}
-		if progress == routing.WhollyWritten {
+		if progress == routing.FullyWritten {
 			k.wrote(late, nil)
 		} else {
 			k.wrote(late, net.ErrClosed)
@@ -98,20 +98,20 @@
 // A connection that its peer closed while idle is not written to, and one refused is no reset.
 func TestStaleAndRefused(t *testing.T) {
 	closed := make(chan struct{})
-	at := server(t, func(conn net.Conn) {
-		head(conn)
+	at := startTestServer(t, func(conn net.Conn) {
+		readRequest(conn)
 		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		conn.Close()
 		closed <- struct{}{}
 	})
-	u, d := destinations(routing.NewClock()), &routing.Destination{Address: at}
+	u, d := newTestPool(routing.NewClock()), &routing.Endpoint{Address: at}
 	for range 20 {
-		if s := probe(u, d); s != balance.OK {
+		if s := runProbe(u, d); s != balance.OK {
 			t.Fatalf("ended %d", s)
 		}
 		<-closed
 	}
-	if s := probe(u, &routing.Destination{Address: "127.0.0.1:1"}); s != balance.ConnectFailed {
+	if s := runProbe(u, &routing.Endpoint{Address: "127.0.0.1:1"}); s != balance.ConnectFailed {
 		t.Errorf("a refused connection ended %d", s)
 	}
 }
@@ -121,8 +121,8 @@
 func TestCancelDuringWrite(t *testing.T) {
 	here, there := net.Pipe() // a write to it ends when the other side has read
 	defer there.Close()
-	u := destinations(routing.NewClock())
-	k := &link{home: u, to: &routing.Destination{}, conn: here}
+	u := newTestPool(routing.NewClock())
+	k := &link{home: u, to: &routing.Endpoint{}, conn: here}
 	ended := make(chan routing.Result, 1)
 	task := &task{done: func(r routing.Result) { ended <- r }}
 	k.task = task
@@ -141,9 +141,9 @@
 		err  routing.AttemptError
 		want balance.Status
 	}{
-		{routing.AttemptError{Progress: routing.PartlyWritten, Err: context.Canceled}, balance.Moot},
+		{routing.AttemptError{Progress: routing.PartlyWritten, Err: context.Canceled}, balance.NotSent},
 		{routing.AttemptError{Progress: routing.PartlyWritten, Err: errors.New("broken")}, balance.ConnectFailed},
-		{routing.AttemptError{Progress: routing.WhollyWritten, Err: errors.New("broken")}, balance.Reset},
+		{routing.AttemptError{Progress: routing.FullyWritten, Err: errors.New("broken")}, balance.Reset},
 	} {
 		if got := c.err.Status(); got != c.want {
 			t.Errorf("%v is %d, want %d", &c.err, got, c.want)
@@ -166,23 +166,23 @@
 func TestBudget(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	defer close(hold)
-	slow := server(t, func(conn net.Conn) { head(conn); held <- struct{}{}; <-hold; conn.Close() })
-	u := destinations(routing.NewClock())
+	slow := startTestServer(t, func(conn net.Conn) { readRequest(conn); held <- struct{}{}; <-hold; conn.Close() })
+	u := newTestPool(routing.NewClock())
 	for range 6 {
-		at := server(t, func(conn net.Conn) {
-			for head(conn) != "" {
+		at := startTestServer(t, func(conn net.Conn) {
+			for readRequest(conn) != "" {
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
 		})
-		if s := probe(u, &routing.Destination{Address: at}); s != balance.OK {
+		if s := runProbe(u, &routing.Endpoint{Address: at}); s != balance.OK {
 			t.Fatalf("ended %d", s)
 		}
 	}
 	for range 4 {
-		u.Probe(&routing.Destination{Address: slow}, func(routing.Result) {})
+		u.Probe(&routing.Endpoint{Address: slow}, func(routing.Result) {})
 		<-held
 	}
-	if s := probe(u, &routing.Destination{Address: slow}); s != balance.Moot {
+	if s := runProbe(u, &routing.Endpoint{Address: slow}); s != balance.NotSent {
 		t.Errorf("beyond the budget ended %d", s)
 	}
 }
@@ -191,11 +191,11 @@
 func TestNewBudget(t *testing.T) {
 	for sockets := MinSockets; sockets < 3000; sockets++ {
 		b := NewBudget(sockets, 1<<30)
-		if b.Front+b.Overflow+b.Destinations+reserve > sockets || b.Destinations < b.Front || b.Front < (sockets-reserve)/3 {
+		if b.ClientConns+b.OverflowConns+b.UpstreamConns+reservedDescriptors > sockets || b.UpstreamConns < b.ClientConns || b.ClientConns < (sockets-reservedDescriptors)/3 {
 			t.Fatalf("%d are shared out as %+v", sockets, b)
 		}
 	}
-	if b := NewBudget(1024, 32<<20); b.Front*worst > 32<<20 {
+	if b := NewBudget(1024, 32<<20); b.ClientConns*maxClientConnBytes > 32<<20 {
 		t.Errorf("%+v takes more than 32 MB", b)
 	}
 }
@@ -204,18 +204,18 @@
 // run: none of them gets a request, which the endpoint's machine may answer with a reset, as one that may have run.
 func TestIdleForTooLongIsNotUsed(t *testing.T) {
 	var connections atomic.Int32
-	at := server(t, func(conn net.Conn) { connections.Add(1); echo(conn) })
-	u := destinations(routing.NewClock())
-	d := &routing.Destination{Address: at}
-	if s := probe(u, d); s != balance.OK {
+	at := startTestServer(t, func(conn net.Conn) { connections.Add(1); serveOK(conn) })
+	u := newTestPool(routing.NewClock())
+	d := &routing.Endpoint{Address: at}
+	if s := runProbe(u, d); s != balance.OK {
 		t.Fatal(s)
 	}
-	testkit.Until(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
+	testkit.WaitUntil(t, "the connection rests", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return len(u.idle[d]) == 1 })
 	k := u.idle[d][0]
 	k.mu.Lock()
-	k.since = time.Now().Add(-u.IdleFor - time.Millisecond)
+	k.since = time.Now().Add(-u.IdleTimeout - time.Millisecond)
 	k.mu.Unlock()
-	if s := probe(u, d); s != balance.OK {
+	if s := runProbe(u, d); s != balance.OK {
 		t.Error(s)
 	}
 	if n := connections.Load(); n != 2 {
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // server listens on loopback and hands each connection to a function.
-func server(t *testing.T, serve func(net.Conn)) string {
+func startTestServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 // head reads one request without a body and returns its text.
-func head(c net.Conn) string {
+func readRequest(c net.Conn) string {
 	var text []byte
 	for b := make([]byte, 1); !strings.HasSuffix(string(text), "\r\n\r\n"); text = append(text, b[0]) {
 		if _, err := c.Read(b); err != nil {
@@ -48,12 +48,12 @@
 	return string(text)
 }
 
-func destinations(clock routing.Clock) *Destinations {
-	return NewDestinations(Options{Clock: clock, ConnectTimeout: time.Second, IdleFor: time.Minute, Room: NewRoom(4), Log: quiet})
+func newTestPool(clock routing.Clock) *ConnectionPool {
+	return NewConnectionPool(ConnectionPoolOptions{Clock: clock, ConnectTimeout: time.Second, IdleTimeout: time.Minute, ConnectionLimiter: NewConnLimiter(4), Log: discardLog})
 }
 
 // probe runs one exchange and returns how it ended.
-func probe(u *Destinations, d *routing.Destination) balance.Status {
+func runProbe(u *ConnectionPool, d *routing.Endpoint) balance.Status {
 	ended := make(chan routing.Result, 1)
 	u.Probe(d, func(r routing.Result) { ended <- r })
 	r := <-ended
--- a/internal/transport/pace_test.go
+++ b/internal/transport/pace_test.go
@@ -53,12 +53,12 @@
 // play gives when each caller was served, counted from the end of the outage; those that were not have the run's end.
 func (c crowdCase) play(seed uint64) []time.Duration {
 	capacity := max(float64(c.callers)/c.queue, leastCapacity)
-	d := model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: c.timeout, RefuseFull: c.refuses,
-		WorksOffFailed: true}, nil)
+	d := model.NewDiscovery(model.DiscoveryConfig{CallsPerSecond: capacity, Timeout: c.timeout, RejectWhenFull: c.refuses,
+		ServeTimedOut: true}, nil)
 	var all, waiting callers
 	for i := range c.callers {
 		one := &caller{rng: rand.New(rand.NewPCG(seed, uint64(i)))}
-		one.at = one.pace.next(callEnd{kind: callBroken, stood: time.Minute}, one.rng)
+		one.at = one.pace.next(callEnd{outcome: callBroken, stood: time.Minute}, one.rng)
 		if c.starts {
 			one.at = time.Duration(max(one.rng.Float64()*float64(moduleSpread), one.rng.Float64()*float64(spreadWidth)))
 		}
@@ -105,8 +105,8 @@
 	heap.Fix(waiting, 0)
 }
 
-func (o *caller) fails(kind callKind, after time.Duration) {
-	o.out, o.ends = true, &callEnd{kind: kind, stood: after}
+func (o *caller) fails(kind callOutcome, after time.Duration) {
+	o.out, o.ends = true, &callEnd{outcome: kind, stood: after}
 	o.at += after
 }
 
--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -9,9 +9,9 @@
 type sight uint8
 
 const (
-	still  sight = iota // nothing: it stands
-	waits               // bytes that were not read
-	broken              // its end, or an error
+	peekNothing sight = iota // nothing: it stands
+	peekData                 // bytes that were not read
+	peekClosed               // its end, or an error
 )
 
 // peek tells what waits on a connection without reading it. The peer's end or bytes can be there before the goroutine
@@ -19,24 +19,24 @@
 func peek(conn net.Conn) sight {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
-		return broken
+		return peekClosed
 	}
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return broken
+		return peekClosed
 	}
-	seen := broken
+	seen := peekClosed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		switch n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 		case e == syscall.EAGAIN || e == syscall.EINTR:
-			seen = still
+			seen = peekNothing
 		case e == nil && n > 0:
-			seen = waits
+			seen = peekData
 		}
 	})
 	if err != nil {
-		return broken
+		return peekClosed
 	}
 	return seen
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -48,7 +48,7 @@
 	Seed     uint64                 // Start
 	Settings []byte                 // Start
 	List     balance.ListKind       // PeersKnown
-	Servers  []balance.Server       // PeersKnown
+	Servers  []balance.Endpoint     // PeersKnown
 	Request  balance.Request        // Demand
 	Outcome  balance.Outcome        // Answer, AckFirst, ProbeDone: those fields that they have
 	Token    uint64                 // Due
@@ -65,7 +65,7 @@
 	left  int // records not yet read
 	count int
 	batch int
-	lists [lists][]balance.Server
+	lists [lists][]balance.Endpoint
 	known [lists]bool
 }
 
@@ -154,11 +154,11 @@
 		return nil // Event reports it
 	}
 	// A batch may still refer to the list that had this number before: it gets a list of its own.
-	list := make([]balance.Server, len(data)/entrySize)
+	list := make([]balance.Endpoint, len(data)/entrySize)
 	for i := range list {
 		g := fields{buf: data, at: i * entrySize}
 		s := &list[i]
-		s.ID = balance.ServerID(g.u32())
+		s.ID = balance.EndpointID(g.u32())
 		s.Zone, s.Kind, s.Cell = int(g.u16()), int(g.u8()), int(g.u16())
 		s.State = balance.State(g.u8())
 		s.Units, s.ReadyAt = float64(g.f32()), seconds(g.u64())
@@ -199,10 +199,10 @@
 	case Due:
 		e.Token = f.u64()
 	case AckFirst:
-		o.ID, o.Server = balance.RequestID(f.u32()), balance.ServerID(f.u32())
+		o.ID, o.Endpoint = balance.RequestID(f.u32()), balance.EndpointID(f.u32())
 		o.Attempt, o.Latency = int(f.u16()), seconds(f.u64())
 	case ProbeDone:
-		o.Server = balance.ServerID(f.u32())
+		o.Endpoint = balance.EndpointID(f.u32())
 		o.Status, o.Latency = balance.Status(f.u8()), seconds(f.u64())
 		return load(e, f)
 	case Mail:
@@ -212,15 +212,15 @@
 		q := &e.Request
 		q.ID, q.Class, q.Tenant = balance.RequestID(f.u32()), int(f.u16()), int(f.u32())
 		q.Key, q.Deadline = f.u64(), seconds(f.u64())
-		q.Hint = math.Float64frombits(f.u64())
+		q.CostHint = math.Float64frombits(f.u64())
 		flags := f.u16()
-		if flags&1 == 0 || !(q.Hint > 0) || math.IsInf(q.Hint, 0) {
-			q.Hint = 0
+		if flags&1 == 0 || !(q.CostHint > 0) || math.IsInf(q.CostHint, 0) {
+			q.CostHint = 0
 		}
-		q.Repeat = flags&2 != 0
+		q.ClientRetry = flags&2 != 0
 	case Answer:
-		o.ID, o.Closed = balance.RequestID(f.u32()), f.u8() != 0
-		o.Attempt, o.Server = int(f.u16()), balance.ServerID(f.u32())
+		o.ID, o.Final = balance.RequestID(f.u32()), f.u8() != 0
+		o.Attempt, o.Endpoint = int(f.u16()), balance.EndpointID(f.u32())
 		o.Latency, o.Status = seconds(f.u64()), balance.Status(f.u8())
 		return load(e, f)
 	case Exit:
@@ -237,7 +237,7 @@
 		e.loads[i] = f.f32()
 	}
 	e.Outcome.Load = e.loads[:n]
-	if s := e.Outcome.Status; !f.short && (s < balance.OK || s > balance.Moot) {
+	if s := e.Outcome.Status; !f.short && (s < balance.OK || s > balance.NotSent) {
 		return fmt.Errorf("unknown outcome %d", s)
 	}
 	return nil
@@ -328,7 +328,7 @@
 }
 
 // Close writes hang_up.
-func (i *Instance) Close(server balance.ServerID) { i.record(1); i.u32(uint32(server)) }
+func (i *Instance) CloseIdle(server balance.EndpointID) { i.record(1); i.u32(uint32(server)) }
 
 // Fail writes fail.
 func (i *Instance) Fail(id balance.RequestID, _ balance.Reason) { i.record(2); i.u32(uint32(id)) }
@@ -344,7 +344,7 @@
 }
 
 // Send writes send.
-func (i *Instance) Send(id balance.RequestID, server balance.ServerID, timeout time.Duration) {
+func (i *Instance) Send(id balance.RequestID, server balance.EndpointID, timeout time.Duration) {
 	i.record(5)
 	i.u32(uint32(id))
 	i.u32(uint32(server))
@@ -358,21 +358,21 @@
 func (i *Instance) Watch() { i.record(7); i.buf = append(i.buf, 1) }
 
 // Timer writes schedule.
-func (i *Instance) Timer(delay time.Duration, token uint64) {
+func (i *Instance) StartTimer(delay time.Duration, token uint64) {
 	i.record(8)
 	i.span(delay)
 	i.u64(token)
 }
 
 // Refuse writes say_no.
-func (i *Instance) Refuse(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
+func (i *Instance) Reject(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
 	i.record(9)
 	i.u32(uint32(id))
 	i.span(retryAfter)
 }
 
 // Tell writes publish.
-func (i *Instance) Tell(peer int, data []byte) {
+func (i *Instance) SendToPeer(peer int, data []byte) {
 	i.record(11)
 	if peer == balance.AllPeers {
 		peer = allPeers
@@ -382,4 +382,4 @@
 }
 
 // Probe writes probe.
-func (i *Instance) Probe(server balance.ServerID) { i.record(12); i.u32(uint32(server)) }
+func (i *Instance) Probe(server balance.EndpointID) { i.record(12); i.u32(uint32(server)) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -50,14 +50,14 @@
 
 var (
 	effects   = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	groups    = map[string]balance.Group{"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
-	vias      = map[string]balance.Via{"": balance.NoReports, "off": balance.NoReports, "inline": balance.OnAnswers, "on_probe": balance.OnProbes}
+	groups    = map[string]balance.DedupScope{"": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
+	vias      = map[string]balance.ReportSource{"": balance.NoReports, "off": balance.NoReports, "inline": balance.OnResponses, "on_probe": balance.OnProbes}
 	loadNames = map[string]balance.Field{"busy": balance.Util, "rif": balance.Inflight, "q": balance.Queue,
 		"lat_ms": balance.LatencyMS, "rate": balance.QPS, "fail_rate": balance.EPS}
 )
 
 // Settings turns the text of a start event into the module's settings.
-func Settings(text []byte, seed uint64) (balance.Settings, error) {
+func ParseSettings(text []byte, seed uint64) (balance.Settings, error) {
 	var f facts
 	none := balance.Settings{}
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -75,18 +75,18 @@
 	}
 	p, v, d, m := f.Permissions, f.Invariants, &f.Deductions, &f.ObjectiveMix
 	s := balance.Settings{
-		Seed: seed, Me: f.Me, Balancers: max(f.PeersTotal, 1), Tier: f.Tier, Zone: f.Locality,
-		Tick:           span(f.ResolutionS),
-		OverShareWorth: f.OverShareWorth,
-		Goal: balance.Goal{Whole: m.Whole, WorstWindow: m.WorstWindow, WorstClass: m.WorstClass,
+		Seed: seed, Index: f.Me, Balancers: max(f.PeersTotal, 1), Tier: f.Tier, Zone: f.Locality,
+		Tick:             span(f.ResolutionS),
+		OverShareUtility: f.OverShareWorth,
+		Objective: balance.Objective{Overall: m.Whole, WorstWindow: m.WorstWindow, WorstClass: m.WorstClass,
 			WorstTenant: m.WorstTenant},
-		Prices: balance.Prices{CrossZone: d.CrossZone, Waste: d.Waste, LateFail: d.LateFail, Probe: d.Probe, Peer: d.Peer},
-		Limits: balance.Limits{Probes: p.Probes, Peers: p.Peers, Cancel: p.Cancel, SecondCopies: p.ParallelTries,
+		Penalties: balance.Penalties{CrossZone: d.CrossZone, Waste: d.Waste, LateFailure: d.LateFail, Probe: d.Probe, Peer: d.Peer},
+		Limits: balance.Limits{Probes: p.Probes, Peers: p.Peers, Cancel: p.Cancel, Hedging: p.ParallelTries,
 			RetryAfter: p.RetryAfter, MaxAttempts: p.SendCap, MaxRetryAfter: span(p.MaxRetryAfterS)},
-		Rules: balance.Rules{DrainGrace: span(v.StopSendingWithinS), AskWithin: span(v.AskWithinS), ColdShare: v.ColdShare,
-			ColdTime: span(v.ColdS), FallMultiple: v.OverloadFactor, FallTime: span(v.TipAfterS)},
-		Ask:           f.RegistryMode == "ask",
-		UnitsMeanSize: f.Weights == "nominal" || f.Weights == "rough",
+		Rules: balance.Rules{DrainGrace: span(v.StopSendingWithinS), DiscoveryInterval: span(v.AskWithinS), SlowStartShare: v.ColdShare,
+			SlowStartTime: span(v.ColdS), OverloadMultiple: v.OverloadFactor, OverloadWindow: span(v.TipAfterS)},
+		PollDiscovery:    f.RegistryMode == "ask",
+		UnitsAreCapacity: f.Weights == "nominal" || f.Weights == "rough",
 	}
 	for i, c := range f.Profiles {
 		effect, known := effects[c.Repeat]
@@ -94,8 +94,8 @@
 		if !known || !grouped {
 			return none, fmt.Errorf("settings: profile %d: unknown repeat %q or group %q", i, c.Repeat, c.Group)
 		}
-		s.Classes = append(s.Classes, balance.Class{Aim: span(c.AimS), Deadline: span(c.GiveUpS), Worth: c.Points,
-			LateWorth: c.LateShare, Effect: effect, Group: group, Window: span(c.WindowS), Stream: c.Stream})
+		s.Classes = append(s.Classes, balance.Class{LatencyTarget: span(c.AimS), Deadline: span(c.GiveUpS), Utility: c.Points,
+			LateUtility: c.LateShare, Effect: effect, DedupScope: group, DedupWindow: span(c.WindowS), Stream: c.Stream})
 	}
 	for _, t := range f.Projects {
 		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Portion, Quota: t.QuotaPerS})
@@ -104,7 +104,7 @@
 	if !known {
 		return none, fmt.Errorf("settings: unknown telemetry.via %q", f.Telemetry.Via)
 	}
-	s.Report.Via = via
+	s.Report.Source = via
 	for _, name := range f.Telemetry.Fields {
 		s.Report.Fields = append(s.Report.Fields, loadNames[name])
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,14 +56,14 @@
 			func(e *Event) bool {
 				q := e.Request
 				return e.Kind == Demand && e.Instance == 3 && q.ID == 0x5d3a91c4 && q.Class == 1 && q.Tenant == 2 &&
-					q.Deadline == 3*time.Second && q.Hint == 0.5 && q.Repeat
+					q.Deadline == 3*time.Second && q.CostHint == 0.5 && q.ClientRetry
 			}},
 		"demand without a valid hint": {[]string{"08 0300 c4913a5d 0100 00000000 0000000000000000 0000000000000840 000000000000e03f 0000"},
-			func(e *Event) bool { return e.Request.Hint == 0 && !e.Request.Repeat }},
+			func(e *Event) bool { return e.Request.CostHint == 0 && !e.Request.ClientRetry }},
 		"answer": {[]string{"09 0300 c4913a5d 01 0200 074a1203 000000000000e03f 04 02 0000803f 0000c07f"},
 			func(e *Event) bool {
 				o := e.Outcome
-				return o.Closed && o.Attempt == 2 && o.Server == 0x03124a07 && o.Latency == 500*time.Millisecond &&
+				return o.Final && o.Attempt == 2 && o.Endpoint == 0x03124a07 && o.Latency == 500*time.Millisecond &&
 					o.Status == balance.Timeout && len(o.Load) == 2 && o.Load[0] == 1
 			}},
 		"probe":       {[]string{"06 0300 074a1203 000000000000e03f 01 00"}, nil}, // fields in the wrong order
@@ -77,7 +77,7 @@
 		"failed list": {[]string{"02 0300 03 29000000 0900"}, func(e *Event) bool { return e.List == balance.Failed && e.Servers == nil }},
 		"list": {[]string{catalog, "02 0300 02 29000000 0000"}, func(e *Event) bool {
 			s := e.Servers[0]
-			return len(e.Servers) == 2 && s == balance.Server{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: balance.Ready,
+			return len(e.Servers) == 2 && s == balance.Endpoint{ID: 1, Zone: 2, Kind: 3, Cell: 4, State: balance.Ready,
 				Units: 1, ReadyAt: time.Second} && e.Servers[1].Units == 0
 		}},
 		"list number used again": {[]string{catalog, "0a 0000 00000000", "02 0300 01 29000000 0000"},
@@ -155,15 +155,15 @@
 	w.Reset()
 	i := &Instance{Writer: &w, Who: 3}
 	i.Send(0x5d3a91c4, 0x03124a07, 80*time.Millisecond)
-	i.Timer(500*time.Millisecond, 77)
-	i.Tell(balance.AllPeers, []byte("hi 7"))
+	i.StartTimer(500*time.Millisecond, 77)
+	i.SendToPeer(balance.AllPeers, []byte("hi 7"))
 	i.Log("two servers known")
-	i.Close(1)
+	i.CloseIdle(1)
 	i.Fail(2, balance.TooLate)
 	i.Fetch()
 	i.Cancel(2, 1)
 	i.Watch()
-	i.Refuse(2, 0, balance.Shed)
+	i.Reject(2, 0, balance.Shed)
 	i.Probe(9)
 	want := "05 0300 c4913a5d 074a1203 7b14ae47e17ab43f 08 0300 000000000000e03f 4d00000000000000 " +
 		"0b 0300 ffff 0400 68692037 06 0300 1100 74776f2073657276657273206b6e6f776e 01 0300 01000000 02 0300 02000000 " +
@@ -188,14 +188,14 @@
  "peersTotal": 10, "me": 4, "tier": 1, "weights": "nominal", "unknown": [1, 2]}`
 
 func TestSettings(t *testing.T) {
-	s, err := Settings([]byte(someFacts), 9)
+	s, err := ParseSettings([]byte(someFacts), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Seed != 9 || s.Me != 4 || s.Balancers != 10 || !s.Ask || !s.UnitsMeanSize || s.Limits.MaxAttempts != 5 ||
-		c.Aim != 1200*time.Millisecond || c.Effect != balance.Keyed || c.Group != balance.GroupCell ||
-		s.Rules.DrainGrace != 250*time.Millisecond || s.Tenants[0].Quota != 101 || s.Report.Via != balance.OnAnswers ||
+	if s.Seed != 9 || s.Index != 4 || s.Balancers != 10 || !s.PollDiscovery || !s.UnitsAreCapacity || s.Limits.MaxAttempts != 5 ||
+		c.LatencyTarget != 1200*time.Millisecond || c.Effect != balance.Keyed || c.DedupScope != balance.ScopeCell ||
+		s.Rules.DrainGrace != 250*time.Millisecond || s.Tenants[0].Quota != 101 || s.Report.Source != balance.OnResponses ||
 		s.Report.Fields[1] != balance.Util || s.Report.Fields[2] != balance.OtherField {
 		t.Errorf("%+v", s)
 	}
@@ -208,7 +208,7 @@
 		"unknown repeat":               strings.Replace(someFacts, "keyed", "maybe", 1),
 		"unknown telemetry.via":        strings.Replace(someFacts, "inline", "mail", 1),
 	} {
-		if _, err := Settings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseSettings([]byte(text), 0); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
@@ -241,7 +241,7 @@
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(someFacts))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if s, err := Settings(text, 1); err == nil && len(s.Classes) == 0 {
+		if s, err := ParseSettings(text, 1); err == nil && len(s.Classes) == 0 {
 			t.Error("settings without classes and without an error")
 		}
 	})
--- a/internal/xds/snapshot.go
+++ b/internal/xds/snapshot.go
@@ -31,8 +31,8 @@
 	Version string // follows from the content, so that two services over one source agree
 	// Safety is a hash of the part that must not wait: which endpoints take new requests. A resource whose safety has
 	// changed goes out at once; other changes are weights, which are gathered.
-	Safety uint64
-	Body   *anypb.Any
+	UrgentHash uint64
+	Body       *anypb.Any
 }
 
 // NewResource packs a message. Its version is a hash of its deterministic encoding.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("resource %q: %w", name, err)
 	}
-	return &Resource{Name: name, Version: strconv.FormatUint(xxhash.Sum64(text), 16), Safety: safety,
+	return &Resource{Name: name, Version: strconv.FormatUint(xxhash.Sum64(text), 16), UrgentHash: safety,
 		Body: &anypb.Any{TypeUrl: "type.googleapis.com/" + string(m.ProtoReflect().Descriptor().FullName()), Value: text}}, nil
 }
 
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -296,7 +296,7 @@
 		if r == nil || known && old != nil && old.Version == r.Version {
 			continue
 		}
-		if known && old != nil && old.Safety != r.Safety {
+		if known && old != nil && old.UrgentHash != r.UrgentHash {
 			safety = true
 		}
 		changed = append(changed, r)
@@ -439,12 +439,12 @@
 
 // TypeState is how a stream stands with a type.
 type TypeState struct {
-	TypeURL string
-	Names   int // asked for; -1 for all
-	Sent    string
-	Acked   string
-	Waiting time.Duration // how long the last response has waited for its answer, 0 if it has it
-	Refused string        // why the last response was not accepted, "" if it was
+	TypeURL      string
+	Names        int // asked for; -1 for all
+	SentVersion  string
+	AckedVersion string
+	AckPending   time.Duration // how long the last response has waited for its answer, 0 if it has it
+	NackReason   string        // why the last response was not accepted, "" if it was
 }
 
 // State tells how the stream stands, in the order of updates.
@@ -455,12 +455,12 @@
 		if sub == nil {
 			continue
 		}
-		x := TypeState{TypeURL: t, Names: len(sub.names), Sent: sub.version, Acked: sub.acked, Refused: sub.refused}
+		x := TypeState{TypeURL: t, Names: len(sub.names), SentVersion: sub.version, AckedVersion: sub.acked, NackReason: sub.refused}
 		if sub.wildcard {
 			x.Names = -1
 		}
 		if sub.waiting {
-			x.Waiting = now - sub.at
+			x.AckPending = now - sub.at
 		}
 		out = append(out, x)
 	}
--- a/internal/xds/stream_test.go
+++ b/internal/xds/stream_test.go
@@ -392,7 +392,7 @@
 	if d := s.Drains(); len(d) != 1 || d[0] != 100*time.Millisecond || len(s.Drains()) != 0 {
 		t.Errorf("drains took %v", d)
 	}
-	if st := s.State(2 * time.Second); len(st) != 1 || st[0].Acked != st[0].Sent || st[0].Names != 1 || st[0].Refused != "" || st[0].Waiting != 0 {
+	if st := s.State(2 * time.Second); len(st) != 1 || st[0].AckedVersion != st[0].SentVersion || st[0].Names != 1 || st[0].NackReason != "" || st[0].AckPending != 0 {
 		t.Errorf("%+v", st)
 	}
 }
--- a/internal/xdsserver/hub.go
+++ b/internal/xdsserver/hub.go
@@ -75,19 +75,19 @@
 }
 
 // Proxy is how a stream stands.
-type Proxy struct {
-	Node    string
-	Peer    string
-	Delta   bool
-	Since   time.Duration // how long it has been connected
-	Unknown []string
-	Types   []xds.TypeState
-	Drained time.Duration // from the last word of a drain to its answer; 0 before the first
-	Owes    time.Duration // how long a word of a drain has no answer; 0 if there is none
+type ProxyStatus struct {
+	Node            string
+	Peer            string
+	Delta           bool
+	ConnectedFor    time.Duration // how long it has been connected
+	UnknownTypes    []string
+	Types           []xds.TypeState
+	LastDrainAck    time.Duration // from the last word of a drain to its answer; 0 before the first
+	DrainAckPending time.Duration // how long a word of a drain has no answer; 0 if there is none
 }
 
 // Status tells how each stream stands, by node and peer, and the times of the last drains.
-func (h *Hub) Status() (proxies []Proxy, drains []time.Duration) {
+func (h *Hub) Status() (proxies []ProxyStatus, drains []time.Duration) {
 	h.mu.Lock()
 	streams := make([]*stream, 0, len(h.streams))
 	for x := range h.streams {
@@ -98,6 +98,6 @@
 	for _, x := range streams {
 		proxies = append(proxies, x.status())
 	}
-	slices.SortFunc(proxies, func(a, b Proxy) int { return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Peer, b.Peer)) })
+	slices.SortFunc(proxies, func(a, b ProxyStatus) int { return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Peer, b.Peer)) })
 	return proxies, drains
 }
--- a/internal/xdsserver/loadstats.go
+++ b/internal/xdsserver/loadstats.go
@@ -21,9 +21,9 @@
 
 // Reports takes what proxies report. Any goroutine may call it; a proxy is known by its connection, as nodes may share an
 // id.
-type Reports interface {
-	Take(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats)
-	Leave(proxy string)
+type LoadReportHandler interface {
+	OnReport(proxy, cluster string, interval time.Duration, stats map[string]loads.Stats)
+	OnDisconnect(proxy string)
 }
 
 // reportEvery is the interval that proxies are asked to report at.
@@ -47,7 +47,7 @@
 		return status.Errorf(codes.InvalidArgument, "the node id is over %d bytes", xds.MaxNode)
 	}
 	proxy += " " + peerOf(w.Context())
-	defer s.reports.Leave(proxy)
+	defer s.reports.OnDisconnect(proxy)
 	if err := w.Send(&loadstats.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(reportEvery)}); err != nil {
 		return err
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			s.reports.Take(proxy, c.ClusterName, c.GetLoadReportInterval().AsDuration(), stats)
+			s.reports.OnReport(proxy, c.ClusterName, c.GetLoadReportInterval().AsDuration(), stats)
 		}
 	}
 }
--- a/internal/xdsserver/server.go
+++ b/internal/xdsserver/server.go
@@ -30,16 +30,16 @@
 	loadstats.UnimplementedLoadReportingServiceServer
 
 	hub      *Hub
-	reports  Reports
-	identify Identify
+	reports  LoadReportHandler
+	identify Authorize
 	log      *slog.Logger
 }
 
 // Identify finds what the proxy of a connection may have; an error lets it have nothing.
-type Identify func(context.Context) (*Rights, error)
+type Authorize func(context.Context) (*Rights, error)
 
 // Anybody may have all.
-func Anybody(context.Context) (*Rights, error) { return &Rights{}, nil }
+func AllowAll(context.Context) (*Rights, error) { return &Rights{}, nil }
 
 // rights are those of a proxy, or the protocol's word for that it has none.
 func (s *Server) rights(ctx context.Context) (*Rights, error) {
@@ -52,7 +52,7 @@
 }
 
 // Register adds the services to a gRPC server.
-func Register(g *grpc.Server, hub *Hub, reports Reports, identify Identify, log *slog.Logger) {
+func Register(g *grpc.Server, hub *Hub, reports LoadReportHandler, identify Authorize, log *slog.Logger) {
 	s := &Server{hub: hub, reports: reports, identify: identify, log: log}
 	loadstats.RegisterLoadReportingServiceServer(g, s)
 	discovery.RegisterAggregatedDiscoveryServiceServer(g, s)
--- a/internal/xdsserver/server_test.go
+++ b/internal/xdsserver/server_test.go
@@ -25,12 +25,12 @@
 )
 
 // start runs a server in memory.
-func start(t *testing.T) (*Hub, *grpc.ClientConn, *testkit.Log) {
+func start(t *testing.T) (*Hub, *grpc.ClientConn, *testkit.LogBuffer) {
 	t.Helper()
 	began := time.Now()
-	hub, log := NewHub(func() time.Duration { return time.Since(began) }), &testkit.Log{}
+	hub, log := NewHub(func() time.Duration { return time.Since(began) }), &testkit.LogBuffer{}
 	g := grpc.NewServer()
-	Register(g, hub, nil, Anybody, slog.New(slog.NewTextHandler(log, nil)))
+	Register(g, hub, nil, AllowAll, slog.New(slog.NewTextHandler(log, nil)))
 	ln := bufconn.Listen(1 << 16)
 	go g.Serve(ln)
 	t.Cleanup(g.Stop)
@@ -77,7 +77,7 @@
 	if err := good.Send(ask); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "both are there", func() bool { p, _ := hub.Status(); return len(p) == 2 && len(p[0].Types)+len(p[1].Types) == 2 })
+	testkit.WaitUntil(t, "both are there", func() bool { p, _ := hub.Status(); return len(p) == 2 && len(p[0].Types)+len(p[1].Types) == 2 })
 	for n := range 200 {
 		publish(t, hub, n, uint64(n))
 		r, err := good.Recv()
@@ -89,8 +89,8 @@
 			t.Fatal(err)
 		}
 	}
-	testkit.Until(t, "its drains are counted", func() bool { _, drains := hub.Status(); return len(drains) > 0 })
-	testkit.Until(t, "the other is told of", func() bool { return log.Count("has not taken word of a drain") > 0 })
+	testkit.WaitUntil(t, "its drains are counted", func() bool { _, drains := hub.Status(); return len(drains) > 0 })
+	testkit.WaitUntil(t, "the other is told of", func() bool { return log.Count("has not taken word of a drain") > 0 })
 	if n := log.Count("has not taken word of a drain"); n != 1 {
 		t.Errorf("%d lines", n)
 	}
@@ -115,9 +115,9 @@
 		if err := s.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: xds.TypeEndpoint, ResponseNonce: r.Nonce, ErrorDetail: &status.Status{Code: 3, Message: "odd"}}); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "it is shown", func() bool {
+		testkit.WaitUntil(t, "it is shown", func() bool {
 			p, _ := hub.Status()
-			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].Refused == "odd"
+			return len(p) == 1 && len(p[0].Types) == 1 && p[0].Types[0].NackReason == "odd"
 		})
 		publish(t, hub, n+1, 0)
 	}
@@ -167,5 +167,5 @@
 		t.Errorf("another stream: %v", err)
 	}
 	s.CloseSend()
-	testkit.Until(t, "only the good ones are left", func() bool { p, _ := hub.Status(); return len(p) == 1 })
+	testkit.WaitUntil(t, "only the good ones are left", func() bool { p, _ := hub.Status(); return len(p) == 1 })
 }
--- a/internal/xdsserver/stream.go
+++ b/internal/xdsserver/stream.go
@@ -207,10 +207,10 @@
 	}
 }
 
-func (x *stream) status() Proxy {
+func (x *stream) status() ProxyStatus {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.hub.now()
-	return Proxy{Node: x.core.Node, Peer: x.peer, Delta: x.delta, Since: now - x.began, Unknown: x.core.Unknown, Types: x.core.State(now),
-		Drained: x.last, Owes: x.core.Undrained(now)}
+	return ProxyStatus{Node: x.core.Node, Peer: x.peer, Delta: x.delta, ConnectedFor: now - x.began, UnknownTypes: x.core.Unknown, Types: x.core.State(now),
+		LastDrainAck: x.last, DrainAckPending: x.core.Undrained(now)}
 }
--- a/internal/yamlfile/read.go
+++ b/internal/yamlfile/read.go
@@ -73,7 +73,7 @@
 }
 
 // Wrong returns an empty collection.
-func (f *File) Wrong() *Wrong { return &Wrong{file: f} }
+func (f *File) NewProblemList() *Wrong { return &Wrong{file: f} }
 
 // Add notes that a key, such as pools[0].name, is wrong.
 func (w *Wrong) Add(key, format string, args ...any) {
--- a/internal/yamlfile/values.go
+++ b/internal/yamlfile/values.go
@@ -25,7 +25,7 @@
 		err = fmt.Errorf("no unit")
 	}
 	if err != nil {
-		return At(node, fmt.Sprintf("%s: a span with its unit is wanted, like 500ms or 2s, not %q", Key(node), text))
+		return ErrorAt(node, fmt.Sprintf("%s: a span with its unit is wanted, like 500ms or 2s, not %q", KeyPath(node), text))
 	}
 	*d = Duration(v)
 	return nil
@@ -43,12 +43,12 @@
 }
 
 // At is an error at the place of a node.
-func At(node ast.Node, message string) error {
+func ErrorAt(node ast.Node, message string) error {
 	return &yaml.SyntaxError{Message: message, Token: node.GetToken()}
 }
 
 // Key is where a node stands, as in tiers[0].cold.time.
-func Key(node ast.Node) string {
+func KeyPath(node ast.Node) string {
 	path := node.GetPath()
 	if len(path) > 2 {
 		return path[2:]
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -15,13 +15,13 @@
 
 // Names are the scenarios that ship, sorted.
 func Names() []string {
-	return names(".")
+	return namesIn(".")
 }
 
 // PoolNames are those of processes with several pools, sorted. Find knows them as pools/NAME.
-func PoolNames() []string { return names("pools") }
+func PoolNames() []string { return namesIn("pools") }
 
-func names(folder string) []string {
+func namesIn(folder string) []string {
 	var out []string
 	entries, _ := fs.ReadDir(files, folder)
 	for _, e := range entries {
