--- a/cmd/kitewood-lab/compare.go
+++ b/cmd/kitewood-lab/compare.go
@@ -14,24 +14,25 @@
 	"kitewood/internal/lab/results"
 )
 
+// compareCommand builds the compare command: it compares existing results, or runs two programs and compares theirs.
 func compareCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "compare",
-		Usage: "compare two result folders, or two kitewood programs on a scenario, interleaved, over several seeds", ArgsUsage: "A B",
+		Usage: "compare two result directories, or two kitewood programs in interleaved runs of a scenario over several seeds", ArgsUsage: "A B",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "scenario", Value: "calm", Usage: "to play, where A and B are programs"},
-			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "to play, from 1"},
-			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration"},
-			&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
+			&cli.StringFlag{Name: "scenario", Value: "calm", Usage: "scenario to run if A and B are programs"},
+			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds to run, starting at 1"},
+			&cli.DurationFlag{Name: "duration", Usage: "run for this long instead of the scenario's duration"},
+			&cli.StringFlag{Name: "out", Usage: "result directory (default: a new one under lab-results/)"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 2 {
-				return fmt.Errorf("compare takes two folders or two programs, not %d", c.Args().Len())
+				return fmt.Errorf("compare takes two result directories or two programs, got %d arguments", c.Args().Len())
 			}
-			sides := [2]string{c.Args().Get(0), c.Args().Get(1)}
+			paths := [2]string{c.Args().Get(0), c.Args().Get(1)}
 			programs := 0
-			for _, s := range sides {
-				info, err := os.Stat(s)
+			for _, path := range paths {
+				info, err := os.Stat(path)
 				if err != nil {
 					return err
 				}
@@ -41,28 +42,28 @@
 			}
 			switch programs {
 			case 1:
-				return errors.New("compare takes two folders or two programs, not one of each")
+				return errors.New("compare takes two result directories or two programs, got one of each")
 			case 2:
 				var err error
-				if sides, err = playBoth(ctx, c, sides); err != nil {
+				if paths, err = runBoth(ctx, c, paths); err != nil {
 					return err
 				}
 			}
-			var found [2][]*results.Summary
-			for n, s := range sides {
+			var summaries [2][]*results.Summary
+			for n, path := range paths {
 				var err error
-				if found[n], err = results.FindSummaries(s); err != nil {
+				if summaries[n], err = results.FindSummaries(path); err != nil {
 					return err
 				}
 			}
-			rows, err := results.Compare(found[0], found[1])
+			rows, err := results.Compare(summaries[0], summaries[1])
 			if err != nil {
 				return err
 			}
 			t := newTable(c.Root().Writer, "figure", "A", "B", "B - A", "standard error", "pairs", "B is")
 			for _, d := range rows {
-				word := map[int]string{1: "better", -1: "worse", 0: "not told apart"}[d.Better]
-				t.AppendRow([]any{d.Metric, f3(d.MeanA), f3(d.MeanB), fmt.Sprintf("%+.3f", d.MeanDifference), f3(d.StdErr), d.Pairs, word})
+				verdict := map[int]string{1: "better", -1: "worse", 0: "no significant difference"}[d.Better]
+				t.AppendRow([]any{d.Metric, decimals3(d.MeanA), decimals3(d.MeanB), fmt.Sprintf("%+.3f", d.MeanDifference), decimals3(d.StdErr), d.Pairs, verdict})
 			}
 			t.Render()
 			return nil
@@ -70,57 +71,59 @@
 	}
 }
 
-// playBoth plays a scenario with two programs in turn, the one that begins changing with the seed.
-func playBoth(ctx context.Context, c *cli.Command, programs [2]string) (sides [2]string, err error) {
+// runBoth runs a scenario with two programs in turn and returns their result directories. The program that goes first
+// alternates with the seed, so that neither always runs first.
+func runBoth(ctx context.Context, c *cli.Command, programs [2]string) (dirs [2]string, err error) {
 	log, err := logger(c)
 	if err != nil {
-		return sides, err
+		return dirs, err
 	}
 	out := c.String("out")
 	if out == "" {
 		out = filepath.Join("lab-results", "compare-"+time.Now().Format("20060102T150405"))
 	}
 	if c.Int("seeds") < 1 {
-		return sides, errors.New("--seeds must be at least 1")
+		return dirs, errors.New("--seeds must be at least 1")
 	}
-	sides = [2]string{filepath.Join(out, "a"), filepath.Join(out, "b")}
+	dirs = [2]string{filepath.Join(out, "a"), filepath.Join(out, "b")}
 	for seed := uint64(1); seed <= uint64(c.Int("seeds")); seed++ {
 		for turn := range 2 {
 			n := (turn + int(seed)) % 2
-			s, err := findScenario(c.String("scenario"))
+			s, err := loadScenario(c.String("scenario"))
 			if err != nil {
-				return sides, err
+				return dirs, err
 			}
 			s.SetDuration(c.Duration("duration"))
 			binary, err := filepath.Abs(programs[n])
 			if err != nil {
-				return sides, err
+				return dirs, err
 			}
-			bar := newBar(s.Duration.D())
-			p := play{scenario: s, seed: seed, binary: binary, log: log, progress: bar.run,
-				out: filepath.Join(sides[n], fmt.Sprintf("%s-seed%d", s.Name, seed))}
-			_, sum, _, err := p.run(ctx)
-			bar.end()
+			bar := newProgressBar(s.Duration.D())
+			run := scenarioRun{scenario: s, seed: seed, binary: binary, log: log, onProgress: bar.showRun,
+				outDir: filepath.Join(dirs[n], fmt.Sprintf("%s-seed%d", s.Name, seed))}
+			_, summary, _, err := run.run(ctx)
+			bar.finish()
 			if err != nil {
-				return sides, err
+				return dirs, err
 			}
-			fmt.Fprintf(c.Root().Writer, "%s seed %d %s: service %s, %d broken rules\n", s.Name, seed, string("AB"[n]),
-				f3(sum.Service.Service), sum.Violations())
+			fmt.Fprintf(c.Root().Writer, "%s seed %d %s: service %s, %d rule violations\n", s.Name, seed, string("AB"[n]),
+				decimals3(summary.Service.Service), summary.Violations())
 			if ctx.Err() != nil {
-				return sides, ctx.Err()
+				return dirs, ctx.Err()
 			}
 		}
 	}
-	return sides, nil
+	return dirs, nil
 }
 
+// reportCommand builds the report command, which renders the HTML reports of existing results again.
 func reportCommand() *cli.Command {
 	return &cli.Command{
-		Name: "report", Usage: "draw result folders anew: each one's report.html, or one page of several", ArgsUsage: "DIR...",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "write one page of all folders to this file"}},
+		Name: "report", Usage: "render the reports of result directories again: a report.html in each, or one page for all", ArgsUsage: "DIR...",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "write one page for all directories to this file"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return errors.New("report takes at least one folder")
+				return errors.New("report takes at least one result directory")
 			}
 			if out := c.String("out"); out != "" {
 				f, err := os.Create(out)
--- a/cmd/kitewood-lab/count.go
+++ b/cmd/kitewood-lab/count.go
@@ -20,15 +20,16 @@
 	"kitewood/internal/lab/scenario"
 )
 
+// countCommand builds the count command, which aggregates the debug logs of a fleet of sidecars.
 func countCommand() *cli.Command {
 	return &cli.Command{
-		Name: "count", Usage: "add up what the sidecars of a fleet did together, from a folder of their logs at debug level", ArgsUsage: "DIR",
+		Name: "count", Usage: "aggregate the activity of a fleet of sidecars from a directory with their debug logs", ArgsUsage: "DIR",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "per", Value: time.Second, Usage: "length of the stretches that are counted"},
-			&cli.IntFlag{Name: "tier", Value: -1, Usage: "show one tier alone"},
+			&cli.DurationFlag{Name: "per", Value: time.Second, Usage: "length of the time windows of the first table"},
+			&cli.IntFlag{Name: "tier", Value: -1, Usage: "show only this tier (-1: all)"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			dir, err := one(c, "folder")
+			dir, err := singleArg(c, "folder")
 			if err != nil {
 				return err
 			}
@@ -36,22 +37,23 @@
 				return errors.New("--per must be above 0")
 			}
 			logs := dir
-			if _, err := os.Stat(filepath.Join(dir, "sidecars")); err == nil { // a run's folder
+			if _, err := os.Stat(filepath.Join(dir, "sidecars")); err == nil { // the result directory of a run
 				logs = filepath.Join(dir, "sidecars")
 			}
-			f, err := count.Read(logs)
+			fl, err := count.Read(logs)
 			if err != nil {
 				return err
 			}
-			countTables(c.Root().Writer, f, c.Duration("per"), c.Int("tier"))
-			return countLedger(c.Root().Writer, dir)
+			printCountTables(c.Root().Writer, fl, c.Duration("per"), c.Int("tier"))
+			return printLedgerAccount(c.Root().Writer, dir)
 		},
 	}
 }
 
-// countLedger adds the fleet's account where the folder is a run's, or the sidecars' inside one: what reached the stand-ins
-// beside what the sidecars say.
-func countLedger(w io.Writer, dir string) error {
+// printLedgerAccount prints the account computed from the ledger if dir is the result directory of a run or its sidecars
+// directory, and nothing otherwise. It shows what reached the emulated instances and discovery, next to what the sidecars
+// logged.
+func printLedgerAccount(w io.Writer, dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, results.LedgerFile)); err != nil {
 		dir = filepath.Dir(filepath.Clean(dir))
 	}
@@ -65,26 +67,28 @@
 	if err != nil {
 		return err
 	}
-	accountTables(w, account.Summarize(entries, s.LedgerObjective()))
+	printAccountTables(w, account.Summarize(entries, s.LedgerObjective()))
 	return nil
 }
 
-// shown are the ways that attempts end, in the order of the columns.
-var shown = []string{"ok", "error", "turned away", "timed out", "connect failed", "reset", "called off", "not sent"}
+// attemptStatuses lists the statuses with which attempts end, in the order of the columns.
+var attemptStatuses = []string{"ok", "error", "turned away", "timed out", "connect failed", "reset", "called off", "not sent"}
 
-func countTables(w io.Writer, f *count.Fleet, per time.Duration, only int) {
-	head := []any{"tier", "from", "operations", "marked", "served", "busy", "failed", "attempts", "again"}
-	for _, s := range shown {
-		head = append(head, s)
+// printCountTables prints activity by time window, by endpoint and by cause of connection opens. A tier below 0 selects all
+// tiers.
+func printCountTables(w io.Writer, fl *count.Fleet, window time.Duration, tier int) {
+	header := []any{"tier", "from", "operations", "marked", "served", "busy", "failed", "attempts", "again"}
+	for _, s := range attemptStatuses {
+		header = append(header, s)
 	}
-	t := newTable(w, append(head, "opened", "asked", "lost")...)
-	for _, x := range f.Windows(per) {
-		if only >= 0 && x.Tier != only {
+	t := newTable(w, append(header, "opened", "asked", "lost")...)
+	for _, x := range fl.Windows(window) {
+		if tier >= 0 && x.Tier != tier {
 			continue
 		}
 		row := table.Row{x.Tier, x.From, x.Requests, x.ClientRetries, x.Verdicts["served"], x.Verdicts["busy"],
 			x.Verdicts["failed"], x.Attempts, x.Retries}
-		for _, s := range shown {
+		for _, s := range attemptStatuses {
 			row = append(row, x.Statuses[s])
 		}
 		t.AppendRow(append(row, x.ConnectionsOpened, x.DiscoveryCalls, x.WatchesEnded))
@@ -93,19 +97,19 @@
 
 	t = newTable(w, "tier", "destination", "first sent to", "sent", "served", "most out", "under 2 s old", "under 5 s", "under 10 s",
 		"under 20 s", "unserved in a row", "over")
-	for _, d := range f.Endpoints() {
-		if only < 0 || d.Tier == only {
-			t.AppendRow(table.Row{d.Tier, d.Name, d.FirstSentAt.Round(time.Millisecond), d.Sent, d.OK, d.MaxInFlight, d.ByAge[0], d.ByAge[1],
-				d.ByAge[2], d.ByAge[3], d.LongestFailureRun, d.FailureRunDuration.Round(time.Millisecond)})
+	for _, e := range fl.Endpoints() {
+		if tier < 0 || e.Tier == tier {
+			t.AppendRow(table.Row{e.Tier, e.Name, e.FirstSentAt.Round(time.Millisecond), e.Sent, e.OK, e.MaxInFlight, e.ByAge[0], e.ByAge[1],
+				e.ByAge[2], e.ByAge[3], e.LongestFailureRun, e.FailureRunDuration.Round(time.Millisecond)})
 		}
 	}
 	t.Render()
 
 	t = newTable(w, "tier", "sidecars", "attempts", "connections: first", "beside another", "again", "served, over 1.5 means")
-	for _, o := range f.ConnectionOpens() {
-		if only < 0 || o.Tier == only {
-			t.AppendRow(table.Row{o.Tier, f.Sidecars[o.Tier], o.Attempts, o.First, o.Concurrent, o.Reopened,
-				fmt.Sprintf("%.1f%%", 100*f.SlowShare(o.Tier, 1.5))})
+	for _, o := range fl.ConnectionOpens() {
+		if tier < 0 || o.Tier == tier {
+			t.AppendRow(table.Row{o.Tier, fl.Sidecars[o.Tier], o.Attempts, o.First, o.Concurrent, o.Reopened,
+				fmt.Sprintf("%.1f%%", 100*fl.SlowShare(o.Tier, 1.5))})
 		}
 	}
 	t.Render()
--- a/cmd/kitewood-lab/drill.go
+++ b/cmd/kitewood-lab/drill.go
@@ -13,19 +13,20 @@
 	"kitewood/internal/lab/drill"
 )
 
+// drillCommand builds the drill command, which runs one failure drill or lists all.
 func drillCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drill", Usage: "cause a failure with real processes and see whether a promise holds", ArgsUsage: "NAME | list",
+		Name: "drill", Usage: "cause a failure with real processes and check that a guarantee holds", ArgsUsage: "NAME | list",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "short", Usage: "the form that CI runs"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of all draws"},
-			&cli.IntFlag{Name: "repeats", Usage: "of the failure (default: the drill's own number)"},
-			&cli.StringFlag{Name: "wrong", Usage: "run it wrongly on purpose, in one of the drill's ways: its promise must break"},
+			&cli.BoolFlag{Name: "short", Usage: "run the short form that CI runs"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed"},
+			&cli.IntFlag{Name: "repeats", Usage: "how often to cause the failure (default: depends on the drill)"},
+			&cli.StringFlag{Name: "wrong", Usage: "inject one of the drill's defects, to show that the drill then fails"},
 			&cli.BoolFlag{Name: "json", Usage: "print one JSON object"},
-			&cli.StringFlag{Name: "out", Usage: "keep what it leaves in this folder"},
+			&cli.StringFlag{Name: "out", Usage: "keep the files of the drill in this directory"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := one(c, "drill (or list)")
+			name, err := singleArg(c, "drill (or list)")
 			if err != nil {
 				return err
 			}
@@ -40,60 +41,60 @@
 			if err != nil {
 				return err
 			}
-			o := drill.Options{Short: c.Bool("short"), Seed: c.Uint64("seed"), Repeats: c.Int("repeats"), Defect: c.String("wrong")}
-			if o.Defect != "" && !slices.Contains(d.Defects, o.Defect) {
-				return fmt.Errorf("--wrong: drill %s has no %q, only %q", d.Name, o.Defect, d.Defects)
+			opts := drill.Options{Short: c.Bool("short"), Seed: c.Uint64("seed"), Repeats: c.Int("repeats"), Defect: c.String("wrong")}
+			if opts.Defect != "" && !slices.Contains(d.Defects, opts.Defect) {
+				return fmt.Errorf("--wrong: drill %s has no defect %q; its defects are %q", d.Name, opts.Defect, d.Defects)
 			}
 			var release func()
-			if o.Binary, release, err = sidecarProgram(ctx, c); err != nil {
+			if opts.Binary, release, err = findSidecarProgram(ctx, c); err != nil {
 				return err
 			}
 			defer release()
 			if d.NeedsControl {
-				if o.ControlBinary, release, err = findProgram(ctx, c, "kitewood-control"); err != nil {
+				if opts.ControlBinary, release, err = findProgram(ctx, c, "kitewood-control"); err != nil {
 					return err
 				}
 				defer release()
 			}
-			if o.LabBinary, err = os.Executable(); err != nil {
+			if opts.LabBinary, err = os.Executable(); err != nil {
 				return err
 			}
-			if o.Log, err = logger(c); err != nil {
+			if opts.Log, err = logger(c); err != nil {
 				return err
 			}
-			if o.Dir, release, err = workFolder(c); err != nil {
+			if opts.Dir, release, err = workDir(c); err != nil {
 				return err
 			}
 			defer release()
-			out, err := d.Run(ctx, o)
+			outcome, err := d.Run(ctx, opts)
 			if err != nil {
 				return fmt.Errorf("drill %s: %w", d.Name, err)
 			}
-			pass := out.Pass()
+			pass := outcome.Pass()
 			if c.Bool("json") {
-				figures := map[string]float64{}
-				for _, f := range out.Metrics {
-					figures[f.Name] = f.Value
+				metrics := map[string]float64{}
+				for _, m := range outcome.Metrics {
+					metrics[m.Name] = m.Value
 				}
-				if err := json.NewEncoder(w).Encode(map[string]any{"drill": d.Name, "pass": pass, "figures": figures, "notes": out.Notes}); err != nil {
+				if err := json.NewEncoder(w).Encode(map[string]any{"drill": d.Name, "pass": pass, "figures": metrics, "notes": outcome.Notes}); err != nil {
 					return err
 				}
 			} else {
 				t := newTable(w, "drill "+d.Name, "figure", "bound", "held")
-				for _, f := range out.Metrics {
+				for _, m := range outcome.Metrics {
 					held := ""
-					if f.Bound != "" {
-						held = map[bool]string{true: "yes", false: "NO"}[f.Passed]
+					if m.Bound != "" {
+						held = map[bool]string{true: "yes", false: "NO"}[m.Passed]
 					}
-					t.AppendRow([]any{f.Name, strconv.FormatFloat(f.Value, 'f', -1, 64), f.Bound, held})
+					t.AppendRow([]any{m.Name, strconv.FormatFloat(m.Value, 'f', -1, 64), m.Bound, held})
 				}
 				t.Render()
-				for _, n := range out.Notes {
-					fmt.Fprintln(w, n)
+				for _, note := range outcome.Notes {
+					fmt.Fprintln(w, note)
 				}
 			}
 			if !pass {
-				return fmt.Errorf("drill %s: its promise did not hold", d.Name)
+				return fmt.Errorf("drill %s failed: its guarantee did not hold", d.Name)
 			}
 			return nil
 		},
--- a/cmd/kitewood-lab/load.go
+++ b/cmd/kitewood-lab/load.go
@@ -20,36 +20,37 @@
 	"kitewood/internal/lab/results"
 )
 
-// sendFlags are the flags of all that sends.
-func sendFlags() []cli.Flag {
+// loadFlags returns the flags that load and replay share.
+func loadFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "url", Required: true, Usage: "target, http or https"},
-		&cli.DurationFlag{Name: "timeout", Value: 5 * time.Second, Usage: "a request is given up after this"},
-		&cli.IntFlag{Name: "max-open", Value: 10000, Usage: "requests out at once"},
+		&cli.DurationFlag{Name: "timeout", Value: 5 * time.Second, Usage: "timeout of a request"},
+		&cli.IntFlag{Name: "max-open", Value: 10000, Usage: "maximum number of requests in flight"},
 		&cli.StringFlag{Name: "json", Usage: "write the summary to this file (- for standard output)"},
-		&cli.StringFlag{Name: "out", Usage: "keep a folder with series, histogram and report"},
+		&cli.StringFlag{Name: "out", Usage: "write time series, histogram and report to this directory"},
 	}
 }
 
+// loadCommand builds the load command, the open-loop load generator.
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send requests to a URL open-loop; latency counts from the intended time",
-		Flags: append(sendFlags(),
-			&cli.FloatFlag{Name: "rate", Required: true, Usage: "requests a second"},
-			&cli.DurationFlag{Name: "duration", Required: true, Usage: "how long"},
-			&cli.StringFlag{Name: "shape", Usage: "flat, steps, ramp, due-date-morning, or a YAML file of corners"},
-			&cli.BoolFlag{Name: "poisson", Usage: "as a Poisson process instead of evenly spaced"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the Poisson process and the mix"},
-			&cli.StringFlag{Name: "method", Value: http.MethodGet, Usage: "of the requests"},
-			&cli.StringSliceFlag{Name: "header", Usage: "`NAME: VALUE`, may be repeated"},
-			&cli.StringFlag{Name: "body", Usage: "of the requests"},
-			&cli.StringSliceFlag{Name: "mix", Usage: "`WEIGHT METHOD TARGET`: one kind of request of several, may be repeated"},
-			&cli.StringFlag{Name: "record", Usage: "write what goes out as a trace to this file"},
-			&cli.IntFlag{Name: "closed", Usage: "also run a closed loop of so many callers, to show what it leaves out"},
+		Name: "load", Usage: "send requests to a URL in an open loop; latency is measured from the intended send time",
+		Flags: append(loadFlags(),
+			&cli.FloatFlag{Name: "rate", Required: true, Usage: "requests per second"},
+			&cli.DurationFlag{Name: "duration", Required: true, Usage: "duration of the load"},
+			&cli.StringFlag{Name: "shape", Usage: "rate over time: flat, steps, ramp, due-date-morning, or a YAML file of points"},
+			&cli.BoolFlag{Name: "poisson", Usage: "space arrivals as a Poisson process instead of evenly"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed of the Poisson process and the mix"},
+			&cli.StringFlag{Name: "method", Value: http.MethodGet, Usage: "method of the requests"},
+			&cli.StringSliceFlag{Name: "header", Usage: "header of the requests, `NAME: VALUE`; may be repeated"},
+			&cli.StringFlag{Name: "body", Usage: "body of the requests"},
+			&cli.StringSliceFlag{Name: "mix", Usage: "one kind of request and its relative weight, `WEIGHT METHOD TARGET`; may be repeated"},
+			&cli.StringFlag{Name: "record", Usage: "write a trace of the sent requests to this file"},
+			&cli.IntFlag{Name: "closed", Usage: "afterwards also run a closed loop of this many callers, to show the latency that it omits"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
-				return fmt.Errorf("load takes no argument: %q", c.Args().First())
+				return fmt.Errorf("load takes no arguments, got %q", c.Args().First())
 			}
 			rate, d := c.Float("rate"), c.Duration("duration")
 			if !(rate > 0) || rate > 1e6 || d <= 0 {
@@ -73,7 +74,7 @@
 			for _, h := range c.StringSlice("header") {
 				name, value, ok := strings.Cut(h, ":")
 				if !ok {
-					return fmt.Errorf("--header: NAME: VALUE is wanted, not %q", h)
+					return fmt.Errorf("--header: want NAME: VALUE, got %q", h)
 				}
 				item.Headers[strings.TrimSpace(name)] = strings.TrimSpace(value)
 			}
@@ -96,7 +97,7 @@
 					return err
 				}
 			}
-			if err := send(ctx, c, source, d, seed, tracer); err != nil {
+			if err := runLoad(ctx, c, source, d, seed, tracer); err != nil {
 				return err
 			}
 			if tracer != nil {
@@ -111,36 +112,36 @@
 					return err
 				}
 				s := rec.Summary()
-				latencyTable(c.Root().Writer, fmt.Sprintf("closed loop of %d callers, %d sent (ms)", n, s.Sent), s.Latency)
+				printLatencyTable(c.Root().Writer, fmt.Sprintf("closed loop of %d callers, %d sent (ms)", n, s.Sent), s.Latency)
 			}
 			return nil
 		},
 	}
 }
 
-// parseMix reads kinds of requests, each "WEIGHT METHOD TARGET".
-func parseMix(mix []string, like load.Item) ([]load.WeightedItem, error) {
+// parseMix parses kinds of requests, each "WEIGHT METHOD TARGET". Headers and body come from base.
+func parseMix(mix []string, base load.Item) ([]load.WeightedItem, error) {
 	var out []load.WeightedItem
 	for _, m := range mix {
 		var w load.WeightedItem
-		w.Item = like
+		w.Item = base
 		if n, err := fmt.Sscanf(m, "%g %s %s", &w.Weight, &w.Item.Method, &w.Item.Target); n != 3 || err != nil || !(w.Weight > 0) ||
 			!strings.HasPrefix(w.Item.Target, "/") {
-			return nil, fmt.Errorf("--mix: WEIGHT METHOD TARGET is wanted, not %q", m)
+			return nil, fmt.Errorf("--mix: want WEIGHT METHOD TARGET, got %q", m)
 		}
 		out = append(out, w)
 	}
 	return out, nil
 }
 
-// send runs a source and shows and keeps what came of it.
-func send(ctx context.Context, c *cli.Command, source load.Source, d time.Duration, seed uint64, tracer *load.Tracer) error {
+// runLoad sends the requests of a source, prints the summary and writes the output files that the flags ask for.
+func runLoad(ctx context.Context, c *cli.Command, source load.Source, d time.Duration, seed uint64, tracer *load.Tracer) error {
 	started := time.Now()
 	rec := load.NewRecorder()
-	bar := newBar(d)
+	progress := newProgressBar(d)
 	err := load.Run(ctx, source, load.Options{URL: c.String("url"), Timeout: c.Duration("timeout"), MaxInFlight: c.Int("max-open"),
-		Recorder: rec, Tracer: tracer, OnProgress: bar.load})
-	bar.end()
+		Recorder: rec, Tracer: tracer, OnProgress: progress.showLoad})
+	progress.finish()
 	if err != nil {
 		return err
 	}
@@ -163,16 +164,16 @@
 	if c.String("json") != "-" {
 		s := &sum.Summary
 		t := newTable(w, "intended", "sent", "ok", "failed", "timed out", "late sends", "latest by ms", "connections", "sent/s")
-		t.AppendRow([]any{s.Intended, s.Sent, s.OK, s.Failed, s.TimedOut, s.LateSends, f1(s.MaxLateMS), s.Connections, f1(s.Rate)})
+		t.AppendRow([]any{s.Intended, s.Sent, s.OK, s.Failed, s.TimedOut, s.LateSends, decimals1(s.MaxLateMS), s.Connections, decimals1(s.Rate)})
 		t.Render()
-		latencyTable(w, "from the intended time (ms)", s.Latency)
-		latencyTable(w, "from the send (ms)", s.Service)
+		printLatencyTable(w, "from the intended time (ms)", s.Latency)
+		printLatencyTable(w, "from the send (ms)", s.Service)
 		if s.LateSends > 0 {
-			fmt.Fprintf(w, "the generator fell behind: %d of %d went out over %s late, the latest by %.1f ms\n", s.LateSends, s.Sent,
+			fmt.Fprintf(w, "the generator fell behind: %d of %d requests were sent more than %s late, at most %.1f ms late\n", s.LateSends, s.Sent,
 				load.LateThreshold, s.MaxLateMS)
 		}
 		if sum.CutShort {
-			fmt.Fprintln(w, "cut short: these figures tell of what was seen until then")
+			fmt.Fprintln(w, "interrupted: the results cover only the time before the interruption")
 		}
 	}
 	if out := c.String("out"); out != "" {
@@ -192,19 +193,20 @@
 	return nil
 }
 
+// recordCommand builds the record command, a forwarding proxy that records a trace.
 func recordCommand() *cli.Command {
 	return &cli.Command{
-		Name: "record", Usage: "pass requests on to a URL and write them down as a trace, until Ctrl-C",
+		Name: "record", Usage: "forward requests to a URL and record them as a trace, until Ctrl-C",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "address to listen on"},
-			&cli.StringFlag{Name: "to", Required: true, Usage: "URL that requests are passed on to"},
-			&cli.StringFlag{Name: "out", Required: true, Usage: "file of the trace"},
-			&cli.DurationFlag{Name: "duration", Usage: "stop after this (default: at Ctrl-C)"},
+			&cli.StringFlag{Name: "to", Required: true, Usage: "URL to which requests are forwarded"},
+			&cli.StringFlag{Name: "out", Required: true, Usage: "trace file; must not exist yet"},
+			&cli.DurationFlag{Name: "duration", Usage: "stop after this time (default: at Ctrl-C)"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			to, err := url.Parse(c.String("to"))
 			if err != nil || to.Host == "" {
-				return fmt.Errorf("--to: %q is no URL of a server", c.String("to"))
+				return fmt.Errorf("--to: %q is not a server URL", c.String("to"))
 			}
 			log, err := logger(c)
 			if err != nil {
@@ -220,7 +222,7 @@
 				return err
 			}
 			defer f.Close()
-			t, err := load.NewTracer(f, time.Now())
+			tracer, err := load.NewTracer(f, time.Now())
 			if err != nil {
 				return err
 			}
@@ -230,20 +232,21 @@
 				ctx, cancel = context.WithTimeout(ctx, d)
 				defer cancel()
 			}
-			err = load.Record(ctx, ln, to, t, log)
-			n, cerr := t.Close()
+			err = load.Record(ctx, ln, to, tracer, log)
+			n, closeErr := tracer.Close()
 			fmt.Fprintf(c.Root().Writer, "%d requests recorded\n", n)
-			return errors.Join(err, cerr)
+			return errors.Join(err, closeErr)
 		},
 	}
 }
 
+// replayCommand builds the replay command, which sends the requests of a recorded trace.
 func replayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "play a trace to a URL at its times", ArgsUsage: "TRACE",
-		Flags: append(sendFlags(), &cli.FloatFlag{Name: "speed", Value: 1, Usage: "times as fast as it was recorded"}),
+		Name: "replay", Usage: "send the requests of a trace to a URL at their recorded times", ArgsUsage: "TRACE",
+		Flags: append(loadFlags(), &cli.FloatFlag{Name: "speed", Value: 1, Usage: "replay speed, as a multiple of the recorded speed"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := one(c, "trace")
+			name, err := singleArg(c, "trace")
 			if err != nil {
 				return err
 			}
@@ -260,8 +263,8 @@
 			if !(speed > 0) {
 				return errors.New("--speed must be above 0")
 			}
-			last := time.Duration(float64(items[len(items)-1].At()) / speed)
-			return send(ctx, c, &load.Replay{Items: items, Speed: speed}, last, 0, nil)
+			duration := time.Duration(float64(items[len(items)-1].At()) / speed)
+			return runLoad(ctx, c, &load.Replay{Items: items, Speed: speed}, duration, 0, nil)
 		},
 	}
 }
--- a/cmd/kitewood-lab/main.go
+++ b/cmd/kitewood-lab/main.go
@@ -1,5 +1,5 @@
-// Command kitewood-lab proves kitewood: an emulator of the platform round real sidecars, an open-loop load generator,
-// drills, comparisons and reports.
+// Command kitewood-lab tests kitewood: it emulates the platform around real sidecars, generates open-loop load, runs failure
+// drills and soaks, compares results and renders reports.
 package main
 
 import (
@@ -23,7 +23,7 @@
 )
 
 func main() {
-	// The soak starts this program in the sidecars' place to show that its checks can fail.
+	// The soak command starts this program as a faulty sidecar, to show that its checks can fail.
 	if mode := os.Getenv(wrong.ModeVariable); mode != "" && len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := wrong.Serve(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -40,20 +40,22 @@
 	}
 }
 
+// command builds the root command.
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "kitewood-lab",
-		Usage: "emulate the platform round real kitewood sidecars, load them, and judge what reached the stand-ins",
+		Usage: "emulate the platform around real kitewood sidecars, load them, and check what reached the emulated services",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"},
-			&cli.StringFlag{Name: "kitewood", Usage: "the sidecar's program (default: kitewood beside this program)"},
-			&cli.StringFlag{Name: "kitewood-control", Usage: "the control service's program (default: the one beside this program)"},
+			&cli.StringFlag{Name: "kitewood", Usage: "path of the sidecar program (default: kitewood next to this program)"},
+			&cli.StringFlag{Name: "kitewood-control", Usage: "path of the control service program (default: kitewood-control next to this program)"},
 		},
 		Commands: []*cli.Command{demoCommand(), runCommand(), emulateCommand(), checkCommand(), listCommand(), loadCommand(), recordCommand(),
 			replayCommand(), drillCommand(), fleetCommand(), soakCommand(), poolsCommand(), compareCommand(), proxiesCommand(), proxyCommand(), countCommand(), reportCommand()},
 	}
 }
 
+// logger returns a logger to stderr at the level of --log-level.
 func logger(c *cli.Command) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.String("log-level"))); err != nil {
@@ -62,51 +64,53 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// sidecarProgram finds the program that the emulator starts: the one that was named, or the one beside this program.
-func sidecarProgram(ctx context.Context, c *cli.Command) (path string, release func(), err error) {
+// findSidecarProgram returns the path of the sidecar program, as findProgram does.
+func findSidecarProgram(ctx context.Context, c *cli.Command) (path string, release func(), err error) {
 	return findProgram(ctx, c, "kitewood")
 }
 
-// findProgram finds a program of this repository: the one that was named, or the one beside this program. Where there is
-// none, as under go run, it is built into a folder of its own, which release removes.
+// findProgram returns the absolute path of a program of this repository: the one that the flag of that name sets, or else the
+// one next to this program. If neither exists, as under go run, it builds the program into a temporary directory, which
+// release removes.
 func findProgram(ctx context.Context, c *cli.Command, name string) (path string, release func(), err error) {
 	release = func() {}
 	path = c.String(name)
 	if path == "" {
-		own, err := os.Executable()
+		self, err := os.Executable()
 		if err != nil {
 			return "", release, err
 		}
-		path = filepath.Join(filepath.Dir(own), name)
+		path = filepath.Join(filepath.Dir(self), name)
 		if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-			if path, release, err = build(ctx, name); err != nil {
+			if path, release, err = buildProgram(ctx, name); err != nil {
 				return "", release, err
 			}
 		}
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", release, fmt.Errorf("%s is no program: name %s's with --%s", path, name, name)
+		return "", release, fmt.Errorf("%s is not an executable file: set the path of %s with --%s", path, name, name)
 	}
 	path, err = filepath.Abs(path)
 	return path, release, err
 }
 
-func build(ctx context.Context, name string) (path string, release func(), err error) {
+// buildProgram builds a program of this repository into a temporary directory, which release removes.
+func buildProgram(ctx context.Context, name string) (path string, release func(), err error) {
 	dir, err := os.MkdirTemp("", "kitewood-build-")
 	if err != nil {
 		return "", func() {}, err
 	}
 	release = func() { os.RemoveAll(dir) }
 	path = filepath.Join(dir, name)
-	if out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "kitewood/cmd/"+name).CombinedOutput(); err != nil {
+	if output, err := exec.CommandContext(ctx, "go", "build", "-o", path, "kitewood/cmd/"+name).CombinedOutput(); err != nil {
 		release()
-		return "", func() {}, fmt.Errorf("no %s beside this program, and building it failed (name it with --%s): %s", name, name, bytes.TrimSpace(out))
+		return "", func() {}, fmt.Errorf("no %s next to this program, and building it failed (set its path with --%s): %s", name, name, bytes.TrimSpace(output))
 	}
 	return path, release, nil
 }
 
-// workFolder is the folder that --out names, made if it is not there, or one that release removes.
-func workFolder(c *cli.Command) (dir string, release func(), err error) {
+// workDir returns the directory that --out names, created if necessary, or else a temporary one, which release removes.
+func workDir(c *cli.Command) (dir string, release func(), err error) {
 	if out := c.String("out"); out != "" {
 		if dir, err = filepath.Abs(out); err == nil {
 			err = os.MkdirAll(dir, 0o755)
@@ -117,31 +121,33 @@
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// one is the single argument of a command.
-func one(c *cli.Command, what string) (string, error) {
+// singleArg returns the only argument of a command, or an error that describes the argument as what.
+func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", fmt.Errorf("%s takes one %s, not %d", c.Name, what, c.Args().Len())
+		return "", fmt.Errorf("%s takes exactly one %s, got %d", c.Name, what, c.Args().Len())
 	}
 	return c.Args().First(), nil
 }
 
-func findScenario(name string) (*scenario.Scenario, error) {
+// loadScenario reads a scenario by its path, or by the name of a built-in one.
+func loadScenario(name string) (*scenario.Scenario, error) {
 	file, text, err := scenarios.Find(name)
 	if err != nil {
-		return nil, fmt.Errorf("no scenario %s: it is neither a file nor one that ships (kitewood-lab list)", name)
+		return nil, fmt.Errorf("no scenario %s: neither a file nor a built-in scenario (see kitewood-lab list)", name)
 	}
 	return scenario.Read(file, text)
 }
 
+// checkCommand builds the check command, which validates a scenario file.
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "read a scenario file and say what is wrong with it, by line and key", ArgsUsage: "FILE",
+		Name: "check", Usage: "validate a scenario file and report errors by line and key", ArgsUsage: "FILE",
 		Action: func(_ context.Context, c *cli.Command) error {
-			name, err := one(c, "scenario")
+			name, err := singleArg(c, "scenario")
 			if err != nil {
 				return err
 			}
-			s, err := findScenario(name)
+			s, err := loadScenario(name)
 			if err != nil {
 				return err
 			}
@@ -153,20 +159,21 @@
 	}
 }
 
+// listCommand builds the list command, which lists the built-in scenarios.
 func listCommand() *cli.Command {
 	return &cli.Command{
-		Name: "list", Usage: "name the scenarios that ship",
+		Name: "list", Usage: "list the built-in scenarios",
 		Action: func(_ context.Context, c *cli.Command) error {
-			var all []error
+			var errs []error
 			for _, name := range scenarios.Names() {
-				s, err := findScenario(name)
+				s, err := loadScenario(name)
 				if err != nil {
-					all = append(all, err)
+					errs = append(errs, err)
 					continue
 				}
 				fmt.Fprintf(c.Root().Writer, "%-18s %6s  %s\n", name, s.Duration.D(), s.Description)
 			}
-			return errors.Join(all...)
+			return errors.Join(errs...)
 		},
 	}
 }
--- a/cmd/kitewood-lab/pools.go
+++ b/cmd/kitewood-lab/pools.go
@@ -11,25 +11,25 @@
 	"kitewood/scenarios"
 )
 
-// poolsCommand plays a day of one process with several pools.
+// poolsCommand builds the pools command, which runs a scenario against one kitewood process with several pools.
 func poolsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "pools", Usage: "play a scenario of one process that fronts several pools", ArgsUsage: "SCENARIO | list",
+		Name: "pools", Usage: "run a scenario with one kitewood process that serves several pools", ArgsUsage: "SCENARIO | list",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the arrivals"},
-			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration; its troubles keep their times"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed of the arrivals"},
+			&cli.DurationFlag{Name: "duration", Usage: "run for this long instead of the scenario's duration; its faults keep their times"},
 			&cli.BoolFlag{Name: "json", Usage: "print one JSON object"},
-			&cli.StringFlag{Name: "out", Usage: "keep configuration, lists and log in this folder"},
+			&cli.StringFlag{Name: "out", Usage: "keep configuration, endpoint lists and log in this directory"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := one(c, "pools SCENARIO (or list)")
+			name, err := singleArg(c, "pools SCENARIO (or list)")
 			if err != nil {
 				return err
 			}
 			w := c.Root().Writer
 			if name == "list" {
 				for _, n := range scenarios.PoolNames() {
-					s, err := findPools(n)
+					s, err := loadPoolsScenario(n)
 					if err != nil {
 						return err
 					}
@@ -37,70 +37,70 @@
 				}
 				return nil
 			}
-			o := services.Options{Seed: c.Uint64("seed")}
-			if o.Scenario, err = findPools(name); err != nil {
+			opts := services.Options{Seed: c.Uint64("seed")}
+			if opts.Scenario, err = loadPoolsScenario(name); err != nil {
 				return err
 			}
 			if d := c.Duration("duration"); d > 0 {
-				o.Scenario.Duration = services.Duration(d)
+				opts.Scenario.Duration = services.Duration(d)
 			}
 			var release func()
-			if o.Binary, release, err = sidecarProgram(ctx, c); err != nil {
+			if opts.Binary, release, err = findSidecarProgram(ctx, c); err != nil {
 				return err
 			}
 			defer release()
-			if o.Dir, release, err = workFolder(c); err != nil {
+			if opts.Dir, release, err = workDir(c); err != nil {
 				return err
 			}
 			defer release()
-			r, err := services.Run(ctx, o)
+			result, err := services.Run(ctx, opts)
 			if err != nil {
 				return err
 			}
-			broken := showPools(c, r)
+			violations := printPools(c, result)
 			switch {
-			case !r.Clean:
-				return fmt.Errorf("pools: the process did not end cleanly: %s", r.Problems)
-			case broken > 0:
-				return fmt.Errorf("pools: %d broken rules", broken)
+			case !result.Clean:
+				return fmt.Errorf("pools: the kitewood process did not exit cleanly: %s", result.Problems)
+			case violations > 0:
+				return fmt.Errorf("pools: %d rule violations", violations)
 			}
 			return nil
 		},
 	}
 }
 
-// showPools prints a result and tells how many rules were broken: requests without an answer, unsafe operations that came
-// twice, and copies out at once.
-func showPools(c *cli.Command, r *services.Result) (broken int) {
-	for _, p := range r.Pools {
-		broken += p.Statuses["none"] + p.Concurrent
+// printPools prints a result and returns the number of rule violations: requests without an answer, unsafe requests that
+// reached endpoints more than once, and requests with several attempts in flight at once.
+func printPools(c *cli.Command, result *services.Result) (violations int) {
+	for _, p := range result.Pools {
+		violations += p.Statuses["none"] + p.Concurrent
 		if p.Unsafe {
-			broken += p.Retried
+			violations += p.Retried
 		}
 	}
 	w := c.Root().Writer
 	if c.Bool("json") {
-		json.NewEncoder(w).Encode(map[string]any{"pools": r.Pools, "broken": broken, "clean": r.Clean})
-		return broken
+		json.NewEncoder(w).Encode(map[string]any{"pools": result.Pools, "broken": violations, "clean": result.Clean})
+		return violations
 	}
 	t := newTable(w, "pool", "requests", "in time", "busy", "failed", "other", "no answer", "p50 ms", "p99 ms", "longest s", "came again", "copies")
-	for _, p := range r.Pools {
+	for _, p := range result.Pools {
 		s := p.Summary
 		other := s.Intended - s.OK - p.Statuses["503"] - p.Statuses["502"] - p.Statuses["none"]
 		t.AppendRow([]any{p.Name, s.Intended, fmt.Sprintf("%.4f", p.OKShare()), p.Statuses["503"], p.Statuses["502"], other, p.Statuses["none"],
 			fmt.Sprintf("%.1f", s.Latency.P50), fmt.Sprintf("%.1f", s.Latency.P99), fmt.Sprintf("%.2f", p.MaxLatency.Seconds()), p.Retried, p.Concurrent})
 	}
 	t.Render()
-	return broken
+	return violations
 }
 
-// findPools reads a scenario by its path, or by the name of one that ships.
-func findPools(name string) (*services.Scenario, error) {
+// loadPoolsScenario reads a pools scenario by its path, or by the name of a built-in one.
+func loadPoolsScenario(name string) (*services.Scenario, error) {
 	file, text, err := scenarios.Find(name)
 	if err != nil {
-		var shipped error
-		if file, text, shipped = scenarios.Find("pools/" + name); shipped != nil {
-			return nil, fmt.Errorf("no scenario %s: kitewood-lab pools list names those that ship", name)
+		var builtinErr error
+		if file, text, builtinErr = scenarios.Find("pools/" + name); builtinErr != nil {
+			return nil, fmt.Errorf("no pools scenario %s: neither a file nor a built-in scenario (see kitewood-lab pools list)", name)
 		}
 	}
 	return services.Read(file, text)
--- a/cmd/kitewood-lab/proxies.go
+++ b/cmd/kitewood-lab/proxies.go
@@ -18,16 +18,17 @@
 	"kitewood/internal/lab/results"
 )
 
-// sidecars is what the proxies are compared with.
-const sidecars = "kitewood"
+// kitewoodPolicy is the policy name that stands for kitewood sidecars, with which the proxies are compared.
+const kitewoodPolicy = "kitewood"
 
+// proxyCommand builds the hidden proxy command, which the lab starts in place of a sidecar.
 func proxyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "proxy", Usage: "run one proxy of another kind in the place of a sidecar, as the lab does", Hidden: true,
+		Name: "proxy", Usage: "run a proxy in place of a sidecar, as the lab does for the proxies command", Hidden: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "policy", Value: dataplane.RoundRobin, Usage: strings.Join(dataplane.Policies, ", ")},
 			&cli.StringFlag{Name: "control", Usage: "address of the control service"},
-			&cli.StringFlag{Name: "pool", Usage: "whose destinations it sends to"},
+			&cli.StringFlag{Name: "pool", Usage: "pool to whose endpoints it sends"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			log, err := logger(c)
@@ -43,48 +44,50 @@
 	}
 }
 
+// proxiesCommand builds the proxies command, which compares proxies of several policies with kitewood sidecars.
 func proxiesCommand() *cli.Command {
 	return &cli.Command{
 		Name: "proxies", ArgsUsage: "[SCENARIO...]",
-		Usage: "play scenarios with proxies on round robin, on least request, on kitewood-control's weights, and with kitewood sidecars",
+		Usage: "run scenarios with proxies that use round robin, least request or the weights of kitewood-control, and with kitewood sidecars",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "to play, from 1"},
-			&cli.StringSliceFlag{Name: "policy", Usage: "one of " + strings.Join(append(slices.Clone(dataplane.Policies), sidecars), ", ") + "; several (default: all)"},
-			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration"},
-			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "runs at a time: more than a quarter of the cores disturb each other"},
-			&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
-			&cli.StringFlag{Name: "chart", Usage: "draw the services into this SVG file"},
+			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds to run, starting at 1"},
+			&cli.StringSliceFlag{Name: "policy", Usage: "policy to compare, one of " + strings.Join(append(slices.Clone(dataplane.Policies), kitewoodPolicy), ", ") + "; may be repeated (default: all)"},
+			&cli.DurationFlag{Name: "duration", Usage: "run for this long instead of the scenario's duration"},
+			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of concurrent runs; above a quarter of the cores they disturb each other"},
+			&cli.StringFlag{Name: "out", Usage: "result directory (default: a new one under lab-results/)"},
+			&cli.StringFlag{Name: "chart", Usage: "write a chart of the service shares to this SVG file"},
 		},
 		Action: compareProxies,
 	}
 }
 
-// cell is a run of the comparison.
-type cell struct {
+// proxyRun is one run of the comparison.
+type proxyRun struct {
 	scenario, policy string
 	seed             uint64
-	sum              *results.Summary
+	summary          *results.Summary
 	err              error
 }
 
+// compareProxies runs all combinations of seed, scenario and policy, and prints the means over the seeds.
 func compareProxies(ctx context.Context, c *cli.Command) error {
-	names := c.Args().Slice()
-	if len(names) == 0 {
-		names = []string{"vanish", "slow", "deploy", "late-reports"}
+	scenarios := c.Args().Slice()
+	if len(scenarios) == 0 {
+		scenarios = []string{"vanish", "slow", "deploy", "late-reports"}
 	}
 	policies := c.StringSlice("policy")
 	if len(policies) == 0 {
-		policies = append(slices.Clone(dataplane.Policies), sidecars)
+		policies = append(slices.Clone(dataplane.Policies), kitewoodPolicy)
 	}
 	for _, p := range policies {
-		if p != sidecars && !slices.Contains(dataplane.Policies, p) {
-			return fmt.Errorf("no policy %q: there are %s, %s", p, strings.Join(dataplane.Policies, ", "), sidecars)
+		if p != kitewoodPolicy && !slices.Contains(dataplane.Policies, p) {
+			return fmt.Errorf("unknown policy %q: want one of %s, %s", p, strings.Join(dataplane.Policies, ", "), kitewoodPolicy)
 		}
 	}
 	if c.Int("seeds") < 1 || c.Int("parallel") < 1 {
 		return errors.New("--seeds and --parallel must be at least 1")
 	}
-	own, err := os.Executable()
+	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -92,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	kitewood, release, err := sidecarProgram(ctx, c)
+	kitewood, release, err := findSidecarProgram(ctx, c)
 	defer release()
 	if err != nil {
 		return err
@@ -102,62 +105,63 @@
 	if err != nil {
 		return err
 	}
-	base := play{binary: kitewood, log: log, out: c.String("out")}
-	if base.out == "" {
-		base.out = filepath.Join("lab-results", "proxies-"+time.Now().Format("20060102T150405"))
+	base := scenarioRun{binary: kitewood, log: log, outDir: c.String("out")}
+	if base.outDir == "" {
+		base.outDir = filepath.Join("lab-results", "proxies-"+time.Now().Format("20060102T150405"))
 	}
-	var cells []*cell
-	for seed := range c.Int("seeds") { // interleaved, so that what else the machine does falls on all alike
-		for _, name := range names {
+	var runs []*proxyRun
+	for seed := range c.Int("seeds") { // interleaved, so that other load on the machine affects all policies alike
+		for _, scenario := range scenarios {
 			for _, policy := range policies {
-				cells = append(cells, &cell{scenario: name, policy: policy, seed: uint64(seed + 1)})
+				runs = append(runs, &proxyRun{scenario: scenario, policy: policy, seed: uint64(seed + 1)})
 			}
 		}
 	}
-	places := make(chan bool, c.Int("parallel"))
-	var wait sync.WaitGroup
-	for _, x := range cells {
-		places <- true
+	slots := make(chan bool, c.Int("parallel"))
+	var wg sync.WaitGroup
+	for _, r := range runs {
+		slots <- true
 		if ctx.Err() != nil {
 			break
 		}
-		wait.Go(func() {
-			defer func() { <-places }()
-			x.err = x.play(ctx, base, c.Duration("duration"), emulator.Proxies{Program: own, Control: control})
-			if x.err == nil {
-				fmt.Fprintf(c.Root().ErrWriter, "%s, %s, seed %d: service %s, p99 %.0f ms, %d broken rules\n", x.scenario, x.policy, x.seed,
-					f3(x.sum.Service.Service), x.sum.Latency.P99, x.sum.Violations())
+		wg.Go(func() {
+			defer func() { <-slots }()
+			r.err = r.run(ctx, base, c.Duration("duration"), emulator.Proxies{Program: self, Control: control})
+			if r.err == nil {
+				fmt.Fprintf(c.Root().ErrWriter, "%s, %s, seed %d: service %s, p99 %.0f ms, %d rule violations\n", r.scenario, r.policy, r.seed,
+					decimals3(r.summary.Service.Service), r.summary.Latency.P99, r.summary.Violations())
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	rows := results.Table{}
-	for _, x := range cells {
-		if x.err != nil {
-			return fmt.Errorf("%s, %s, seed %d: %w", x.scenario, x.policy, x.seed, x.err)
+	for _, r := range runs {
+		if r.err != nil {
+			return fmt.Errorf("%s, %s, seed %d: %w", r.scenario, r.policy, r.seed, r.err)
 		}
-		rows.Add(x.scenario, x.policy, x.sum)
+		rows.Add(r.scenario, r.policy, r.summary)
 	}
-	proxyTable(c.Root().Writer, &rows)
+	printProxyTable(c.Root().Writer, &rows)
 	if path := c.String("chart"); path != "" {
-		return chartProxies(path, &rows)
+		return writeProxyChart(path, &rows)
 	}
 	return nil
 }
 
-// play plays one run. base holds what all runs have in common.
-func (x *cell) play(ctx context.Context, base play, last time.Duration, other emulator.Proxies) (err error) {
-	if base.scenario, err = findScenario(x.scenario); err != nil {
+// run executes the run and stores its summary. base holds what all runs have in common; proxies is used for all policies but
+// kitewoodPolicy.
+func (r *proxyRun) run(ctx context.Context, base scenarioRun, duration time.Duration, proxies emulator.Proxies) (err error) {
+	if base.scenario, err = loadScenario(r.scenario); err != nil {
 		return err
 	}
-	base.scenario.SetDuration(last)
-	base.seed, base.out = x.seed, filepath.Join(base.out, fmt.Sprintf("%s-%s-seed%d", x.scenario, x.policy, x.seed))
-	if other.Policy = x.policy; x.policy != sidecars {
-		base.proxies = &other
+	base.scenario.SetDuration(duration)
+	base.seed, base.outDir = r.seed, filepath.Join(base.outDir, fmt.Sprintf("%s-%s-seed%d", r.scenario, r.policy, r.seed))
+	if proxies.Policy = r.policy; r.policy != kitewoodPolicy {
+		base.proxies = &proxies
 	}
-	_, x.sum, _, err = base.run(ctx)
+	_, r.summary, _, err = base.run(ctx)
 	return err
 }
--- a/cmd/kitewood-lab/run.go
+++ b/cmd/kitewood-lab/run.go
@@ -18,160 +18,167 @@
 	"kitewood/internal/lab/scenario"
 )
 
-// play is one run of a scenario, kept in a folder.
-type play struct {
-	scenario *scenario.Scenario
-	seed     uint64
-	binary   string
-	proxies  *emulator.Proxies
-	out      string
-	log      *slog.Logger
-	progress func(emulator.Progress)
-	page     bool
+// scenarioRun is one run of a scenario, whose results are written to a directory.
+type scenarioRun struct {
+	scenario    *scenario.Scenario
+	seed        uint64
+	binary      string
+	proxies     *emulator.Proxies
+	outDir      string
+	log         *slog.Logger
+	onProgress  func(emulator.Progress)
+	writeReport bool
 }
 
-func (p play) run(ctx context.Context) (dir string, sum *results.Summary, breaches []ledger.Violation, err error) {
+// run executes the run, writes its results and returns their directory. If the run fails but has produced results, they are
+// written and returned together with the error.
+func (r scenarioRun) run(ctx context.Context) (dir string, summary *results.Summary, violations []ledger.Violation, err error) {
 	started := time.Now()
-	if dir, err = results.CreateDir(p.out, p.scenario.Name, p.seed, started); err != nil {
+	if dir, err = results.CreateDir(r.outDir, r.scenario.Name, r.seed, started); err != nil {
 		return
 	}
-	r, err := emulator.Run(ctx, emulator.Options{Scenario: p.scenario, Seed: p.seed, Binary: p.binary, Proxies: p.proxies, Dir: dir, Log: p.log,
-		Progress: p.progress})
-	if r == nil {
+	result, err := emulator.Run(ctx, emulator.Options{Scenario: r.scenario, Seed: r.seed, Binary: r.binary, Proxies: r.proxies, Dir: dir, Log: r.log,
+		Progress: r.onProgress})
+	if result == nil {
 		return dir, nil, nil, err
 	}
-	head := results.NewSummary("run", p.scenario.Name, p.seed, started)
-	head.Binary = p.binary
-	sum, breaches, kerr := results.WriteRun(dir, p.scenario, p.scenario.Rules(), head, r)
+	base := results.NewSummary("run", r.scenario.Name, r.seed, started)
+	base.Binary = r.binary
+	summary, violations, writeErr := results.WriteRun(dir, r.scenario, r.scenario.Rules(), base, result)
 	if err == nil {
-		err = kerr
+		err = writeErr
 	}
-	if err == nil && p.page {
+	if err == nil && r.writeReport {
 		_, err = report.WriteFile(dir)
 	}
-	return dir, sum, breaches, err
+	return dir, summary, violations, err
 }
 
-// prepare gathers what a command needs to play a scenario. release removes what was built for it.
-func prepare(ctx context.Context, c *cli.Command, name string) (p play, release func(), err error) {
+// prepareRun loads a scenario and finds the sidecar program that a command needs to run it. release removes the program if it
+// was built for the run.
+func prepareRun(ctx context.Context, c *cli.Command, name string) (run scenarioRun, release func(), err error) {
 	release = func() {}
-	if p.scenario, err = findScenario(name); err != nil {
+	if run.scenario, err = loadScenario(name); err != nil {
 		return
 	}
-	if p.log, err = logger(c); err != nil {
+	if run.log, err = logger(c); err != nil {
 		return
 	}
 	if c.IsSet("seed") {
-		p.scenario.Seed = c.Uint64("seed")
+		run.scenario.Seed = c.Uint64("seed")
 	}
-	p.seed = p.scenario.Seed
-	p.binary, release, err = sidecarProgram(ctx, c)
+	run.seed = run.scenario.Seed
+	run.binary, release, err = findSidecarProgram(ctx, c)
 	return
 }
 
+// runCommand builds the run command, which runs one scenario and checks its ledger against the rules.
 func runCommand() *cli.Command {
 	return &cli.Command{
-		Name: "run", Usage: "play a scenario on real sidecars and judge it", ArgsUsage: "SCENARIO",
+		Name: "run", Usage: "run a scenario on real sidecars and check the rules", ArgsUsage: "SCENARIO",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "of all draws (default: the scenario's)"},
-			&cli.DurationFlag{Name: "duration", Usage: "play so long instead of the scenario's duration"},
-			&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
+			&cli.Uint64Flag{Name: "seed", Usage: "random seed (default: the scenario's)"},
+			&cli.DurationFlag{Name: "duration", Usage: "run for this long instead of the scenario's duration"},
+			&cli.StringFlag{Name: "out", Usage: "result directory (default: a new one under lab-results/)"},
 			&cli.BoolFlag{Name: "json", Usage: "print summary.json instead of tables"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := one(c, "scenario")
+			name, err := singleArg(c, "scenario")
 			if err != nil {
 				return err
 			}
-			return playScenario(ctx, c, name, c.Bool("json"))
+			return runScenario(ctx, c, name, c.Bool("json"))
 		},
 	}
 }
 
+// demoCommand builds the demo command, which runs the built-in scenario demo.
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "three tiers with real sidecars for 20 s while machines vanish and slow down: service, rules, latency",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "folder of the results (default: one under lab-results/)"},
-			&cli.Uint64Flag{Name: "seed", Usage: "of all draws (default: the scenario's)"},
-			&cli.DurationFlag{Name: "duration", Usage: "play so long"}},
+		Name: "demo", Usage: "run three tiers with real sidecars for 20 s while machines vanish and slow down, and show service, rules and latency",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "result directory (default: a new one under lab-results/)"},
+			&cli.Uint64Flag{Name: "seed", Usage: "random seed (default: the scenario's)"},
+			&cli.DurationFlag{Name: "duration", Usage: "run for this long instead of 20 s"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
-				return fmt.Errorf("demo takes no argument: run plays other scenarios")
+				return fmt.Errorf("demo takes no arguments: use run for other scenarios")
 			}
-			return playScenario(ctx, c, "demo", false)
+			return runScenario(ctx, c, "demo", false)
 		},
 	}
 }
 
-func playScenario(ctx context.Context, c *cli.Command, name string, asJSON bool) error {
-	p, release, err := prepare(ctx, c, name)
+// runScenario runs a scenario and prints the summary as tables or JSON. It fails if a rule was violated.
+func runScenario(ctx context.Context, c *cli.Command, name string, asJSON bool) error {
+	run, release, err := prepareRun(ctx, c, name)
 	if err != nil {
 		return err
 	}
 	defer release()
-	s := p.scenario
+	s := run.scenario
 	s.SetDuration(c.Duration("duration"))
-	bar := newBar(s.Duration.D())
-	p.out, p.progress, p.page = c.String("out"), bar.run, true
+	progress := newProgressBar(s.Duration.D())
+	run.outDir, run.onProgress, run.writeReport = c.String("out"), progress.showRun, true
 	if !asJSON {
-		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, p.seed, s.Duration.D(), s.Plan(p.seed).BaseRate)
+		fmt.Fprintf(c.Root().Writer, "%s, seed %d: %s, %.1f requests/s\n", s.Name, run.seed, s.Duration.D(), s.Plan(run.seed).BaseRate)
 	}
-	dir, sum, breaches, err := p.run(ctx)
-	bar.end()
-	if sum != nil {
+	dir, summary, violations, err := run.run(ctx)
+	progress.finish()
+	if summary != nil {
 		if asJSON {
 			enc := json.NewEncoder(c.Root().Writer)
 			enc.SetIndent("", "  ")
-			if jerr := enc.Encode(sum); jerr != nil {
-				return jerr
+			if encodeErr := enc.Encode(summary); encodeErr != nil {
+				return encodeErr
 			}
 		} else {
-			runTables(c.Root().Writer, sum, breaches)
+			printRunTables(c.Root().Writer, summary, violations)
 			fmt.Fprintf(c.Root().Writer, "results: %s\nreport:  %s\n", dir, filepath.Join(dir, results.ReportFile))
 		}
 	}
 	if err != nil {
 		return err
 	}
-	if n := sum.Violations(); n > 0 {
-		return fmt.Errorf("%d broken rules in %s", n, filepath.Join(dir, results.VerdictFile))
+	if n := summary.Violations(); n > 0 {
+		return fmt.Errorf("%d rule violations in %s", n, filepath.Join(dir, results.VerdictFile))
 	}
 	return nil
 }
 
+// emulateCommand builds the emulate command, which keeps an emulated platform up for requests sent by hand.
 func emulateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "emulate", Usage: "start a scenario's instances, discovery and sidecars without clients, print the addresses, and stay up",
+		Name: "emulate", Usage: "start the instances, discovery and sidecars of a scenario without clients, print the addresses, and run until Ctrl-C",
 		ArgsUsage: "SCENARIO",
-		Flags:     []cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "of all draws (default: the scenario's)"}},
+		Flags:     []cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "random seed (default: the scenario's)"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := one(c, "scenario")
+			name, err := singleArg(c, "scenario")
 			if err != nil {
 				return err
 			}
-			p, release, err := prepare(ctx, c, name)
+			run, release, err := prepareRun(ctx, c, name)
 			if err != nil {
 				return err
 			}
 			defer release()
-			s := p.scenario
+			s := run.scenario
 			dir, err := os.MkdirTemp("", "kitewood-lab-")
 			if err != nil {
 				return err
 			}
 			defer os.RemoveAll(dir)
 			w := c.Root().Writer
-			_, err = emulator.Run(ctx, emulator.Options{Scenario: s, Seed: p.seed, Binary: p.binary, Proxies: p.proxies, Dir: dir, Log: p.log, Idle: true,
+			_, err = emulator.Run(ctx, emulator.Options{Scenario: s, Seed: run.seed, Binary: run.binary, Proxies: run.proxies, Dir: dir, Log: run.log, Idle: true,
 				Ready: func(addresses []string) {
 					class := s.Classes[0]
 					method := ""
 					if class.Effect != "safe" {
 						method = "-X POST "
 					}
-					for n, a := range addresses {
-						fmt.Fprintf(w, "front-%d  http://%s\n", n, a)
+					for n, address := range addresses {
+						fmt.Fprintf(w, "front-%d  http://%s\n", n, address)
 					}
-					fmt.Fprintf(w, "\ntry: curl -i %s-H \"X-Correlation-Id: %s\" 'http://%s/%s?work_us=%d'\nCtrl-C ends it; the sidecars' configurations and logs: %s\n",
+					fmt.Fprintf(w, "\ntry: curl -i %s-H \"X-Correlation-Id: %s\" 'http://%s/%s?work_us=%d'\nCtrl-C stops it; configurations and logs of the sidecars: %s\n",
 						method, "hand-$RANDOM", addresses[0], class.Name, class.Work.D().Microseconds(), filepath.Join(dir, "sidecars"))
 				}})
 			return err
--- a/cmd/kitewood-lab/soak.go
+++ b/cmd/kitewood-lab/soak.go
@@ -16,105 +16,107 @@
 	"kitewood/internal/lab/wrong"
 )
 
-// soakReport is what --json prints.
+// soakReport is the output of soak --json.
 type soakReport struct {
-	Pass  bool                `json:"pass"`
-	Wrong string              `json:"wrong,omitempty"`
-	Seeds []*fleet.SoakResult `json:"seeds"`
+	Pass   bool                `json:"pass"`
+	Defect string              `json:"wrong,omitempty"`
+	Seeds  []*fleet.SoakResult `json:"seeds"`
 }
 
+// soakCommand builds the soak command, which checks the invariants on fleets under random faults.
 func soakCommand() *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "play fleets of real sidecars under faults that overlap, drawn from seeds, and hold them to every invariant",
+		Name: "soak", Usage: "run fleets of real sidecars under overlapping random faults and check every invariant",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many, one after another"},
-			&cli.DurationFlag{Name: "duration", Value: 25 * time.Second, Usage: "of each"},
-			&cli.IntFlag{Name: "sidecars", Value: 12, Usage: fmt.Sprintf("processes in all tiers, %d to %d", fleet.MinSoakSidecars, fleet.MaxSoakSidecars)},
-			&cli.StringFlag{Name: "wrong", Usage: "show that an invariant can fail, with sidecars that are wrong: " + strings.Join(wrong.Modes(), ", ")},
-			&cli.DurationFlag{Name: "slack", Usage: "added to every time limit, on a machine that is busy with more (default: the protocol's 50ms)"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first random seed"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds, run one after another"},
+			&cli.DurationFlag{Name: "duration", Value: 25 * time.Second, Usage: "duration of each run"},
+			&cli.IntFlag{Name: "sidecars", Value: 12, Usage: fmt.Sprintf("sidecar processes in all tiers, %d to %d", fleet.MinSoakSidecars, fleet.MaxSoakSidecars)},
+			&cli.StringFlag{Name: "wrong", Usage: "use sidecars with a defect, to show that an invariant can fail: " + strings.Join(wrong.Modes(), ", ")},
+			&cli.DurationFlag{Name: "slack", Usage: "added to every time limit, for a machine under other load (default: the 50ms of the protocol)"},
 			&cli.BoolFlag{Name: "json", Usage: "print one JSON object"},
-			&cli.StringFlag{Name: "out", Usage: "keep what the runs leave in this folder; what broke is kept anyway"},
+			&cli.StringFlag{Name: "out", Usage: "keep the files of the runs in this directory; after a violation they are always kept"},
 		},
-		Action: soak,
+		Action: runSoak,
 	}
 }
 
-func soak(ctx context.Context, c *cli.Command) error {
-	o := fleet.SoakOptions{Sidecars: c.Int("sidecars"), Duration: c.Duration("duration"), Defect: c.String("wrong"), Slack: c.Duration("slack")}
-	if o.Defect != "" && !slices.Contains(wrong.Modes(), o.Defect) {
-		return fmt.Errorf("--wrong: nothing is called %q, there are %s", o.Defect, strings.Join(wrong.Modes(), ", "))
+// runSoak runs the soak with consecutive seeds. Without --out, it removes the files of the runs if none of them failed.
+func runSoak(ctx context.Context, c *cli.Command) error {
+	opts := fleet.SoakOptions{Sidecars: c.Int("sidecars"), Duration: c.Duration("duration"), Defect: c.String("wrong"), Slack: c.Duration("slack")}
+	if opts.Defect != "" && !slices.Contains(wrong.Modes(), opts.Defect) {
+		return fmt.Errorf("--wrong: unknown mode %q, want one of %s", opts.Defect, strings.Join(wrong.Modes(), ", "))
 	}
 	if c.Int("seeds") < 1 {
-		return fmt.Errorf("--seeds: at least 1, not %d", c.Int("seeds"))
+		return fmt.Errorf("--seeds must be at least 1, got %d", c.Int("seeds"))
 	}
-	release, err := soakProgram(ctx, c, &o)
+	release, err := findSoakProgram(ctx, c, &opts)
 	if err != nil {
 		return err
 	}
 	defer release()
-	if o.Log, err = logger(c); err != nil {
+	if opts.Log, err = logger(c); err != nil {
 		return err
 	}
-	dir, release, err := workFolder(c)
+	dir, release, err := workDir(c)
 	if err != nil {
 		return err
 	}
-	report := soakReport{Pass: true, Wrong: o.Defect}
+	report := soakReport{Pass: true, Defect: opts.Defect}
 	defer func() {
 		if report.Pass {
 			release()
 		}
 	}()
-	text := c.Root().Writer
+	w := c.Root().Writer
 	for n := range c.Int("seeds") {
-		o.Seed = c.Uint64("seed") + uint64(n)
-		o.Dir = fleet.SoakDir(dir, o.Seed)
-		r, err := fleet.Soak(ctx, o)
+		opts.Seed = c.Uint64("seed") + uint64(n)
+		opts.Dir = fleet.SoakDir(dir, opts.Seed)
+		result, err := fleet.Soak(ctx, opts)
 		if err != nil {
 			report.Pass = false
 			return err
 		}
-		report.Seeds = append(report.Seeds, r)
-		report.Pass = report.Pass && len(r.Violations) == 0
+		report.Seeds = append(report.Seeds, result)
+		report.Pass = report.Pass && len(result.Violations) == 0
 		if !c.Bool("json") {
-			tellSoak(text, r)
+			printSoakResult(w, result)
 		}
 	}
 	if c.Bool("json") {
-		out := json.NewEncoder(text)
-		out.SetIndent("", " ")
-		if err := out.Encode(report); err != nil {
+		enc := json.NewEncoder(w)
+		enc.SetIndent("", " ")
+		if err := enc.Encode(report); err != nil {
 			return err
 		}
 	}
 	if !report.Pass {
-		return fmt.Errorf("invariants were violated; the runs are kept in %s", dir)
+		return fmt.Errorf("invariants were violated; the files of the runs are kept in %s", dir)
 	}
 	return nil
 }
 
-// soakProgram finds the sidecar's program; a wrong sidecar is this program itself.
-func soakProgram(ctx context.Context, c *cli.Command, o *fleet.SoakOptions) (release func(), err error) {
-	if o.Defect != "" {
-		o.Binary, err = os.Executable()
+// findSoakProgram sets the sidecar program in opts. Sidecars with a defect are run by this program itself.
+func findSoakProgram(ctx context.Context, c *cli.Command, opts *fleet.SoakOptions) (release func(), err error) {
+	if opts.Defect != "" {
+		opts.Binary, err = os.Executable()
 		return func() {}, err
 	}
-	o.Binary, release, err = sidecarProgram(ctx, c)
+	opts.Binary, release, err = findSidecarProgram(ctx, c)
 	return release, err
 }
 
-// tellSoak prints a seed's line, and the trace of what it broke.
-func tellSoak(w io.Writer, r *fleet.SoakResult) {
-	fmt.Fprintf(w, "seed %d: %d sidecars (%s), %d clients, %.2f served in time, %d attempts, %d faults, %d violations\n", r.Seed, r.Sidecars, r.ConfigFormat,
-		r.ClientRequests, r.ServedShare, r.Attempts, len(r.Faults), len(r.Violations))
-	for _, v := range r.Violations {
+// printSoakResult prints a line for a seed, followed by its violations and faults if there are violations.
+func printSoakResult(w io.Writer, result *fleet.SoakResult) {
+	fmt.Fprintf(w, "seed %d: %d sidecars (%s), %d clients, %.2f served in time, %d attempts, %d faults, %d violations\n", result.Seed, result.Sidecars, result.ConfigFormat,
+		result.ClientRequests, result.ServedShare, result.Attempts, len(result.Faults), len(result.Violations))
+	for _, v := range result.Violations {
 		fmt.Fprintf(w, "  %s\n", v)
 	}
-	if len(r.Violations) > 0 {
-		for _, f := range r.Faults {
+	if len(result.Violations) > 0 {
+		for _, f := range result.Faults {
 			fmt.Fprintf(w, "  fault %6d ms  %s\n", f.AtMS, f.Text)
 		}
-		fmt.Fprintf(w, "  kept in %s\n", r.Dir)
+		fmt.Fprintf(w, "  kept in %s\n", result.Dir)
 	}
 }
--- a/cmd/kitewood-lab/soak_test.go
+++ b/cmd/kitewood-lab/soak_test.go
@@ -9,8 +9,8 @@
 	"kitewood/internal/lab/wrong"
 )
 
-// soaked is what soak prints with --json, as other programs read it.
-type soaked struct {
+// soakOutput is the output of soak --json, by the names of its keys.
+type soakOutput struct {
 	Pass  bool
 	Seeds []struct {
 		Seed       uint64
@@ -22,17 +22,19 @@
 	}
 }
 
-func soakJSON(t *testing.T, args ...string) (out soaked, ok bool) {
+// runSoakJSON runs soak --json and returns its decoded output and whether it succeeded.
+func runSoakJSON(t *testing.T, args ...string) (out soakOutput, ok bool) {
 	t.Helper()
-	text, stderr, ok := call(t, append([]string{"soak", "--json", "--out", t.TempDir()}, args...)...)
-	if err := json.Unmarshal([]byte(text), &out); err != nil {
-		t.Fatalf("%v: %s%s", err, text, stderr)
+	stdout, stderr, ok := runLab(t, append([]string{"soak", "--json", "--out", t.TempDir()}, args...)...)
+	if err := json.Unmarshal([]byte(stdout), &out); err != nil {
+		t.Fatalf("decoding the output: %v: %s%s", err, stdout, stderr)
 	}
 	return out, ok
 }
 
-// The short form of the soak, a minute of it in four runs beside each other: no invariant is violated under faults that overlap,
-// with crowds in some runs. The slack is for a machine that is busy with other tests; the soak itself keeps to the protocol's.
+// The short form of the soak, a minute in four parallel runs: no invariant is violated under overlapping faults, with load spikes
+// or overloaded discovery in some runs. The slack is for a machine that is busy with other tests; by default the soak uses the
+// slack of the protocol.
 func TestSoak(t *testing.T) {
 	for _, c := range []struct {
 		seed     string
@@ -40,46 +42,47 @@
 	}{{"1", 10}, {"2", 12}, {"3", 12}, {"4", 16}} {
 		t.Run("seed "+c.seed, func(t *testing.T) {
 			t.Parallel()
-			out, ok := soakJSON(t, "--seed", c.seed, "--seeds", "1", "--duration", "15s", "--sidecars", fmt.Sprint(c.sidecars), "--slack", "300ms")
+			out, ok := runSoakJSON(t, "--seed", c.seed, "--seeds", "1", "--duration", "15s", "--sidecars", fmt.Sprint(c.sidecars), "--slack", "300ms")
 			if !ok || !out.Pass || len(out.Seeds) != 1 {
 				t.Fatalf("%+v", out)
 			}
 			for _, s := range out.Seeds {
 				if s.Sidecars != c.sidecars || s.Clients < 50 || s.Attempts < s.Clients || len(s.Faults) < 10 {
-					t.Errorf("seed %d has shown nothing: %+v", s.Seed, s)
+					t.Errorf("seed %d had too few sidecars, clients, attempts or faults to check anything: %+v", s.Seed, s)
 				}
 			}
 		})
 	}
 }
 
-// Every invariant of the soak can fail: a wrong sidecar violates it, and the soak says so with the seed and exits with 1.
-func TestSoakFindsWrongSidecars(t *testing.T) {
-	broken := map[string]bool{}
+// Every invariant of the soak can fail: for each there is a sidecar defect that violates it, and the soak then reports the
+// violation and exits with 1.
+func TestSoakDetectsFaultySidecars(t *testing.T) {
+	covered := map[string]bool{}
 	for _, rule := range wrong.RulesByMode {
-		broken[rule] = true
+		covered[rule] = true
 	}
 	for _, rule := range ledger.RuleNames {
-		if !broken[rule] {
-			t.Errorf("no wrong sidecar breaks %s", rule)
+		if !covered[rule] {
+			t.Errorf("no sidecar defect violates %s", rule)
 		}
 	}
 	for mode, rule := range wrong.RulesByMode {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			out, ok := soakJSON(t, "--seed", "5", "--duration", "12s", "--sidecars", "10", "--wrong", mode)
+			out, ok := runSoakJSON(t, "--seed", "5", "--duration", "12s", "--sidecars", "10", "--wrong", mode)
 			if ok || out.Pass || len(out.Seeds) != 1 {
-				t.Fatalf("it passes: %+v", out)
+				t.Fatalf("the soak passed with a defect: %+v", out)
 			}
 			for _, v := range out.Seeds[0].Violations {
 				if v.Rule == rule {
 					return
 				}
 			}
-			t.Errorf("%s is not among %d violations", rule, len(out.Seeds[0].Violations))
+			t.Errorf("%s is not among the %d violations", rule, len(out.Seeds[0].Violations))
 		})
 	}
-	if _, _, ok := call(t, "soak", "--wrong", "no-such-mode"); ok {
-		t.Error("an unknown mode is taken")
+	if _, _, ok := runLab(t, "soak", "--wrong", "no-such-mode"); ok {
+		t.Error("an unknown mode was accepted")
 	}
 }
