--- a/cmd/kitewood/crowdedlist_test.go
+++ b/cmd/kitewood/crowdedlist_test.go
@@ -198,8 +198,8 @@
 		maxLate  = 4 // one run of a thousand has more if a share of 0.05 is late
 		latest   = 13 * time.Second
 	)
-	d := &queuedDiscovery{start: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: 2 * time.Second,
-		WorksOffFailed: true}, nil)}
+	d := &queuedDiscovery{start: time.Now(), queue: model.NewDiscovery(model.DiscoveryConfig{CallsPerSecond: capacity, Timeout: 2 * time.Second,
+		ServeTimedOut: true}, nil)}
 	var fleet sync.WaitGroup
 	var late atomic.Int32
 	for range sidecars {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -238,7 +238,7 @@
 	defer g.Stop()
 	for _, delta := range []bool{false, true} {
 		table := proxy.NewTable()
-		client := &proxy.Client{Node: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: discardLog, Dial: ln.DialContext}
+		client := &proxy.Client{NodeID: fmt.Sprint("n", delta), Servers: []string{"memory"}, Delta: delta, Table: table, Log: discardLog, Dial: ln.DialContext}
 		go client.Run(ctx)
 		testkit.WaitUntil(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
 		pickedAddrs := func() map[string]bool {
@@ -259,7 +259,7 @@
 		testkit.WaitUntil(t, "the new endpoint gets requests", func() bool { return len(pickedAddrs()) == 3 })
 		list("  - {name: x, address: \"127.0.0.1:1\"}\n  - {name: y, address: \"127.0.0.1:2\"}\n")
 		testkit.WaitUntil(t, "the removed endpoint gets no requests", func() bool { return len(pickedAddrs()) == 2 })
-		if table.Emptied() != 0 {
+		if table.EmptiedCount() != 0 {
 			t.Error("the proxy's endpoint list was empty at some time")
 		}
 	}
@@ -307,8 +307,8 @@
 	xdsserver.Register(g, hub, service.Reports(), xdsserver.AllowAll, discardLog)
 	go g.Serve(ln)
 	defer g.Stop()
-	table, loads := proxy.NewTable(), proxy.NewTracker()
-	client := &proxy.Client{Node: "n", Servers: []string{"memory"}, Table: table, Loads: loads, Log: discardLog, Dial: ln.DialContext}
+	table, loads := proxy.NewTable(), proxy.NewLoadTracker()
+	client := &proxy.Client{NodeID: "n", Servers: []string{"memory"}, Table: table, LoadTracker: loads, Log: discardLog, Dial: ln.DialContext}
 	go client.Run(t.Context())
 	testkit.WaitUntil(t, "the proxy has received endpoints", func() bool { return table.Ready("a") })
 	picks := map[string]int{}
--- a/internal/etcdsource/source_test.go
+++ b/internal/etcdsource/source_test.go
@@ -187,14 +187,14 @@
 		client.Put(t.Context(), "/d/"+name, value("10.0.0.1:1", ""))
 	}
 	waitForSummary(t, r, "a b c")
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	client.Delete(t.Context(), "/d/b")
 	client.Put(t.Context(), "/d/d", value("10.0.0.4:1", ""))
 	client.Put(t.Context(), "/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Revision()); err != nil {
 		t.Fatal(err)
 	}
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	waitForSummary(t, r, "a- c d")
 	if r.listCount() != 2 {
 		t.Errorf("%d full lists were read, want 2: the watch met no compaction", r.listCount())
@@ -206,15 +206,15 @@
 	c, _, r := startWatch(t, 2, FormPlain)
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	waitForSummary(t, r, "a")
-	for n, fault := range []func(*etcd.Member){(*etcd.Member).Freeze, (*etcd.Member).Lag, (*etcd.Member).Stop} {
+	for n, fault := range []func(*etcd.Member){(*etcd.Member).Pause, (*etcd.Member).PauseApply, (*etcd.Member).Stop} {
 		for _, m := range c.Members { // one of them serves the watch
 			fault(m)
 			c.Put("/d/a", value("10.0.0.1:1", []string{"draining", "ready"}[n%2]))
 			waitForSummary(t, r, []string{"a-", "a"}[n%2])
 			c.Put("/d/a", value("10.0.0.1:1", []string{"ready", "draining"}[n%2]))
 			waitForSummary(t, r, []string{"a", "a-"}[n%2])
-			m.Thaw()
-			m.CatchUp()
+			m.Resume()
+			m.ResumeApply()
 			if n == 2 {
 				if err := m.Start(); err != nil {
 					t.Fatal(err)
@@ -233,19 +233,19 @@
 	before := r.lost
 	r.onList = func() {
 		for _, m := range c.Members {
-			m.Freeze()
+			m.Pause()
 		}
 	}
 	r.mu.Unlock()
 	for _, m := range c.Members { // so that the watch meets a compaction, and the list is read again
-		m.Lag()
+		m.PauseApply()
 	}
 	c.Put("/d/a", value("10.0.0.1:1", "draining"))
 	if err := c.Compact(c.Put("/d/a", value("10.0.0.1:1", ""))); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range c.Members {
-		m.CatchUp()
+		m.ResumeApply()
 	}
 	testkit.WaitUntil(t, "the watch without a response has ended", func() bool {
 		r.mu.Lock()
@@ -257,7 +257,7 @@
 	r.mu.Unlock()
 	c.Put("/d/b", value("10.0.0.2:1", ""))
 	for _, m := range c.Members {
-		m.Thaw()
+		m.Resume()
 	}
 	waitForSummary(t, r, "a b")
 }
@@ -292,10 +292,10 @@
 	})
 	waitForSummary(t, r, "a- b c")
 	// A write that is seen only in a full list is recognised as new by its revision.
-	c.Members[0].Lag()
+	c.Members[0].PauseApply()
 	c.Put("/d/a", value("10.0.0.1:1", ""))
 	c.Compact(c.Revision())
-	c.Members[0].CatchUp()
+	c.Members[0].ResumeApply()
 	waitForSummary(t, r, "a b c")
 }
 
@@ -309,13 +309,13 @@
 		m := c.Members[rng.IntN(2)]
 		switch rng.IntN(6) {
 		case 0:
-			m.Freeze()
-			time.AfterFunc(20*time.Millisecond, m.Thaw)
+			m.Pause()
+			time.AfterFunc(20*time.Millisecond, m.Resume)
 		case 1:
-			m.Lag()
-			time.AfterFunc(20*time.Millisecond, m.CatchUp)
+			m.PauseApply()
+			time.AfterFunc(20*time.Millisecond, m.ResumeApply)
 		case 2:
-			if err := m.Break(); err != nil {
+			if err := m.Restart(); err != nil {
 				t.Fatal(err)
 			}
 		case 3:
@@ -331,8 +331,8 @@
 		want[name] = name + state
 	}
 	for _, m := range c.Members {
-		m.Thaw()
-		m.CatchUp()
+		m.Resume()
+		m.ResumeApply()
 	}
 	waitForSummary(t, r, strings.Join(slices.Sorted(maps.Values(want)), " "))
 }
--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -1,6 +1,6 @@
-// Package account adds up what the processes of a fleet did together, from the ledger of a run alone: what each client's
-// operation caused in all tiers, what was worked for nobody, who refused what, and what instances and discovery had to
-// bear from all sidecars.
+// Package account aggregates the activity of a whole fleet from the ledger of a run alone: the attempts that each client
+// request caused in all tiers, the work whose result reached no client, rejections by sidecar, and the load on instances and
+// discovery from all sidecars together.
 package account
 
 import (
@@ -14,16 +14,16 @@
 	"kitewood/internal/lab/ledger"
 )
 
-// Account is the whole of it. Shares lie in 0..1; a share of nothing is 0.
+// Account holds the totals of a run. Shares lie in 0..1; a share of nothing is 0.
 type Account struct {
-	Operations int     `json:"operations"` // clients' pieces of business
-	Tries      int     `json:"tries"`      // of clients
-	Attempts   int     `json:"attempts"`   // that reached instances, all tiers
-	PerOp      float64 `json:"attempts_per_operation"`
-	Most       int     `json:"most_attempts"`  // that one operation caused
-	Extra      float64 `json:"extra_attempts"` // share of attempts beyond the first of each call
-	Work       float64 `json:"work"`           // core-seconds that instances began
-	Lost       float64 `json:"lost_work"`      // share of it whose answer reached no client
+	ClientRequests     int     `json:"operations"` // of clients, each with its retries
+	ClientAttempts     int     `json:"tries"`      // including retries
+	Attempts           int     `json:"attempts"`   // that reached instances, all tiers
+	AttemptsPerRequest float64 `json:"attempts_per_operation"`
+	MaxAttempts        int     `json:"most_attempts"`  // that one client request caused
+	ExtraAttempts      float64 `json:"extra_attempts"` // share of attempts beyond the first of each request at a sidecar
+	Work               float64 `json:"work"`           // core-seconds that instances began
+	LostWork           float64 `json:"lost_work"`      // share of Work whose answer reached no client
 
 	Tiers     []Tier     `json:"tiers"`
 	Sidecars  []Sidecar  `json:"sidecars"`
@@ -32,152 +32,155 @@
 	Seconds   []Second   `json:"seconds"`
 }
 
-// Rate is a count and the most of it in one second.
+// Rate is a count and its maximum in one second.
 type Rate struct {
-	Count int `json:"count"`
-	Most  int `json:"most_a_second"`
+	Count        int `json:"count"`
+	MaxPerSecond int `json:"most_a_second"`
 }
 
-// Tier is what happened in front of a tier and at its instances.
+// Tier holds the totals of a tier's sidecars and instances.
 type Tier struct {
-	Calls    int     `json:"calls"`    // operations that its sidecars took
-	Attempts int     `json:"attempts"` // that reached its instances
-	Refused  int     `json:"refused"`  // answered busy by its sidecars
-	Failed   int     `json:"failed"`
-	Turned   int     `json:"turned"` // attempts that instances turned away
-	Work     float64 `json:"work"`
-	Lost     float64 `json:"lost_work"`
-	Spread   float64 `json:"refusals_spread"` // between its sidecars' shares of refusals, of those with like traffic
+	Requests         int     `json:"calls"`    // that its sidecars received
+	Attempts         int     `json:"attempts"` // that reached its instances
+	Rejected         int     `json:"refused"`  // by its sidecars
+	Failed           int     `json:"failed"`
+	RejectedAttempts int     `json:"turned"` // by its instances, unprocessed
+	Work             float64 `json:"work"`
+	LostWork         float64 `json:"lost_work"`
+	RejectionSpread  float64 `json:"refusals_spread"` // see rejectionSpread
 }
 
-// Sidecar is one sidecar beside the others of its tier.
+// Sidecar holds the totals of one sidecar.
 type Sidecar struct {
-	Name    string `json:"name"`
-	Tier    int    `json:"tier"`
-	Calls   int    `json:"calls"`
-	Refused int    `json:"refused"`
+	Name     string `json:"name"`
+	Tier     int    `json:"tier"`
+	Requests int    `json:"calls"`
+	Rejected int    `json:"refused"`
 }
 
-// Instance is what all sidecars together did to an instance.
+// Instance is the load on one instance from all sidecars together.
 type Instance struct {
-	Name        string `json:"name"`
-	Tier        int    `json:"tier"`
-	Probes      Rate   `json:"probes"`
-	Connections Rate   `json:"connections"`
-	Trials      Rate   `json:"trials"` // attempts after one that was not served, up to the next that is
-	Attempts    Rate   `json:"attempts"`
+	Name                 string `json:"name"`
+	Tier                 int    `json:"tier"`
+	Probes               Rate   `json:"probes"`
+	Connections          Rate   `json:"connections"`
+	AttemptsAfterFailure Rate   `json:"trials"` // attempts after one that was not served, until the next that is served
+	Attempts             Rate   `json:"attempts"`
 }
 
-// Second is one second of a run.
+// Second holds the totals of one second of a run.
 type Second struct {
-	Asked     int     `json:"asked"`   // pieces of business that came
-	Worth     float64 `json:"worth"`   // asked for
-	InTime    float64 `json:"in_time"` // of that worth, served by the aim
-	Classes   []Class `json:"classes"`
-	Repeats   int     `json:"repeats"` // tries of clients after the first
-	Attempts  []int   `json:"attempts"`
-	Refused   []int   `json:"refused"` // by sidecars, by tier
-	Probes    int     `json:"probes"`
-	Opened    int     `json:"opened"`
-	Discovery int     `json:"discovery"`
-}
-
-// Class is one class's part of a second.
+	ClientRequests    int     `json:"asked"`   // intended in this second
+	Utility           float64 `json:"worth"`   // of these requests
+	InTime            float64 `json:"in_time"` // utility of those served within their latency target
+	Classes           []Class `json:"classes"`
+	ClientRetries     int     `json:"repeats"` // attempts of clients after the first
+	Attempts          []int   `json:"attempts"`
+	Rejected          []int   `json:"refused"` // by sidecars, by tier
+	Probes            int     `json:"probes"`
+	ConnectionsOpened int     `json:"opened"`
+	Discovery         int     `json:"discovery"`
+}
+
+// Class holds one class's part of a Second.
 type Class struct {
-	Worth  float64 `json:"worth"`
-	InTime float64 `json:"in_time"`
+	Utility float64 `json:"worth"`
+	InTime  float64 `json:"in_time"`
 }
 
-// Of adds up the entries of a run, which are in order of time.
-func Of(entries []ledger.Entry, goal ledger.Goal) *Account {
-	b := &book{a: &Account{}, calls: map[string]*call{}, copies: map[uint64]*attempt{}, under: map[uint64][]string{},
-		tries: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
+// Summarize aggregates the entries of a run, which are in order of time.
+func Summarize(entries []ledger.Entry, objective ledger.Objective) *Account {
+	b := &builder{account: &Account{}, requests: map[string]*request{}, attempts: map[uint64]*attempt{}, childRequests: map[uint64][]string{},
+		clientAttempts: map[int][]string{}, instances: map[string]*instance{}, sidecars: map[string]*Sidecar{}}
 	for i := range entries {
-		b.take(&entries[i])
+		b.add(&entries[i])
 	}
-	b.worths(entries, goal)
+	b.addUtility(entries, objective)
 	return b.finish()
 }
 
-// call is one operation at a sidecar: a client's try, or an instance's call.
-type call struct {
-	tier   int
-	copies []uint64
-	served uint64 // the attempt whose answer the caller got; 0 for none
+// request is one request at a sidecar, from a client or from an instance.
+type request struct {
+	tier     int
+	attempts []uint64
+	servedBy uint64 // the attempt whose answer the caller got; 0 for none
 }
 
-// attempt is one that reached an instance.
+// attempt is an attempt that reached an instance.
 type attempt struct {
-	tier   int
-	work   float64
-	void   bool // no work: it was turned away, or the machine was off the network
-	useful bool
+	tier     int
+	work     float64
+	excluded bool // counts as no work: the instance rejected it, or its machine was off the network
+	useful   bool // its answer contributed to an answer that a client got
 }
 
+// instance is an Instance under construction.
 type instance struct {
 	Instance
-	unserved bool
-	seconds  map[[2]int]int // by what and second
+	lastUnserved bool           // the last attempt was not served
+	perSecond    map[[2]int]int // by counter and second
 }
 
-type book struct {
-	a         *Account
-	calls     map[string]*call
-	copies    map[uint64]*attempt
-	under     map[uint64][]string // calls that were made for an attempt
-	tries     map[int][]string    // of clients
-	instances map[string]*instance
-	sidecars  map[string]*Sidecar
+// builder holds the state of Summarize.
+type builder struct {
+	account        *Account
+	requests       map[string]*request
+	attempts       map[uint64]*attempt
+	childRequests  map[uint64][]string // by the attempt that they were made for
+	clientAttempts map[int][]string    // by client request
+	instances      map[string]*instance
+	sidecars       map[string]*Sidecar
 }
 
-// What is counted by the second at an instance.
+// Counters of an instance that are kept by the second.
 const (
-	probes = iota
-	opened
-	trials
-	attempts
+	probeCount = iota
+	connectionCount
+	afterFailureCount
+	attemptCount
 )
 
-func (b *book) tier(n int) *Tier {
-	for len(b.a.Tiers) <= n {
-		b.a.Tiers = append(b.a.Tiers, Tier{})
+func (b *builder) tier(n int) *Tier {
+	for len(b.account.Tiers) <= n {
+		b.account.Tiers = append(b.account.Tiers, Tier{})
 	}
-	return &b.a.Tiers[n]
+	return &b.account.Tiers[n]
 }
 
-func (b *book) second(at time.Duration) *Second {
+func (b *builder) second(at time.Duration) *Second {
 	n := max(int(at/time.Second), 0)
-	for len(b.a.Seconds) <= n {
-		b.a.Seconds = append(b.a.Seconds, Second{})
+	for len(b.account.Seconds) <= n {
+		b.account.Seconds = append(b.account.Seconds, Second{})
 	}
-	return &b.a.Seconds[n]
+	return &b.account.Seconds[n]
 }
 
-// at counts one in a tier's place.
-func at(list *[]int, tier int) {
+// increment adds one to the element of a tier, and extends the list if needed.
+func increment(list *[]int, tier int) {
 	for len(*list) <= tier {
 		*list = append(*list, 0)
 	}
 	(*list)[tier]++
 }
 
-func (b *book) instance(e *ledger.Entry) *instance {
+func (b *builder) instance(e *ledger.Entry) *instance {
 	i := b.instances[e.Instance]
 	if i == nil {
-		i = &instance{Instance: Instance{Name: e.Instance, Tier: e.Tier}, seconds: map[[2]int]int{}}
+		i = &instance{Instance: Instance{Name: e.Instance, Tier: e.Tier}, perSecond: map[[2]int]int{}}
 		b.instances[e.Instance] = i
 	}
 	return i
 }
 
-func (i *instance) count(r *Rate, what int, at time.Duration) {
-	key := [2]int{what, int(at / time.Second)}
-	i.seconds[key]++
+// count adds one to a rate and updates its maximum per second. The counter is one of the constants above.
+func (i *instance) count(r *Rate, counter int, at time.Duration) {
+	key := [2]int{counter, int(at / time.Second)}
+	i.perSecond[key]++
 	r.Count++
-	r.Most = max(r.Most, i.seconds[key])
+	r.MaxPerSecond = max(r.MaxPerSecond, i.perSecond[key])
 }
 
-func (b *book) sidecar(e *ledger.Entry) *Sidecar {
+func (b *builder) sidecar(e *ledger.Entry) *Sidecar {
 	s := b.sidecars[e.Sidecar]
 	if s == nil {
 		s = &Sidecar{Name: e.Sidecar, Tier: e.Tier}
@@ -186,159 +189,160 @@
 	return s
 }
 
-func (b *book) take(e *ledger.Entry) {
+func (b *builder) add(e *ledger.Entry) {
 	switch e.Kind {
-	case ledger.Asked, ledger.Unasked:
-		b.ask(e)
-	case ledger.Arrived:
-		b.arrive(e)
-	case ledger.Ended:
-		b.ended(e)
+	case ledger.RequestSent, ledger.RequestUnsent:
+		b.addRequest(e)
+	case ledger.AttemptArrived:
+		b.addArrival(e)
+	case ledger.AttemptEnded:
+		b.addEnd(e)
 	case ledger.Answered:
-		b.answered(e)
-	case ledger.Opened:
+		b.addAnswer(e)
+	case ledger.ConnectionOpened:
 		i := b.instance(e)
-		i.count(&i.Connections, opened, e.At)
-		b.second(e.At).Opened++
+		i.count(&i.Connections, connectionCount, e.At)
+		b.second(e.At).ConnectionsOpened++
 	case ledger.Probed:
 		i := b.instance(e)
-		i.count(&i.Probes, probes, e.At)
+		i.count(&i.Probes, probeCount, e.At)
 		b.second(e.At).Probes++
-	case ledger.Called:
+	case ledger.DiscoveryCalled:
 		s := b.second(e.At)
 		s.Discovery++
-		b.a.Discovery.Count++
-		b.a.Discovery.Most = max(b.a.Discovery.Most, s.Discovery)
+		b.account.Discovery.Count++
+		b.account.Discovery.MaxPerSecond = max(b.account.Discovery.MaxPerSecond, s.Discovery)
 	}
 }
 
-func (b *book) ask(e *ledger.Entry) {
-	if e.Client > 0 {
-		b.tries[e.Client] = append(b.tries[e.Client], e.ID)
-		b.a.Tries++
-		if e.Repeat {
-			b.second(e.At).Repeats++
+func (b *builder) addRequest(e *ledger.Entry) {
+	if e.ClientRequest > 0 {
+		b.clientAttempts[e.ClientRequest] = append(b.clientAttempts[e.ClientRequest], e.ID)
+		b.account.ClientAttempts++
+		if e.Retry {
+			b.second(e.At).ClientRetries++
 		}
 	}
-	if e.Kind == ledger.Unasked {
+	if e.Kind == ledger.RequestUnsent {
 		return
 	}
-	b.calls[e.ID] = &call{tier: e.Tier}
-	b.tier(e.Tier).Calls++
-	b.sidecar(e).Calls++
-	if e.Parent != 0 {
-		b.under[e.Parent] = append(b.under[e.Parent], e.ID)
+	b.requests[e.ID] = &request{tier: e.Tier}
+	b.tier(e.Tier).Requests++
+	b.sidecar(e).Requests++
+	if e.ParentAttempt != 0 {
+		b.childRequests[e.ParentAttempt] = append(b.childRequests[e.ParentAttempt], e.ID)
 	}
 }
 
-func (b *book) arrive(e *ledger.Entry) {
+func (b *builder) addArrival(e *ledger.Entry) {
 	t, i := b.tier(e.Tier), b.instance(e)
 	t.Attempts++
-	at(&b.second(e.At).Attempts, e.Tier)
-	i.count(&i.Attempts, attempts, e.At)
-	if i.unserved {
-		i.count(&i.Trials, trials, e.At)
+	increment(&b.second(e.At).Attempts, e.Tier)
+	i.count(&i.Attempts, attemptCount, e.At)
+	if i.lastUnserved {
+		i.count(&i.AttemptsAfterFailure, afterFailureCount, e.At)
 	}
 	silent := e.Note == "silent"
-	b.copies[e.Copy] = &attempt{tier: e.Tier, work: e.Work, void: silent}
-	c := b.calls[e.ID]
-	if c == nil { // its caller was gone before its word of the request was entered
-		c = &call{tier: e.Tier}
-		b.calls[e.ID] = c
+	b.attempts[e.AttemptID] = &attempt{tier: e.Tier, work: e.Work, excluded: silent}
+	r := b.requests[e.ID]
+	if r == nil { // its caller was gone before the request was recorded as sent
+		r = &request{tier: e.Tier}
+		b.requests[e.ID] = r
 	}
-	c.copies = append(c.copies, e.Copy)
-	i.unserved = i.unserved || silent
+	r.attempts = append(r.attempts, e.AttemptID)
+	i.lastUnserved = i.lastUnserved || silent
 }
 
-func (b *book) ended(e *ledger.Entry) {
+func (b *builder) addEnd(e *ledger.Entry) {
 	i := b.instance(e)
-	i.unserved = e.Outcome != "served"
-	if x := b.copies[e.Copy]; x != nil && e.Outcome == "turned" {
-		x.void = true
-		b.tier(e.Tier).Turned++
+	i.lastUnserved = e.Outcome != "served"
+	if a := b.attempts[e.AttemptID]; a != nil && e.Outcome == "turned" {
+		a.excluded = true
+		b.tier(e.Tier).RejectedAttempts++
 	}
 }
 
-func (b *book) answered(e *ledger.Entry) {
+func (b *builder) addAnswer(e *ledger.Entry) {
 	switch {
 	case e.Status == 200:
-		if c := b.calls[e.ID]; c != nil {
-			for _, n := range c.copies {
-				if tokenOf(e.Note) == n {
-					c.served = n
+		if r := b.requests[e.ID]; r != nil {
+			for _, id := range r.attempts {
+				if attemptFromNote(e.Note) == id {
+					r.servedBy = id
 				}
 			}
 		}
 	case e.Status == 503 || e.Status == 429:
-		b.tier(e.Tier).Refused++
-		b.sidecar(e).Refused++
-		at(&b.second(e.At).Refused, e.Tier)
+		b.tier(e.Tier).Rejected++
+		b.sidecar(e).Rejected++
+		increment(&b.second(e.At).Rejected, e.Tier)
 	default:
 		b.tier(e.Tier).Failed++
 	}
 }
 
-// tokenOf is the attempt that an answer's note names; 0 for none.
-func tokenOf(note string) uint64 {
+// attemptFromNote returns the ID of the attempt that an answer's note names; 0 for none.
+func attemptFromNote(note string) uint64 {
 	n, _ := strconv.ParseUint(note[strings.LastIndexByte(note, '/')+1:], 10, 64)
 	return n
 }
 
-// worths counts what clients asked for and got, by the second in which they asked.
-func (b *book) worths(entries []ledger.Entry, goal ledger.Goal) {
-	for _, c := range ledger.Clients(entries) {
-		if c.Tries == 0 || c.Class >= len(goal.Classes) {
+// addUtility adds the utility of all client requests and of those served in time, by the second of their intended time.
+func (b *builder) addUtility(entries []ledger.Entry, objective ledger.Objective) {
+	for _, c := range ledger.ClientRequests(entries) {
+		if c.Attempts == 0 || c.Class >= len(objective.Classes) {
 			continue
 		}
-		b.a.Operations++
-		s, worth := b.second(c.Asked), goal.Classes[c.Class].Worth
-		if goal.ByWork {
-			worth *= c.Work
+		b.account.ClientRequests++
+		s, utility := b.second(c.IntendedAt), objective.Classes[c.Class].Utility
+		if objective.UtilityPerWork {
+			utility *= c.Work
 		}
 		if s.Classes == nil {
-			s.Classes = make([]Class, len(goal.Classes))
+			s.Classes = make([]Class, len(objective.Classes))
 		}
-		s.Asked++
-		s.Worth += worth
-		s.Classes[c.Class].Worth += worth
-		if c.Served != 0 && c.Served <= c.Asked+goal.Classes[c.Class].Aim {
-			s.InTime += worth
-			s.Classes[c.Class].InTime += worth
+		s.ClientRequests++
+		s.Utility += utility
+		s.Classes[c.Class].Utility += utility
+		if c.ServedAt != 0 && c.ServedAt <= c.IntendedAt+objective.Classes[c.Class].LatencyTarget {
+			s.InTime += utility
+			s.Classes[c.Class].InTime += utility
 		}
 	}
 }
 
-// caused is how many attempts a call has led to, in all tiers; useful marks those that its answer rests on.
-func (b *book) caused(id string, useful bool) int {
-	c := b.calls[id]
-	if c == nil {
+// countAttempts returns how many attempts a request caused in all tiers. If useful is set, it marks those that contributed to
+// the answer.
+func (b *builder) countAttempts(id string, useful bool) int {
+	r := b.requests[id]
+	if r == nil {
 		return 0
 	}
-	n := len(c.copies)
-	for _, copy := range c.copies {
-		mine := useful && copy == c.served
-		if mine {
-			b.copies[copy].useful = true
+	n := len(r.attempts)
+	for _, copy := range r.attempts {
+		contributes := useful && copy == r.servedBy
+		if contributes {
+			b.attempts[copy].useful = true
 		}
-		for _, below := range b.under[copy] {
-			n += b.caused(below, mine)
+		for _, child := range b.childRequests[copy] {
+			n += b.countAttempts(child, contributes)
 		}
 	}
 	return n
 }
 
-func (b *book) finish() *Account {
-	a := b.a
-	for _, ids := range b.tries {
+func (b *builder) finish() *Account {
+	a := b.account
+	for _, ids := range b.clientAttempts {
 		n := 0
 		for _, id := range ids {
-			n += b.caused(id, true)
+			n += b.countAttempts(id, true)
 		}
-		a.Most = max(a.Most, n)
+		a.MaxAttempts = max(a.MaxAttempts, n)
 	}
 	lost := make([]float64, len(a.Tiers))
-	for _, x := range b.copies {
-		if x.void {
+	for _, x := range b.attempts {
+		if x.excluded {
 			continue
 		}
 		a.Tiers[x.tier].Work += x.work
@@ -346,26 +350,26 @@
 			lost[x.tier] += x.work
 		}
 	}
-	sum, firsts := 0.0, 0
+	totalLost, reached := 0.0, 0
 	for t := range a.Tiers {
 		a.Attempts += a.Tiers[t].Attempts
 		a.Work += a.Tiers[t].Work
-		sum += lost[t]
-		a.Tiers[t].Lost = part(lost[t], a.Tiers[t].Work)
+		totalLost += lost[t]
+		a.Tiers[t].LostWork = ratio(lost[t], a.Tiers[t].Work)
 	}
-	a.Lost = part(sum, a.Work)
-	for _, c := range b.calls {
-		if len(c.copies) > 0 {
-			firsts++
+	a.LostWork = ratio(totalLost, a.Work)
+	for _, r := range b.requests {
+		if len(r.attempts) > 0 {
+			reached++
 		}
 	}
-	a.PerOp, a.Extra = part(float64(a.Attempts), float64(a.Operations)), part(float64(a.Attempts-firsts), float64(a.Attempts))
+	a.AttemptsPerRequest, a.ExtraAttempts = ratio(float64(a.Attempts), float64(a.ClientRequests)), ratio(float64(a.Attempts-reached), float64(a.Attempts))
 	for _, s := range b.sidecars {
 		a.Sidecars = append(a.Sidecars, *s)
 	}
 	slices.SortFunc(a.Sidecars, func(x, y Sidecar) int { return cmp.Or(x.Tier-y.Tier, cmp.Compare(x.Name, y.Name)) })
 	for t := range a.Tiers {
-		a.Tiers[t].Spread = spread(a.Sidecars, t)
+		a.Tiers[t].RejectionSpread = rejectionSpread(a.Sidecars, t)
 	}
 	for _, i := range b.instances {
 		a.Instances = append(a.Instances, i.Instance)
@@ -374,64 +378,65 @@
 	return a
 }
 
-// spread is between the highest and the lowest share of refusals among a tier's sidecars that took at least three quarters
-// of what the middle one did, and no more than a third more.
-func spread(all []Sidecar, tier int) float64 {
-	var of []Sidecar
+// rejectionSpread returns the difference between the highest and the lowest share of rejections among a tier's sidecars that
+// received between 3/4 and 4/3 of the median sidecar's requests.
+func rejectionSpread(all []Sidecar, tier int) float64 {
+	var inTier []Sidecar
 	for _, s := range all {
-		if s.Tier == tier && s.Calls > 0 {
-			of = append(of, s)
+		if s.Tier == tier && s.Requests > 0 {
+			inTier = append(inTier, s)
 		}
 	}
-	if len(of) == 0 {
+	if len(inTier) == 0 {
 		return 0
 	}
-	slices.SortFunc(of, func(x, y Sidecar) int { return x.Calls - y.Calls })
-	middle := float64(of[len(of)/2].Calls)
+	slices.SortFunc(inTier, func(x, y Sidecar) int { return x.Requests - y.Requests })
+	median := float64(inTier[len(inTier)/2].Requests)
 	low, high := 1.0, 0.0
-	for _, s := range of {
-		if n := float64(s.Calls); n >= 0.75*middle && n <= 4*middle/3 {
-			share := float64(s.Refused) / n
+	for _, s := range inTier {
+		if n := float64(s.Requests); n >= 0.75*median && n <= 4*median/3 {
+			share := float64(s.Rejected) / n
 			low, high = math.Min(low, share), math.Max(high, share)
 		}
 	}
 	return math.Max(high-low, 0)
 }
 
-func part(x, of float64) float64 {
-	if of <= 0 {
+// ratio returns part/whole, or 0 if whole is not positive.
+func ratio(part, whole float64) float64 {
+	if whole <= 0 {
 		return 0
 	}
-	return x / of
+	return part / whole
 }
 
-// All is every class.
-const All = -1
+// AllClasses stands for every class.
+const AllClasses = -1
 
-// Served is the share of the worth asked for from one time to another that was served in time, of one class or of All; ok
-// is false where nothing was asked for.
-func (a *Account) Served(class int, from, to time.Duration) (share float64, ok bool) {
-	worth, got := a.sum(class, from, to)
-	return part(got, worth), worth > 0
+// ServedShare returns the share of the utility of the requests intended between two times that was served in time, for one
+// class or AllClasses; ok is false if there were no requests.
+func (a *Account) ServedShare(class int, from, to time.Duration) (share float64, ok bool) {
+	offered, achieved := a.sumUtility(class, from, to)
+	return ratio(achieved, offered), offered > 0
 }
 
-// Worth is what was served in time from one time to another, a second.
-func (a *Account) Worth(from, to time.Duration) float64 {
-	_, got := a.sum(All, from, to)
-	return part(got, (to - from).Seconds())
+// UtilityRate returns the utility per second that was served in time, for requests intended between two times.
+func (a *Account) UtilityRate(from, to time.Duration) float64 {
+	_, achieved := a.sumUtility(AllClasses, from, to)
+	return ratio(achieved, (to - from).Seconds())
 }
 
-func (a *Account) sum(class int, from, to time.Duration) (worth, got float64) {
+func (a *Account) sumUtility(class int, from, to time.Duration) (offered, achieved float64) {
 	for n, s := range a.Seconds {
 		if at := time.Duration(n) * time.Second; at < from || at >= to {
 			continue
 		}
 		switch {
-		case class == All:
-			worth, got = worth+s.Worth, got+s.InTime
+		case class == AllClasses:
+			offered, achieved = offered+s.Utility, achieved+s.InTime
 		case class < len(s.Classes):
-			worth, got = worth+s.Classes[class].Worth, got+s.Classes[class].InTime
+			offered, achieved = offered+s.Classes[class].Utility, achieved+s.Classes[class].InTime
 		}
 	}
-	return worth, got
+	return offered, achieved
 }
--- a/internal/lab/dataplane/forward.go
+++ b/internal/lab/dataplane/forward.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	attempts = 4                      // of one request at the most, as the platform's settings have it
-	margin   = 20 * time.Millisecond  // an answer leaves so long before the client stops waiting
-	connect  = 250 * time.Millisecond // as the platform's settings have it
-	body     = 64 << 10               // the protocol's largest
+	maxAttempts    = 4                      // at one request, as in the platform's settings
+	deadlineMargin = 20 * time.Millisecond  // reserved for sending the response before the client's timeout
+	connectTimeout = 250 * time.Millisecond // as in the platform's settings
+	maxBodyBytes   = 64 << 10               // the protocol's limit
 )
 
 // forwarder is the handler of a proxy.
@@ -27,11 +27,11 @@
 
 func newForwarder(p picker) *forwarder {
 	return &forwarder{picker: p, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 20 * time.Second,
-		DisableCompression: true, DialContext: (&net.Dialer{Timeout: connect}).DialContext}}}
+		DisableCompression: true, DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}}
 }
 
-// answer is an instance's.
-type answer struct {
+// response is the response of an endpoint.
+type response struct {
 	status int
 	body   []byte
 	load   map[string]float64
@@ -49,67 +49,67 @@
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond-margin)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(left)*time.Millisecond-deadlineMargin)
 	defer cancel()
-	payload, err := io.ReadAll(io.LimitReader(r.Body, body+1))
-	if err != nil || len(payload) > body {
+	payload, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(payload) > maxBodyBytes {
 		out.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	if f.picker.drops() {
+	if f.picker.shouldDrop() {
 		out.Header().Set("Retry-After", "1")
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var tried []string
-	for len(tried) < attempts && ctx.Err() == nil {
-		at, end := f.picker.pick(tried)
-		if at == "" {
+	for len(tried) < maxAttempts && ctx.Err() == nil {
+		address, done := f.picker.pick(tried)
+		if address == "" {
 			break
 		}
-		tried = append(tried, at)
-		a, never, err := f.try(ctx, r, payload, at)
-		end(err == nil && a.status == http.StatusOK, a.load)
+		tried = append(tried, address)
+		resp, unprocessed, err := f.send(ctx, r, payload, address)
+		done(err == nil && resp.status == http.StatusOK, resp.load)
 		switch {
-		case never:
+		case unprocessed:
 			continue
 		case errors.Is(err, context.DeadlineExceeded):
 			out.WriteHeader(http.StatusGatewayTimeout)
 		case err != nil:
 			out.WriteHeader(http.StatusBadGateway)
 		default:
-			out.WriteHeader(a.status)
-			out.Write(a.body)
+			out.WriteHeader(resp.status)
+			out.Write(resp.body)
 		}
 		return
 	}
 	out.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// try sends a request to a destination. never tells that it surely has not run there.
-func (f *forwarder) try(ctx context.Context, r *http.Request, payload []byte, at string) (a answer, never bool, err error) {
-	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+at+r.URL.RequestURI(), bytes.NewReader(payload))
+// send sends a request to an endpoint. unprocessed reports that the endpoint certainly has not run it.
+func (f *forwarder) send(ctx context.Context, r *http.Request, payload []byte, address string) (resp response, unprocessed bool, err error) {
+	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URL.RequestURI(), bytes.NewReader(payload))
 	if err != nil {
-		return a, true, err
+		return resp, true, err
 	}
 	for _, name := range []string{"X-Correlation-Id", "X-Service-Class", "X-Weight-Hint"} {
 		q.Header.Set(name, r.Header.Get(name))
 	}
-	until, _ := ctx.Deadline()
-	q.Header.Set("X-Time-Left-Ms", strconv.FormatInt(time.Until(until).Milliseconds(), 10))
+	deadline, _ := ctx.Deadline()
+	q.Header.Set("X-Time-Left-Ms", strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	got, err := f.client.Do(q)
 	if err != nil {
 		var op *net.OpError
-		return a, errors.As(err, &op) && op.Op == "dial", err
+		return resp, errors.As(err, &op) && op.Op == "dial", err
 	}
 	defer got.Body.Close()
-	a = answer{status: got.StatusCode, load: loadOf(got.Header.Get("X-Backend-Load"))}
-	a.body, err = io.ReadAll(got.Body)
-	return a, got.Header.Get("X-Unprocessed") != "", err
+	resp = response{status: got.StatusCode, load: parseLoadReport(got.Header.Get("X-Backend-Load"))}
+	resp.body, err = io.ReadAll(got.Body)
+	return resp, got.Header.Get("X-Unprocessed") != "", err
 }
 
-// loadOf reads a load report of the protocol. What cannot be read is left out.
-func loadOf(text string) map[string]float64 {
+// parseLoadReport parses a load report of the protocol and skips invalid values.
+func parseLoadReport(text string) map[string]float64 {
 	out := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -13,36 +13,36 @@
 	"kitewood/scenarios"
 )
 
-// rulesDrill plays every trouble at once.
+// rulesDrill runs a scenario with all kinds of faults at once.
 var rulesDrill = Drill{
-	Name:  "rules",
-	About: "all troubles at once, a killed sidecar and a moved discovery among them: no rule broken, no sidecar crashed",
+	Name:        "rules",
+	Description: "all faults at once, a killed sidecar and a change of the discovery address among them: no rule broken, no sidecar crashed",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
-		return playDrill(ctx, o, "everything", 12*time.Second, 0)
+		return runScenario(ctx, o, "everything", 12*time.Second, 0)
 	},
 }
 
-// calmDrill plays a quiet day.
+// calmDrill runs a scenario without faults.
 var calmDrill = Drill{
-	Name:  "calm",
-	About: "three tiers on a quiet day: no rule broken, at least 0.8 of the worth served in time",
+	Name:        "calm",
+	Description: "three tiers under calm load: no rule broken, at least 0.8 of the utility served in time",
 	Run: func(ctx context.Context, o Options) (*Outcome, error) {
-		return playDrill(ctx, o, "calm", 6*time.Second, 0.8)
+		return runScenario(ctx, o, "calm", 6*time.Second, 0.8)
 	},
 }
 
-// playDrill plays a scenario once for each repeat, with the seeds that follow, and holds it to the rules and to a
-// least service.
-func playDrill(ctx context.Context, o Options, name string, short time.Duration, least float64) (*Outcome, error) {
+// runScenario runs a scenario once per repeat, with consecutive seeds, and checks the ledger's rules and, if minService is above 0,
+// the lowest service of the runs.
+func runScenario(ctx context.Context, o Options, name string, short time.Duration, minService float64) (*Outcome, error) {
 	out := &Outcome{}
-	broken, crashes, clients, operations, worst := 0, 0, 0, 0, 1.0
+	broken, crashes, clients, requests, lowest := 0, 0, 0, 0, 1.0
 	for n := range max(o.Repeats, 1) {
-		s, err := find(name)
+		s, err := findScenario(name)
 		if err != nil {
 			return nil, err
 		}
 		if o.Short {
-			squeeze(s, short)
+			compressTimeline(s, short)
 		}
 		seed := o.Seed + uint64(n)
 		r, err := emulator.Run(ctx, emulator.Options{Scenario: s, Seed: seed, Binary: o.Binary, Log: o.Log,
@@ -50,33 +50,34 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Cut {
+		if r.CutShort {
 			return nil, context.Cause(ctx)
 		}
-		for _, b := range ledger.Judge(r.Entries, s.Rules()) {
-			if b.Rule == ledger.RuleCrash {
+		for _, b := range ledger.FindViolations(r.Entries, s.Rules()) {
+			if b.Rule == ledger.RuleNoCrash {
 				crashes++
 			} else {
 				broken++
 			}
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
-		v := ledger.Serve(r.Entries, s.Served())
-		clients, operations, worst = clients+v.Clients, operations+v.Calls, min(worst, v.Service)
+		v := ledger.MeasureService(r.Entries, s.LedgerObjective())
+		clients, requests, lowest = clients+v.ClientRequests, requests+v.SidecarRequests, min(lowest, v.Service)
 	}
-	out.Tell("clients", float64(clients))
-	out.Hold("operations of sidecars", float64(operations), "above 0", operations > 0)
-	out.Hold("broken rules", float64(broken), "0", broken == 0)
-	out.Hold("crashed sidecars", float64(crashes), "0", crashes == 0)
-	if least > 0 {
-		out.Hold("least service", worst, fmt.Sprintf("at least %g", least), worst >= least)
+	out.Report("clients", float64(clients))
+	out.Check("operations of sidecars", float64(requests), "above 0", requests > 0)
+	out.Check("broken rules", float64(broken), "0", broken == 0)
+	out.Check("crashed sidecars", float64(crashes), "0", crashes == 0)
+	if minService > 0 {
+		out.Check("least service", lowest, fmt.Sprintf("at least %g", minService), lowest >= minService)
 	} else {
-		out.Tell("least service", worst)
+		out.Report("least service", lowest)
 	}
 	return out, nil
 }
 
-func find(name string) (*scenario.Scenario, error) {
+// findScenario reads a built-in scenario by its name.
+func findScenario(name string) (*scenario.Scenario, error) {
 	file, text, err := scenarios.Find(name)
 	if err != nil {
 		return nil, err
@@ -84,21 +85,21 @@
 	return scenario.Read(file, text)
 }
 
-// squeeze plays the whole of a scenario's timeline in a shorter time.
-func squeeze(s *scenario.Scenario, d time.Duration) {
-	f := float64(d) / float64(s.Duration)
+// compressTimeline scales a scenario's timeline to duration d.
+func compressTimeline(s *scenario.Scenario, d time.Duration) {
+	factor := float64(d) / float64(s.Duration)
 	s.Duration = scenario.Duration(d)
-	for i := range s.Troubles {
-		s.Troubles[i].At = scenario.Duration(float64(s.Troubles[i].At) * f)
-		s.Troubles[i].For = scenario.Duration(float64(s.Troubles[i].For) * f)
+	for i := range s.Faults {
+		s.Faults[i].At = scenario.Duration(float64(s.Faults[i].At) * factor)
+		s.Faults[i].Duration = scenario.Duration(float64(s.Faults[i].Duration) * factor)
 	}
 	for i := range s.Load.Shape {
-		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * f)
+		s.Load.Shape[i].At = scenario.Duration(float64(s.Load.Shape[i].At) * factor)
 	}
 }
 
-// scratch makes a folder inside the drill's.
-func scratch(o Options, name string) (string, error) {
+// makeDir creates a directory inside the drill's.
+func makeDir(o Options, name string) (string, error) {
 	dir := filepath.Join(o.Dir, name)
 	return dir, os.MkdirAll(dir, 0o755)
 }
--- a/internal/lab/httpc/pool.go
+++ b/internal/lab/httpc/pool.go
@@ -1,6 +1,6 @@
-// Package httpc is an HTTP/1.1 client as the platform's clients are: a request at a time on a connection, connections
-// kept, further ones opened when all are busy, a time-out that closes the connection. It tells how far each request had
-// come, and what came on a connection when nothing was owed.
+// Package httpc is an HTTP/1.1 client that behaves like the platform's clients: one request at a time on a connection,
+// keep-alive, new connections when all are in use, and a timeout that closes the connection. It reports how far each request
+// progressed and whether a connection received unsolicited data.
 package httpc
 
 import (
@@ -16,39 +16,39 @@
 	"time"
 )
 
-// Progress is how far a request had come when it ended.
+// Progress is how far a request had progressed when it ended.
 type Progress uint8
 
 // The stages of a request.
 const (
-	NotConnected Progress = iota
-	Connected             // not written whole
-	Written               // the last byte is out
-	Answered              // a whole answer came
+	NotConnected     Progress = iota
+	Connected                 // the request was not written completely
+	RequestWritten            // the last byte has been written
+	ResponseReceived          // a complete response was received
 )
 
-// Result is how a request ended.
+// Result describes how a request ended.
 type Result struct {
-	Progress Progress
-	Status   int
-	Header   http.Header
-	Body     []byte
-	Written  time.Time // the last byte went out; zero if it did not
-	Ended    time.Time
-	New      bool // on a connection of its own making
-	Resent   bool // went out once more, on a new connection, as the old one closed before any of the answer
-	TimedOut bool
-	Err      error
-}
-
-// Options say how a pool connects.
+	Progress      Progress
+	Status        int
+	Header        http.Header
+	Body          []byte
+	WrittenAt     time.Time // when the last byte was written; zero if it was not
+	EndedAt       time.Time
+	NewConnection bool // the request opened its connection
+	Retried       bool // sent again on a new connection, as a reused one closed before any byte of the response
+	TimedOut      bool
+	Err           error
+}
+
+// Options configure a Pool.
 type Options struct {
 	Address        string
 	TLS            *tls.Config // nil for plain TCP
-	Source         net.Addr    // local address, nil for any
+	LocalAddr      net.Addr    // nil for any
 	ConnectTimeout time.Duration
-	Extra          func(last string) // bytes came after the answer to the request that was last on the connection
-	MaxBody        int64
+	OnUnsolicited  func(last string) // called with the id of the connection's last request when data follows its response
+	MaxBody        int64             // bytes of a response body that are read; 0 for 1 MiB
 }
 
 // Pool holds the connections to one address.
@@ -59,13 +59,14 @@
 	closed  bool
 }
 
+// conn is a connection with the reader of its responses.
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	last string // id of the last request
+	reader *bufio.Reader
+	lastID string // id of the last request
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	if options.MaxBody == 0 {
 		options.MaxBody = 1 << 20
@@ -73,34 +74,36 @@
 	return &Pool{options: options}
 }
 
-// Do sends one request, whose text is ready, and reads its answer. It gives up at the deadline by closing the
-// connection. id names the request for Options.Extra.
+// Do sends one formatted request and reads its response. It gives up at the deadline by closing the connection. id identifies
+// the request to Options.OnUnsolicited.
 func (p *Pool) Do(id, method string, text []byte, deadline time.Time) Result {
-	r, crossed := p.once(id, method, text, deadline, false)
-	if crossed { // the server closed between requests: the one it has not read goes out once more
-		r, _ = p.once(id, method, text, deadline, true)
-		r.Resent = true
+	r, retry := p.attempt(id, method, text, deadline, false)
+	if retry { // the server closed the idle connection before it read the request
+		r, _ = p.attempt(id, method, text, deadline, true)
+		r.Retried = true
 	}
-	r.Ended = time.Now()
+	r.EndedAt = time.Now()
 	return r
 }
 
-func (p *Pool) once(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, crossed bool) {
+// attempt sends a request once, on a new connection if fresh is set or none is idle. retry is true if a reused connection
+// failed before any byte of the response, other than by timeout.
+func (p *Pool) attempt(id, method string, text []byte, deadline time.Time, fresh bool) (r Result, retry bool) {
 	c := (*conn)(nil)
 	if !fresh {
-		c = p.take()
+		c = p.takeIdle()
 	}
-	if r.New = c == nil; r.New {
+	if r.NewConnection = c == nil; r.NewConnection {
 		if c, r.Err = p.dial(deadline); r.Err != nil {
 			r.TimedOut = !time.Now().Before(deadline)
 			return r, false
 		}
 	}
-	r.Progress, c.last = Connected, id
+	r.Progress, c.lastID = Connected, id
 	keep := false
 	defer func() {
 		if keep {
-			p.put(c)
+			p.release(c)
 		} else {
 			c.Close()
 		}
@@ -108,41 +111,43 @@
 	c.SetDeadline(deadline)
 	if _, r.Err = c.Write(text); r.Err != nil {
 		r.TimedOut = isTimeout(r.Err)
-		return r, !r.New && !r.TimedOut
+		return r, !r.NewConnection && !r.TimedOut
 	}
-	r.Progress, r.Written = Written, time.Now()
-	if _, r.Err = c.in.Peek(1); r.Err != nil {
+	r.Progress, r.WrittenAt = RequestWritten, time.Now()
+	if _, r.Err = c.reader.Peek(1); r.Err != nil {
 		r.TimedOut = isTimeout(r.Err)
-		return r, !r.New && !r.TimedOut
+		return r, !r.NewConnection && !r.TimedOut
 	}
-	answer, err := p.read(c, method, &r)
+	resp, err := p.read(c, method, &r)
 	if err != nil {
 		r.Err, r.TimedOut = err, isTimeout(err)
 		return r, false
 	}
-	r.Progress = Answered
-	keep = !answer.Close
+	r.Progress = ResponseReceived
+	keep = !resp.Close
 	return r, false
 }
 
+// read reads a response and skips interim ones. It sets the status, header and body of r if the response is complete.
 func (p *Pool) read(c *conn, method string, r *Result) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.in, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= 100 && answer.StatusCode < 200 {
+		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(answer.Body, p.options.MaxBody))
-		answer.Body.Close()
-		if err == nil { // half an answer has no status
-			r.Status, r.Header, r.Body = answer.StatusCode, answer.Header, body
+		body, err := io.ReadAll(io.LimitReader(resp.Body, p.options.MaxBody))
+		resp.Body.Close()
+		if err == nil { // an incomplete response has no status
+			r.Status, r.Header, r.Body = resp.StatusCode, resp.Header, body
 		}
-		return answer, err
+		return resp, err
 	}
 }
 
+// dial opens a connection before the deadline and within the connect timeout.
 func (p *Pool) dial(deadline time.Time) (*conn, error) {
 	limit := deadline
 	if t := p.options.ConnectTimeout; t > 0 {
@@ -150,7 +155,7 @@
 			limit = at
 		}
 	}
-	d := net.Dialer{Deadline: limit, LocalAddr: p.options.Source}
+	d := net.Dialer{Deadline: limit, LocalAddr: p.options.LocalAddr}
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	raw, err := d.DialContext(ctx, "tcp", p.options.Address)
@@ -165,18 +170,18 @@
 		}
 		raw = secure
 	}
-	return &conn{Conn: raw, in: bufio.NewReaderSize(raw, 4096)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, 4096)}, nil
 }
 
-// Rests tells whether a connection rests that may be used for the next request.
-func (p *Pool) Rests() bool {
+// HasIdle reports whether there is an idle connection.
+func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-// take hands out the connection that was used last, if it still stands.
-func (p *Pool) take() *conn {
+// takeIdle removes and returns the most recently used idle connection that is still usable, or nil.
+func (p *Pool) takeIdle() *conn {
 	for {
 		p.mu.Lock()
 		if len(p.idle) == 0 {
@@ -186,27 +191,28 @@
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		p.mu.Unlock()
-		if !p.spent(c) {
+		if !p.unusable(c) {
 			return c
 		}
 		c.Close()
 	}
 }
 
-// spent tells whether a connection without a request is closed, or has brought something that nobody asked for.
-func (p *Pool) spent(c *conn) bool {
-	more, ended := c.in.Buffered() > 0, false
-	if !more {
-		more, ended = pending(c.Conn)
+// unusable reports whether an idle connection was closed or received unsolicited data. It calls OnUnsolicited for the latter.
+func (p *Pool) unusable(c *conn) bool {
+	data, closed := c.reader.Buffered() > 0, false
+	if !data {
+		data, closed = peek(c.Conn)
 	}
-	if more && p.options.Extra != nil {
-		p.options.Extra(c.last)
+	if data && p.options.OnUnsolicited != nil {
+		p.options.OnUnsolicited(c.lastID)
 	}
-	return more || ended
+	return data || closed
 }
 
-func (p *Pool) put(c *conn) {
-	if p.spent(c) {
+// release returns a connection to the pool, or closes it if it is unusable or the pool is closed.
+func (p *Pool) release(c *conn) {
+	if p.unusable(c) {
 		c.Close()
 		return
 	}
@@ -219,28 +225,28 @@
 	p.idle = append(p.idle, c)
 }
 
-// Close ends the idle connections, after a last look at each for what nobody asked for.
+// Close closes the idle connections, after a last check of each for unsolicited data.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle, p.closed = nil, true
 	p.mu.Unlock()
 	for _, c := range idle {
-		p.spent(c)
+		p.unusable(c)
 		c.Close()
 	}
 }
 
 func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Field is one header field of a request.
-type Field struct{ Name, Value string }
+// HeaderField is a header field of a request.
+type HeaderField struct{ Name, Value string }
 
-// Text writes a request.
-func Text(method, target, host string, body []byte, fields ...Field) []byte {
+// FormatRequest formats a request for Pool.Do.
+func FormatRequest(method, target, host string, body []byte, fields ...HeaderField) []byte {
 	var b bytes.Buffer
 	b.WriteString(method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	for _, f := range fields {
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -14,29 +14,29 @@
 	"kitewood/internal/lab/httpc"
 )
 
-// Source gives the requests of a run, in order of their intended times.
+// Source generates the requests of a run, in order of their intended times.
 type Source interface {
 	Next() (Item, time.Duration, bool)
 }
 
-// Options say whom to load and how.
+// Options configure a load run.
 type Options struct {
-	URL      string // http or https; its path is for sources that have none
-	Timeout  time.Duration
-	MaxOpen  int // requests out at once; more wait, and their latency counts on
-	Recorder *Recorder
-	Tracer   *Tracer // records what goes out; nil for none
-	Progress func(Progress)
-	Each     func(Item, Outcome) // takes every outcome, from any goroutine; nil if nobody asks
+	URL         string // http or https; its path is the target for sources without one of their own
+	Timeout     time.Duration
+	MaxInFlight int // limit of requests in flight; further ones wait, and the wait counts towards their latency
+	Recorder    *Recorder
+	Tracer      *Tracer // records the requests sent; nil for none
+	OnProgress  func(Progress)
+	OnOutcome   func(Item, Outcome) // called with every outcome, from any goroutine; nil for none
 }
 
-// Progress is how a load run stands.
+// Progress is the progress of a load run.
 type Progress struct {
 	Elapsed time.Duration
 	Summary Summary
 }
 
-// Target is where a URL leads.
+// Target is the server that a URL refers to.
 type Target struct {
 	Address string
 	Host    string
@@ -44,7 +44,7 @@
 	TLS     *tls.Config
 }
 
-// ParseURL reads the URL of a target.
+// ParseURL parses the URL of a target.
 func ParseURL(text string) (Target, error) {
 	u, err := url.Parse(text)
 	if err != nil {
@@ -62,102 +62,106 @@
 		return Target{}, fmt.Errorf("%q: an http or https URL is wanted", text)
 	}
 	if u.Hostname() == "" {
-		return Target{}, fmt.Errorf("%q names no host", text)
+		return Target{}, fmt.Errorf("%q has no host", text)
 	}
 	t.Address = net.JoinHostPort(u.Hostname(), port)
 	return t, nil
 }
 
-// Run sends what source gives at its times, whether or not earlier requests have been answered, and waits for the
-// last. It ends early, cleanly, with ctx.
+// Run sends the requests of source at their intended times, whether or not earlier ones have completed, and waits for the
+// last response. When ctx ends, it stops sending and returns after the requests in flight.
 func Run(ctx context.Context, source Source, o Options) error {
 	target, err := ParseURL(o.URL)
 	if err != nil {
 		return err
 	}
-	if o.Recorder == nil || o.Timeout <= 0 || o.MaxOpen < 1 {
-		return errors.New("load: a recorder, a timeout and a number of requests out at once are needed")
+	if o.Recorder == nil || o.Timeout <= 0 || o.MaxInFlight < 1 {
+		return errors.New("load: a recorder, a timeout and a limit of requests in flight are required")
 	}
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
 	start := time.Now()
-	if o.Progress != nil {
+	if o.OnProgress != nil {
 		stop := progress(o, start)
 		defer stop()
 	}
-	g := &generator{o: o, target: target, pool: pool, start: start, work: make(chan job)}
+	g := &generator{options: o, target: target, pool: pool, start: start, requests: make(chan scheduledRequest)}
 	pace := newPacer()
 	defer pace.close()
 	var failed error
 	for {
 		item, at, more := source.Next()
-		if !more || !pace.until(ctx, start.Add(at)) {
+		if !more || !pace.waitUntil(ctx, start.Add(at)) {
 			break
 		}
-		o.Recorder.Intend(at)
+		o.Recorder.RecordIntended(at)
 		if o.Tracer != nil {
 			if failed = o.Tracer.Add(start.Add(at), item); failed != nil {
 				break
 			}
 		}
-		g.hand(job{item, at})
+		g.dispatch(scheduledRequest{item, at})
 	}
-	close(g.work)
-	g.wait.Wait()
+	close(g.requests)
+	g.workerGroup.Wait()
 	return failed
 }
 
-type job struct {
+// scheduledRequest is a request and its intended time.
+type scheduledRequest struct {
 	item Item
 	at   time.Duration
 }
 
-// generator hands requests to goroutines that wait for one; it starts another when none does, up to MaxOpen.
+// generator passes requests to idle worker goroutines. If none is idle, it starts another, up to MaxInFlight.
 type generator struct {
-	o      Options
-	target Target
-	pool   *httpc.Pool
-	start  time.Time
-	work   chan job
-	open   int
-	wait   sync.WaitGroup
+	options     Options
+	target      Target
+	pool        *httpc.Pool
+	start       time.Time
+	requests    chan scheduledRequest
+	workers     int
+	workerGroup sync.WaitGroup
 }
 
-func (g *generator) hand(j job) {
+// dispatch passes a request to a worker. It blocks if all workers are busy and no more may be started.
+func (g *generator) dispatch(r scheduledRequest) {
 	select {
-	case g.work <- j:
+	case g.requests <- r:
 		return
 	default:
 	}
-	if g.open < g.o.MaxOpen {
-		g.open++
-		g.wait.Go(func() {
-			g.do(j)
-			for j := range g.work {
-				g.do(j)
+	if g.workers < g.options.MaxInFlight {
+		g.workers++
+		g.workerGroup.Go(func() {
+			g.send(r)
+			for r := range g.requests {
+				g.send(r)
 			}
 		})
 		return
 	}
-	g.work <- j // all are out: it goes late, and counts from its time
+	g.requests <- r // sent late, but measured from its intended time
 }
 
-func (g *generator) do(j job) {
-	fields := make([]httpc.Field, 0, len(j.item.Headers))
-	for name, value := range j.item.Headers {
-		fields = append(fields, httpc.Field{Name: name, Value: value})
+// send sends a request, waits for its end and records the outcome.
+func (g *generator) send(s scheduledRequest) {
+	fields := make([]httpc.HeaderField, 0, len(s.item.Headers))
+	for name, value := range s.item.Headers {
+		fields = append(fields, httpc.HeaderField{Name: name, Value: value})
 	}
-	text := httpc.Text(j.item.Method, j.item.Target, g.target.Host, j.item.Body, fields...)
+	text := httpc.FormatRequest(s.item.Method, s.item.Target, g.target.Host, s.item.Body, fields...)
 	sent := time.Now()
-	r := g.pool.Do("", j.item.Method, text, sent.Add(g.o.Timeout))
-	out := Outcome{Intended: j.at, Sent: sent.Sub(g.start), Ended: r.Ended.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
-		New: r.New}
-	g.o.Recorder.Add(out)
-	if g.o.Each != nil {
-		g.o.Each(j.item, out)
+	r := g.pool.Do("", s.item.Method, text, sent.Add(g.options.Timeout))
+	out := Outcome{Intended: s.at, Sent: sent.Sub(g.start), Ended: r.EndedAt.Sub(g.start), Status: r.Status, TimedOut: r.TimedOut,
+		NewConnection: r.NewConnection}
+	g.options.Recorder.Add(out)
+	if g.options.OnOutcome != nil {
+		g.options.OnOutcome(s.item, out)
 	}
 }
 
+// progress reports the progress once per second until stop is called.
 func progress(o Options, start time.Time) (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
@@ -167,7 +171,7 @@
 		for {
 			select {
 			case <-tick.C:
-				o.Progress(Progress{Elapsed: time.Since(start), Summary: o.Recorder.Summary()})
+				o.OnProgress(Progress{Elapsed: time.Since(start), Summary: o.Recorder.Summary()})
 			case <-done:
 				return
 			}
@@ -176,32 +180,32 @@
 	return func() { close(done); wait.Wait() }
 }
 
-// Steady is a source of one kind of request at the times of Arrivals.
-type Steady struct {
+// SingleRequest is a source that repeats one request at the times of Arrivals.
+type SingleRequest struct {
 	Item     Item
 	Arrivals *Arrivals
 }
 
-// Next is the next request.
-func (s *Steady) Next() (Item, time.Duration, bool) {
+// Next returns the next request and its intended time, or false at the end.
+func (s *SingleRequest) Next() (Item, time.Duration, bool) {
 	at, more := s.Arrivals.Next()
 	return s.Item, at, more
 }
 
-// Mix is a source of several kinds of requests, by their weights.
+// Mix is a source that chooses among several requests at random, by weight.
 type Mix struct {
-	Kinds    []Weighted
+	Kinds    []WeightedItem
 	Arrivals *Arrivals
-	Draw     func() float64 // in [0,1)
+	Draw     func() float64 // random number in [0,1)
 }
 
-// Weighted is one kind of request of a mix.
-type Weighted struct {
+// WeightedItem is one request of a Mix.
+type WeightedItem struct {
 	Item   Item
 	Weight float64
 }
 
-// Next is the next request.
+// Next returns the next request and its intended time, or false at the end.
 func (m *Mix) Next() (Item, time.Duration, bool) {
 	at, more := m.Arrivals.Next()
 	sum := 0.0
@@ -217,14 +221,14 @@
 	return m.Kinds[len(m.Kinds)-1].Item, at, more
 }
 
-// Replay is a source that plays a trace, Speed times as fast as it was recorded.
+// Replay is a source that replays a trace, Speed times as fast as it was recorded.
 type Replay struct {
 	Items []Item
 	Speed float64
 	next  int
 }
 
-// Next is the next request.
+// Next returns the next request and its intended time, or false at the end.
 func (r *Replay) Next() (Item, time.Duration, bool) {
 	if r.next >= len(r.Items) {
 		return Item{}, 0, false
@@ -234,28 +238,29 @@
 	return i, time.Duration(float64(i.At()) / r.Speed), true
 }
 
-// Closed sends requests as a closed loop does: each of n callers waits for its answer before its next request, which
-// it spaces evenly to the rate in all. It is here to show what such a loop leaves out when the server stalls.
-func Closed(ctx context.Context, n int, rate float64, d time.Duration, item Item, o Options) error {
+// RunClosedLoop sends requests as a closed loop does: each of n callers waits for its response before its next request, and
+// spaces its requests evenly so that all callers together reach the rate. It exists to show which requests such a loop leaves
+// out when the server stalls.
+func RunClosedLoop(ctx context.Context, n int, rate float64, d time.Duration, item Item, o Options) error {
 	target, err := ParseURL(o.URL)
 	if err != nil {
 		return err
 	}
 	pool := httpc.NewPool(httpc.Options{Address: target.Address, TLS: target.TLS, ConnectTimeout: o.Timeout})
 	defer pool.Close()
-	g := &generator{o: o, target: target, pool: pool, start: time.Now()}
-	each := seconds(float64(n) / rate)
+	g := &generator{options: o, target: target, pool: pool, start: time.Now()}
+	interval := seconds(float64(n) / rate)
 	var wait sync.WaitGroup
 	for i := range n {
 		wait.Go(func() {
 			pace := newPacer()
 			defer pace.close()
-			at := each * time.Duration(i) / time.Duration(n)
-			for at < d && pace.until(ctx, g.start.Add(at)) {
+			at := interval * time.Duration(i) / time.Duration(n)
+			for at < d && pace.waitUntil(ctx, g.start.Add(at)) {
 				now := time.Since(g.start)
-				o.Recorder.Intend(now)
-				g.do(job{item, now})
-				at = max(at+each, time.Since(g.start)) // a request that should have gone meanwhile is forgotten
+				o.Recorder.RecordIntended(now)
+				g.send(scheduledRequest{item, now})
+				at = max(at+interval, time.Since(g.start)) // requests that should have been sent meanwhile are skipped
 			}
 		})
 	}
--- a/internal/orca/orca_test.go
+++ b/internal/orca/orca_test.go
@@ -67,11 +67,11 @@
 	if r := recorder.last[reporting.Address]; r.QPS != 7 || r.Metrics["application_utilization"] != 0.5 || len(r.Metrics) != 1 {
 		t.Errorf("unexpected report: %+v", r)
 	}
-	reporting.Break()
+	reporting.BreakStreams()
 	before := recorder.count(reporting.Address)
 	testkit.WaitUntil(t, "reports after the stream was reopened", func() bool { return recorder.count(reporting.Address) > before+1 })
 	w.SetAddresses(nil)
-	testkit.WaitUntil(t, "the stream ends", func() bool { return reporting.Streams() == 0 })
+	testkit.WaitUntil(t, "the stream ends", func() bool { return reporting.OpenStreams() == 0 })
 }
 
 // TestGRPCLibraryServer checks interoperability with the ORCA service of the gRPC library, which sends its first report at once.
@@ -116,7 +116,7 @@
 	}
 	defer endpoint.Stop()
 	New(ctx, time.Millisecond, 1, func(string, Report) {}, slog.New(slog.DiscardHandler)).SetAddresses([]string{endpoint.Address})
-	testkit.WaitUntil(t, "a stream is open", func() bool { return endpoint.Streams() == 1 })
+	testkit.WaitUntil(t, "a stream is open", func() bool { return endpoint.OpenStreams() == 1 })
 	cancel()
-	testkit.WaitUntil(t, "no stream is open", func() bool { return endpoint.Streams() == 0 })
+	testkit.WaitUntil(t, "no stream is open", func() bool { return endpoint.OpenStreams() == 0 })
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(addr.Free)
+	t.Cleanup(addr.Release)
 	return addr.String()
 }
 
--- a/internal/transport/backoff_test.go
+++ b/internal/transport/backoff_test.go
@@ -54,8 +54,8 @@
 // of the simulation.
 func (c fleetCase) simulate(seed uint64) []time.Duration {
 	capacity := max(float64(c.callers)/c.queueSeconds, minCapacity)
-	discovery := model.NewDiscovery(model.DiscoveryConfig{Capacity: capacity, Timeout: c.timeout, RefuseFull: c.refuseAtOnce,
-		WorksOffFailed: true}, nil)
+	discovery := model.NewDiscovery(model.DiscoveryConfig{CallsPerSecond: capacity, Timeout: c.timeout, RejectWhenFull: c.refuseAtOnce,
+		ServeTimedOut: true}, nil)
 	var all, waiting callers
 	for i := range c.callers {
 		one := &caller{rng: rand.New(rand.NewPCG(seed, uint64(i)))}
