--- a/internal/lab/count/read.go
+++ b/internal/lab/count/read.go
@@ -1,4 +1,4 @@
-// Package count aggregates what the sidecars of a fleet did together, from the lines that they log at debug level. Behaviour
+// Package count aggregates what the sidecars of a fleet did together, from the lines that they log at debug level. Behavior
 // that is harmless in one sidecar may do harm when all sidecars show it, which only the totals reveal.
 package count
 
--- a/internal/lab/drill/fleetoverload.go
+++ b/internal/lab/drill/fleetoverload.go
@@ -137,8 +137,8 @@
 // checkRun checks one run against the drill's bounds, relative to the calm run of the same fleet.
 func (c *fleetChecks) checkRun(r, calm *fleetRun) {
 	out, a, prefix := c.out, r.Account, r.String()+": "
-	broken := r.Summary.Violations()
-	out.Check(prefix+"broken rules", float64(broken), "0", broken == 0)
+	violations := r.Summary.Violations()
+	out.Check(prefix+"broken rules", float64(violations), "0", violations == 0)
 	for _, b := range r.Violations[:min(len(r.Violations), 3)] {
 		out.Notes = append(out.Notes, prefix+b.String())
 	}
--- a/internal/lab/drill/rules.go
+++ b/internal/lab/drill/rules.go
@@ -35,7 +35,7 @@
 // the lowest service of the runs.
 func runScenario(ctx context.Context, o Options, name string, short time.Duration, minService float64) (*Outcome, error) {
 	out := &Outcome{}
-	broken, crashes, clients, requests, lowest := 0, 0, 0, 0, 1.0
+	violations, crashes, clients, requests, lowest := 0, 0, 0, 0, 1.0
 	for n := range max(o.Repeats, 1) {
 		s, err := findScenario(name)
 		if err != nil {
@@ -57,7 +57,7 @@
 			if b.Rule == ledger.RuleNoCrash {
 				crashes++
 			} else {
-				broken++
+				violations++
 			}
 			out.Notes = append(out.Notes, fmt.Sprintf("seed %d: %s", seed, b))
 		}
@@ -66,7 +66,7 @@
 	}
 	out.Report("clients", float64(clients))
 	out.Check("operations of sidecars", float64(requests), "above 0", requests > 0)
-	out.Check("broken rules", float64(broken), "0", broken == 0)
+	out.Check("broken rules", float64(violations), "0", violations == 0)
 	out.Check("crashed sidecars", float64(crashes), "0", crashes == 0)
 	if minService > 0 {
 		out.Check("least service", lowest, fmt.Sprintf("at least %g", minService), lowest >= minService)
--- a/internal/lab/drill/xdsreconnect.go
+++ b/internal/lab/drill/xdsreconnect.go
@@ -31,7 +31,7 @@
 	fullLoad         = 0.7
 )
 
-// runXDSReconnect replaces instances one by one under load and cuts streams at random, and checks where requests went.
+// runXDSReconnect replaces instances one by one under load and disconnects streams at random, and checks where requests went.
 func runXDSReconnect(ctx context.Context, o Options) (*Outcome, error) {
 	instances, proxies, within, settle := 40, 6, 25*time.Second, 3*time.Second
 	if o.Short {
@@ -126,10 +126,10 @@
 
 	out := &Outcome{}
 	late, last, slowStartLoad := 0, time.Duration(0), 0.0
-	total, requests, failures, emptied, cuts := 0, 0, 0, 0, 0
+	total, requests, failures, emptied, disconnects := 0, 0, 0, 0, 0
 	for n := range proxies {
 		requests, failures = requests+sent[n], failures+failed[n]
-		emptied, cuts = emptied+tables[n].EmptiedCount(), cuts+clients[n].Disconnects()
+		emptied, disconnects = emptied+tables[n].EmptiedCount(), disconnects+clients[n].Disconnects()
 	}
 	capacity := float64(requests) / time.Since(start).Seconds() / float64(instances) / fullLoad // of a fully warmed up instance, in requests/s
 	for _, m := range pool.members {
@@ -148,7 +148,7 @@
 	}
 	out.Report("instances replaced", float64(total))
 	out.Report("replaced within, s", took.Seconds())
-	out.Check("times that a proxy was cut off", float64(cuts), "above 0", cuts > 0)
+	out.Check("times that a proxy was cut off", float64(disconnects), "above 0", disconnects > 0)
 	out.Check("requests", float64(requests), "above 0", requests > 0)
 	out.Check("requests after 500 ms", float64(late), "0", late == 0)
 	out.Report("word to last request, ms", float64(last.Microseconds())/1000)
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -11,7 +11,7 @@
 // runClients sends the requests of the scenario's clients, open-loop, until the end of the run or of ctx, and waits for the
 // outcome of all requests sent.
 func (w *World) runClients(ctx context.Context, until time.Duration) {
-	classes, habits := w.scenario.ClientModel()
+	classes, behavior := w.scenario.ClientModel()
 	rng := model.NewRand(w.seed, 3)
 	var shape load.Shape
 	for _, p := range w.scenario.Load.Shape {
@@ -29,7 +29,7 @@
 			break
 		}
 		number++
-		c, n := model.NewClient(rng, classes, habits, at), number
+		c, n := model.NewClient(rng, classes, behavior, at), number
 		w.requests.Add(1)
 		running.Go(func() { w.runClient(ctx, c, n) })
 	}
@@ -65,20 +65,20 @@
 	return attempt.At + time.Duration(rng.Float64()*float64(attempt.Deadline-attempt.At))
 }
 
-// pickSidecar returns the sidecar that the front layer assigns to a client, nil if there is none. While a sidecar with an idle
-// connection is stopping, every other client stands for one that holds such a connection and keeps using it.
+// pickSidecar returns the sidecar that the front-end load balancer assigns to a client, nil if there is none. While a sidecar
+// with an idle connection is stopping, every other client stands for one that holds such a connection and keeps using it.
 func (w *World) pickSidecar() *sidecar {
-	w.frontMu.Lock()
+	w.balancerMu.Lock()
 	w.picks++
-	for s := range w.stoppingFront {
+	for s := range w.stoppingSidecars {
 		if pool := s.clientPool(); w.picks%2 == 0 && pool != nil && pool.HasIdle() {
-			w.frontMu.Unlock()
+			w.balancerMu.Unlock()
 			return s
 		}
 	}
-	name := w.front.Pick(w.ledger.Now())
-	w.frontMu.Unlock()
-	for _, s := range w.frontSidecars {
+	name := w.balancer.Pick(w.ledger.Now())
+	w.balancerMu.Unlock()
+	for _, s := range w.firstTierSidecars {
 		if s.name == name {
 			return s
 		}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Checks that each rule, broken on purpose by a proxy with one fault, is reported from the ledger together with the entries that
-// led to it, and that the same proxy without a fault breaks no rule.
+// Checks that each rule, violated on purpose by a proxy with one fault, is reported from the ledger together with the entries
+// that led to it, and that the same proxy without a fault violates no rule.
 func TestLedgerCatchesWrongProxies(t *testing.T) {
 	drain := "  - {kind: deploy, at: 500ms, for: 200ms, count: 1, batch: 0.3, drain: 1500ms}\n"
 	for mode, c := range map[string]struct{ rule, what, troubles string }{
@@ -115,22 +115,22 @@
 			if c.rule == "" {
 				rules.Slack = lenientSlack
 			}
-			breaches := ledger.FindViolations(r.Entries, rules)
+			violations := ledger.FindViolations(r.Entries, rules)
 			if c.rule == "" {
-				if len(breaches) > 0 {
-					t.Fatalf("a proxy without faults broke a rule: %s", breaches[0])
+				if len(violations) > 0 {
+					t.Fatalf("a proxy without faults violated a rule: %s", violations[0])
 				}
 				if v := ledger.MeasureService(r.Entries, s.LedgerObjective()); v.ClientRequests < 60 || v.InTime < v.ClientRequests*9/10 {
 					t.Errorf("%d of %d requests served in time, want at least 60 requests and 9 in 10 in time", v.InTime, v.ClientRequests)
 				}
 				return
 			}
-			at := slices.IndexFunc(breaches, func(b ledger.Violation) bool { return b.Rule == c.rule && strings.Contains(b.Message, c.what) })
+			at := slices.IndexFunc(violations, func(v ledger.Violation) bool { return v.Rule == c.rule && strings.Contains(v.Message, c.what) })
 			if at < 0 {
-				t.Fatalf("breach of %s (%s) not reported; reported: %v", c.rule, c.what, breaches)
+				t.Fatalf("violation of %s (%s) not reported; reported: %v", c.rule, c.what, violations)
 			}
-			if c.rule != ledger.RuleNoCrash && len(breaches[at].Entries) == 0 {
-				t.Errorf("breach without a story: %s", breaches[at])
+			if c.rule != ledger.RuleNoCrash && len(violations[at].Entries) == 0 {
+				t.Errorf("violation without its entries: %s", violations[at])
 			}
 		})
 	}
@@ -180,10 +180,10 @@
 	rules := s.Rules()
 	rules.Slack = lenientSlack
 	for _, b := range ledger.FindViolations(r.Entries, rules) {
-		t.Errorf("rule broken: %s", b)
+		t.Errorf("rule violated: %s", b)
 	}
 	if len(addresses) != 1 {
-		t.Errorf("got front addresses %v, want one", addresses)
+		t.Errorf("got first-tier addresses %v, want one", addresses)
 	}
 	checkNoProcesses(t, o.Dir)
 	for _, a := range addresses {
--- a/internal/lab/emulator/instance.go
+++ b/internal/lab/emulator/instance.go
@@ -27,16 +27,16 @@
 	*eventLoop
 
 	// Owned by the event loop.
-	model        *model.Instance
-	startedAt    time.Duration // 0 for an instance that is warm from the start
-	attempts     map[uint64]*attempt
-	listeners    map[string]*sidecarListener // by name of the sidecar
-	conns        map[*instanceConn]bool
-	silent       bool
-	stopped      bool
-	wasChoked    bool
-	localSidecar *sidecar // sends its calls to the tier below; nil in the last tier
-	misrouted    bool     // its calls go to the first tier instead
+	model         *model.Instance
+	startedAt     time.Duration // 0 for an instance that is fully warmed up from the start
+	attempts      map[uint64]*attempt
+	listeners     map[string]*sidecarListener // by name of the sidecar
+	conns         map[*instanceConn]bool
+	silent        bool
+	stopped       bool
+	wasOverloaded bool
+	localSidecar  *sidecar // sends its calls to the tier below; nil in the last tier
+	misrouted     bool     // its calls go to the first tier instead
 }
 
 // sidecarListener is the listener at which one sidecar reaches the instance.
@@ -96,7 +96,7 @@
 	return i
 }
 
-// startProcess starts a process of the instance, cold or warm, and records it.
+// startProcess starts a process of the instance, in its cold start or fully warmed up, and records it.
 func (i *instance) startProcess(now time.Duration, cold bool) {
 	note := "warm"
 	if i.startedAt = 0; cold {
@@ -129,8 +129,8 @@
 			i.respond(a)
 		}
 	}
-	if choked := i.model.Overloaded(); choked != i.wasChoked {
-		if i.wasChoked = choked; choked {
+	if overloaded := i.model.Overloaded(); overloaded != i.wasOverloaded {
+		if i.wasOverloaded = overloaded; overloaded {
 			i.w.ledger.Add(ledger.Entry{Kind: ledger.InstanceOverloaded, Tier: i.machine.Tier, Instance: i.machine.Name})
 		}
 	}
@@ -380,10 +380,10 @@
 	}
 }
 
-// restore returns the machine to the network: all its connections are reset, and its process is new and cold.
+// restore returns the machine to the network: all its connections are reset, and its new process is in its cold start.
 func (i *instance) restore() {
 	i.resetConns()
-	i.silent, i.wasChoked = false, false
+	i.silent, i.wasOverloaded = false, false
 	i.startProcess(i.w.ledger.Now(), true)
 	for _, l := range i.listeners {
 		l.close()
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -37,7 +37,7 @@
 	sidecar   *sidecar
 	updates   chan model.Update
 	ended     chan struct{}
-	breakMode string // how it was broken, one of the scenario's ways; owned by the event loop
+	breakMode string // how it was broken, one of the scenario's modes; owned by the event loop
 }
 
 func newRegistry(w *World) *registry {
@@ -176,12 +176,12 @@
 	})
 }
 
-// breakWatches breaks the watches of a sidecar in one of the scenario's ways.
-func (r *registry) breakWatches(s *sidecar, way string) {
+// breakWatches breaks the watches of a sidecar in one of the scenario's modes.
+func (r *registry) breakWatches(s *sidecar, mode string) {
 	r.do(func() {
 		for sub := range r.subscriptions {
 			if sub.sidecar == s && sub.breakMode == "" {
-				sub.breakMode = way
+				sub.breakMode = mode
 				close(sub.ended)
 				delete(r.subscriptions, sub)
 			}
@@ -306,11 +306,11 @@
 	}
 }
 
-// endSubscription ends a subscription in the way in which it was broken.
+// endSubscription ends a subscription in the mode in which it was broken.
 func (r *registry) endSubscription(sub *subscription, req *http.Request) {
-	way := ""
-	r.do(func() { way = sub.breakMode })
-	switch way {
+	mode := ""
+	r.do(func() { mode = sub.breakMode })
+	switch mode {
 	case scenario.WatchesReset:
 		panic(http.ErrAbortHandler)
 	case scenario.WatchesSilent:
--- a/internal/lab/emulator/timeline.go
+++ b/internal/lab/emulator/timeline.go
@@ -33,9 +33,9 @@
 		case scenario.Start:
 			background.Go(func() { w.startInstance(*e.Machine) })
 		case scenario.RestartSidecar:
-			background.Go(func() { w.restartSidecar(w.frontSidecars[e.Sidecar], e.SignalSeries) })
+			background.Go(func() { w.restartSidecar(w.firstTierSidecars[e.Sidecar], e.SignalSeries) })
 		case scenario.KillSidecar, scenario.StopSidecar, scenario.ResumeSidecar, scenario.BreakPath, scenario.RestorePath, scenario.BreakWatches:
-			w.applyToSidecar(w.frontSidecars[e.Sidecar], e, &background)
+			w.applyToSidecar(w.firstTierSidecars[e.Sidecar], e, &background)
 		case scenario.MoveDiscovery:
 			w.registry.switchAddress()
 			w.reloadSidecars()
@@ -128,12 +128,12 @@
 	w.registry.statusChanged(i, model.Ready, w.scenario.Discovery.AddDelay.D())
 }
 
-// restartSidecar does a planned restart of a sidecar: the front layer is notified first. Clients keep using open connections to
-// it until it has ended. In a series, further signals are sent before and after the one that stops it.
-func (w *World) restartSidecar(s *sidecar, series bool) {
-	w.removeFromFront(s, 300*time.Millisecond)
+// restartSidecar does a planned restart of a sidecar: the front-end load balancer is notified first. Clients keep using open
+// connections to it until it has ended. With signalSeries, further signals are sent before and after the one that stops it.
+func (w *World) restartSidecar(s *sidecar, signalSeries bool) {
+	w.markDead(s, 300*time.Millisecond)
 	w.setStopping(s, true)
-	if series {
+	if signalSeries {
 		if p := s.signal(syscall.SIGHUP, false); p != nil { // the later signals go to this process, not to its successor
 			time.AfterFunc(signalInterval, func() { p.cmd.Process.Signal(syscall.SIGHUP) })
 			time.AfterFunc(2*signalInterval, func() { p.cmd.Process.Signal(syscall.SIGTERM) })
@@ -147,18 +147,18 @@
 // signalInterval is short compared with every step of a sidecar's stop.
 const signalInterval = 40 * time.Millisecond
 
-// setStopping records that a front sidecar has been asked to stop, or has ended.
+// setStopping records that a first-tier sidecar has been asked to stop, or has ended.
 func (w *World) setStopping(s *sidecar, stopping bool) {
-	w.frontMu.Lock()
-	defer w.frontMu.Unlock()
+	w.balancerMu.Lock()
+	defer w.balancerMu.Unlock()
 	if !stopping {
-		delete(w.stoppingFront, s)
+		delete(w.stoppingSidecars, s)
 		return
 	}
-	if w.stoppingFront == nil {
-		w.stoppingFront = map[*sidecar]bool{}
+	if w.stoppingSidecars == nil {
+		w.stoppingSidecars = map[*sidecar]bool{}
 	}
-	w.stoppingFront[s] = true
+	w.stoppingSidecars[s] = true
 }
 
 // applyToSidecar executes an event of a sidecar or its paths.
@@ -177,11 +177,12 @@
 	}
 }
 
-// killSidecar kills a sidecar. The front layer notices late. The sidecar is started again at once, or after the event's span.
+// killSidecar kills a sidecar. The front-end load balancer detects it with a delay. The sidecar is started again immediately,
+// or after the event's span.
 func (w *World) killSidecar(s *sidecar, e scenario.Event) {
-	front := s.tier == 0
-	if front {
-		w.removeFromFront(s, w.scenario.Frontend.DetectionDelay.D())
+	firstTier := s.tier == 0
+	if firstTier {
+		w.markDead(s, w.scenario.Frontend.DetectionDelay.D())
 	}
 	s.kill()
 	if e.Span > 0 && !w.sleepUntil(w.ctx, e.At+e.Span) {
@@ -189,7 +190,7 @@
 	}
 	s.setStartEmpty(e.DiscardList)
 	switch {
-	case front:
+	case firstTier:
 		w.startAndAdmit(s)
 	case !s.isRunning() && !w.isDown(e.Instance): // its machine may have been restored meanwhile, or be gone
 		if err := s.start(); err != nil {
@@ -198,30 +199,30 @@
 	}
 }
 
-// frontShare is the share of the clients that a front sidecar gets, relative to 1 for the others.
-func (w *World) frontShare(s *sidecar) float64 {
+// clientWeight is the share of the clients that a first-tier sidecar gets, relative to 1 for the others.
+func (w *World) clientWeight(s *sidecar) float64 {
 	if s.index == 0 {
 		return w.scenario.Frontend.Skew
 	}
 	return 1
 }
 
-// removeFromFront makes the front layer notice after a delay that a sidecar has ended.
-func (w *World) removeFromFront(s *sidecar, delay time.Duration) {
-	w.frontMu.Lock()
-	defer w.frontMu.Unlock()
-	w.front.MarkDead(w.ledger.Now()+delay, s.name)
+// markDead makes the front-end load balancer detect after a delay that a sidecar has ended.
+func (w *World) markDead(s *sidecar, delay time.Duration) {
+	w.balancerMu.Lock()
+	defer w.balancerMu.Unlock()
+	w.balancer.MarkDead(w.ledger.Now()+delay, s.name)
 }
 
-// startAndAdmit starts a front sidecar again and admits it to the front layer.
+// startAndAdmit starts a first-tier sidecar again and adds it to the front-end load balancer.
 func (w *World) startAndAdmit(s *sidecar) {
 	if err := s.start(); err != nil {
 		w.failStart(err)
 		return
 	}
-	w.frontMu.Lock()
-	defer w.frontMu.Unlock()
-	w.front.AddSidecar(s.name, w.frontShare(s))
+	w.balancerMu.Lock()
+	defer w.balancerMu.Unlock()
+	w.balancer.AddSidecar(s.name, w.clientWeight(s))
 }
 
 // failStart ends the run because a sidecar could not be started, unless the run is ending already.
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -36,7 +36,7 @@
 	Dir      string   // for configuration files and logs of sidecars; created if missing
 	Log      *slog.Logger
 	Progress func(Progress)           // called every second; nil for none
-	Ready    func(addresses []string) // called with the front sidecars' addresses once everything has started; nil for none
+	Ready    func(addresses []string) // called with the first-tier sidecars' addresses once everything has started; nil for none
 	Idle     bool                     // no clients: keep everything running until the context ends
 }
 
@@ -90,11 +90,11 @@
 	caller         *caller
 	lastAttempt    atomic.Uint64
 
-	frontSidecars []*sidecar // the sidecars of the first tier, which clients use
-	frontMu       sync.Mutex
-	front         model.FrontendBalancer
-	stoppingFront map[*sidecar]bool // front sidecars that have been asked to stop and still run
-	picks         int               // number of sidecars picked for clients
+	firstTierSidecars []*sidecar // the sidecars of the first tier, which clients use
+	balancerMu        sync.Mutex
+	balancer          model.FrontendBalancer
+	stoppingSidecars  map[*sidecar]bool // first-tier sidecars that have been asked to stop and still run
+	picks             int               // number of sidecars picked for clients
 
 	mu        sync.Mutex
 	instances map[string]*instance
@@ -145,7 +145,7 @@
 	w.resetClock()
 	if o.Ready != nil {
 		var addresses []string
-		for _, s := range w.frontSidecars {
+		for _, s := range w.firstTierSidecars {
 			addresses = append(addresses, s.listen)
 		}
 		o.Ready(addresses)
@@ -234,11 +234,11 @@
 	}
 	for n := range w.scenario.Tiers[0].Sidecars {
 		s := w.newSidecar(fmt.Sprintf("front-%d", n), 0, n, w.scenario.Tiers[0].Sidecars)
-		w.frontSidecars = append(w.frontSidecars, s)
+		w.firstTierSidecars = append(w.firstTierSidecars, s)
 		if err := w.startSidecar(s); err != nil {
 			return err
 		}
-		w.front.AddSidecar(s.name, w.frontShare(s))
+		w.balancer.AddSidecar(s.name, w.clientWeight(s))
 	}
 	return w.failure()
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -23,7 +23,7 @@
 	Answered              Kind = "answered" // a caller received an answer
 	TimedOut              Kind = "gave-up"  // no answer by the caller's deadline
 	ConnectionBroken      Kind = "broken"   // the connection ended without a complete answer
-	CallerGone            Kind = "left"     // the caller disappeared before the answer (its machine died)
+	CallerGone            Kind = "left"     // the caller disappeared before the answer (its machine failed)
 	CallerClosed          Kind = "quit"     // the caller closed its connection before its deadline
 	ExtraBytes            Kind = "extra"    // bytes followed the answer to this request
 	AttemptBegun          Kind = "begun"    // the first byte of an attempt reached an instance
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -97,7 +97,7 @@
 // FrontendBalancer distributes client connections over the sidecars of their zone. It detects a dead sidecar with a delay.
 type FrontendBalancer struct {
 	targets  []*balancerTarget
-	deadFrom map[string]time.Duration // when the death of a sidecar is detected
+	deadFrom map[string]time.Duration // when the end of a sidecar's process is detected
 }
 
 // balancerTarget is a sidecar in the smooth weighted round robin of a FrontendBalancer.
@@ -106,8 +106,8 @@
 	weight, currentWeight float64
 }
 
-// AddSidecar adds a sidecar that has reported ready, or clears its death. The weight is relative to that of the others; 1 is an
-// even share.
+// AddSidecar adds a sidecar that has reported ready, also one that was marked dead before. The weight is relative to that of
+// the others; 1 is an even share.
 func (b *FrontendBalancer) AddSidecar(name string, weight float64) {
 	delete(b.deadFrom, name)
 	for _, t := range b.targets {
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// givenKeys tells which keys of a fault are set.
+// givenKeys reports which keys of a fault are set.
 func (f *Fault) givenKeys() map[string]bool {
 	return map[string]bool{"for": f.Duration != 0, "tier": f.Tier != "", "part": f.Share != 0, "count": f.Count != 0, "size": f.Magnitude != 0,
 		"every": f.Interval != 0, "span": f.Span != 0, "batch": f.BatchShare != 0, "drain": f.DrainTime != 0, "path": f.Path != "", "way": f.Mode != "",
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -70,7 +70,7 @@
 	Sidecar      int      // number of a sidecar of the first tier, from 0
 	Factor       float64
 	Span         time.Duration
-	Path         *Path  // of BreakPath and HealPath
+	Path         *Path  // of BreakPath and RestorePath
 	DiscardList  bool   // of KillSidecar: the new process starts without an endpoint list
 	SignalSeries bool   // of RestartSidecar: several signals are sent in a row
 	Mode         string // of BreakWatches
--- a/internal/lab/wrong/wrong.go
+++ b/internal/lab/wrong/wrong.go
@@ -1,4 +1,4 @@
-// Package wrong is a small sidecar that deliberately breaks one rule, to show that each check of the lab can fail. It speaks the
+// Package wrong is a small sidecar that deliberately violates one rule, to show that each check of the lab can fail. It speaks the
 // platform's protocol and does no load balancing.
 package wrong
 
@@ -26,7 +26,7 @@
 // ModeHonest is the mode without a defect.
 const ModeHonest = "honest"
 
-// RulesByMode maps each mode with a defect to the rule that it breaks.
+// RulesByMode maps each mode with a defect to the rule that it violates.
 var RulesByMode = map[string]string{
 	"twice":         ledger.RuleNoUnsafeRetry,
 	"refuses":       ledger.RuleNoUnsafeRetry,
