--- a/cmd/kitewood/crowdedlist_test.go
+++ b/cmd/kitewood/crowdedlist_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"kitewood/internal/lab/model"
+	"kitewood/internal/testkit"
 )
 
 // failAfter has each call wait and then fail, as in a queue that is too long.
@@ -156,6 +157,27 @@
 	}
 }
 
+// Discovery refuses connections for 18 s, which proves that it notifies nobody: all requests are served meanwhile. After its return
+// a drain is honoured in time, however many calls have failed before.
+func TestServesWhileDiscoveryRefusesConnections(t *testing.T) {
+	t.Parallel()
+	const down, up = 500 * time.Millisecond, 18500 * time.Millisecond
+	s := &staleListTest{t: t, listMode: "ask", watchFirst: true, discoveryAddress: testkit.ReserveAddress(t)}
+	server := s.startDiscovery(s.discoveryAddress, func(c *watchCall) {
+		c.send(c.test.list(1, "Ready"))
+		c.keepAlive(99 * time.Second)
+	})
+	s.run(nil, func() {
+		s.sleepUntil(down)
+		stopDiscovery(server)
+		s.sleepUntil(up)
+		s.startDiscovery(s.discoveryAddress, drainFrom(up))
+	}, up+confirmWithin+time.Second)
+	s.checkServedShare(0.98)
+	s.checkServedThroughout(time.Second)
+	s.checkDrainHonoured(up + confirmWithin)
+}
+
 // queuedDiscovery is a discovery that serves calls one after the other.
 type queuedDiscovery struct {
 	mu    sync.Mutex
--- a/cmd/kitewood/stalelist_test.go
+++ b/cmd/kitewood/stalelist_test.go
@@ -33,7 +33,7 @@
 	start            atomic.Pointer[time.Time]
 	draining         net.Addr
 	staying          net.Addr
-	discoveryAddress string // of the discovery that the sidecar starts with
+	discoveryAddress string // of the discovery that the sidecar starts with; run starts it if empty
 	configPath       string
 	listen           string
 	signal           func(syscall.Signal)
@@ -44,6 +44,7 @@
 	sent           int           // requests of the clients
 	served         int
 	lastServed     time.Duration // when the last request was served
+	longestGap     time.Duration // between two requests that were served one after the other
 }
 
 // elapsed is the time since the start of the test.
@@ -82,11 +83,29 @@
 
 // discovery starts a discovery server that handles each call by a function.
 func (s *staleListTest) discovery(handle func(*watchCall)) string {
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	return s.startDiscovery("127.0.0.1:0", handle).Listener.Addr().String()
+}
+
+// startDiscovery starts a discovery server on an address.
+func (s *staleListTest) startDiscovery(address string, handle func(*watchCall)) *httptest.Server {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handle(&watchCall{w, r, s})
 	}))
-	s.t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	return server.Listener.Addr().String()
+	server.Listener.Close()
+	server.Listener = listener
+	server.Start()
+	s.t.Cleanup(func() { stopDiscovery(server) })
+	return server
+}
+
+// stopDiscovery breaks all watches of a discovery server and closes its listener. It may be called again.
+func stopDiscovery(server *httptest.Server) {
+	server.CloseClientConnections()
+	server.Close()
 }
 
 // watchCall is one call of the sidecar to discovery.
@@ -153,7 +172,9 @@
 	if s.setStartAfter(0); s.watchFirst {
 		s.setStartAfter(time.Hour) // the test does not start before the sidecar has its list
 	}
-	s.discoveryAddress = s.discovery(handle)
+	if s.discoveryAddress == "" {
+		s.discoveryAddress = s.discovery(handle)
+	}
 	s.configPath, s.listen = filepath.Join(t.TempDir(), "config.json"), testkit.ReserveAddress(t)
 	writeFile(t, s.configPath, configJSON(s.listen, s.discoveryAddress, 256, s.listMode, s.cachedEndpoints()...))
 	c, log := startSidecar(t, s.configPath, 0)
@@ -198,7 +219,9 @@
 	r.Body.Close()
 	if r.StatusCode == 200 {
 		s.served++
-		s.lastServed = s.elapsed()
+		now := s.elapsed()
+		s.longestGap = max(s.longestGap, now-s.lastServed)
+		s.lastServed = now
 	}
 }
 
@@ -238,6 +261,16 @@
 	}
 }
 
+// checkServedThroughout checks that no two requests that were served one after the other are further apart than a limit. Clients that
+// wait for their responses send few requests while none is served, so the share of those that were served hardly shows it.
+func (s *staleListTest) checkServedThroughout(maxGap time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.longestGap > maxGap {
+		s.t.Errorf("no request was served for %v, want at most %v", s.longestGap, maxGap)
+	}
+}
+
 // runDiscoveryDown runs a test in which discovery breaks its watch and then fails each call after a wait.
 func (s *staleListTest) runDiscoveryDown(wait time.Duration) {
 	s.run(func(c *watchCall) {
--- a/internal/transport/backoff.go
+++ b/internal/transport/backoff.go
@@ -11,7 +11,7 @@
 	reloaded  bool          // its address comes from a reload
 	startedAt time.Time     // of the subscription
 	pause     time.Duration // the last one of doublePause
-	failures  int           // consecutive calls that were refused, unanswered, failed, or found discovery unreachable
+	failures  int           // consecutive calls that were refused, unanswered or failed; those that found discovery unreachable do not count
 }
 
 const (
@@ -41,8 +41,8 @@
 func (b *backoff) next(result callResult, rng *rand.Rand) time.Duration {
 	jitter := func(of time.Duration) time.Duration { return time.Duration(rng.Float64() * float64(of)) }
 	jitterAround := func(d time.Duration) time.Duration { return d/2 + jitter(d) }
-	failed := result.outcome == callUnreachable || result.outcome == callFailed || result.outcome == callUnanswered || result.outcome == callRefused
-	if !failed {
+	failed := result.outcome == callFailed || result.outcome == callUnanswered || result.outcome == callRefused
+	if !failed && result.outcome != callUnreachable {
 		b.failures = 0
 	}
 	switch {
@@ -56,6 +56,9 @@
 		return jitterAround(b.doublePause(maxReloadPause))
 	case result.outcome == callBroken, result.outcome == callTruncated:
 		return jitter(initialSpread)
+	case result.outcome == callUnreachable:
+		// The call took none of discovery's time and renewed the lease, so the next one must come before that expires.
+		return jitter(initialSpread)
 	case !failed:
 		return jitterAround(isolatedFailurePause)
 	}
--- a/internal/transport/backoff_test.go
+++ b/internal/transport/backoff_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"kitewood/internal/lab/model"
+	"kitewood/internal/lease"
 )
 
 // caller is one sidecar without a list. It calls discovery, with a backoff between its calls, until it is served.
@@ -156,3 +157,50 @@
 		}
 	}
 }
+
+// An outage in which no connection to discovery can be established proves that nobody is notified, so its calls renew the lease.
+// The pauses between them must not let it expire, however long the outage is and however quickly a connection fails. Calls
+// that failed before the outage do not make them longer.
+func TestBackoffKeepsLeaseWhileUnreachable(t *testing.T) {
+	const outage = 10 * time.Minute
+	for _, failedBefore := range []int{0, 3, 9} {
+		for _, connectTime := range []time.Duration{0, discoveryConnectTimeout} {
+			t.Run(fmt.Sprintf("%d failed calls before, connections fail after %v", failedBefore, connectTime), func(t *testing.T) {
+				for seed := range uint64(100) {
+					rng := rand.New(rand.NewPCG(seed, 1))
+					var delays backoff
+					for range failedBefore {
+						delays.next(callResult{outcome: callFailed, duration: 2 * time.Second}, rng)
+					}
+					l := lease.New(lease.PullRules(500*time.Millisecond), 0)
+					for now := time.Duration(0); now < outage; {
+						began := now
+						now += connectTime
+						if expired := now - l.ExpiresAt(); expired > 0 {
+							t.Fatalf("seed %d: at %v the lease has been expired for %v", seed, now, expired)
+						}
+						l.RecordUnreachable(began)
+						now += delays.next(callResult{outcome: callUnreachable, duration: connectTime}, rng)
+					}
+				}
+			})
+		}
+	}
+}
+
+// Calls that find discovery unreachable say nothing about how many callers it has, so they do not make later pauses longer: a
+// process calls a discovery that is back within the time of a first failure.
+func TestUnreachableDiscoveryIsCalledSoonAfterReturn(t *testing.T) {
+	for seed := range uint64(100) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		var delays backoff
+		for range 20 {
+			if pause := delays.next(callResult{outcome: callUnreachable}, rng); pause > initialSpread {
+				t.Fatalf("seed %d: pause of %v after an unreachable discovery, at most %v", seed, pause, initialSpread)
+			}
+		}
+		if pause := delays.next(callResult{outcome: callFailed, duration: 2 * time.Second}, rng); pause > initialSpread {
+			t.Fatalf("seed %d: pause of %v after the first failed call, at most %v", seed, pause, initialSpread)
+		}
+	}
+}
