--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -99,8 +99,7 @@
 		if m.Address != ep.Address && m.Address != "" {
 			if ep.Address != "" { // the address has changed: use a new value, as attempts in flight refer to the old one
 				l.transport.CloseIdle(ep)
-				ep.closedAt = l.Now()
-				ep = l.endpoints.replace(ep)
+				ep = l.endpoints.replace(ep, l.Now())
 			}
 			ep.Address = m.Address
 		}
@@ -196,11 +195,15 @@
 	return ep
 }
 
-// replace closes an endpoint and puts a new value with the same ID, name and state in its place.
-func (t *endpointTable) replace(old *Endpoint) *Endpoint {
-	ep := &Endpoint{ID: old.ID, Name: old.Name}
-	ep.closed.Store(old.closed.Load())
-	old.closed.Store(true)
+// replace closes an endpoint and puts a new value with the same ID, name and state in its place. An endpoint that was closed
+// before stays closed since then, under both values.
+func (t *endpointTable) replace(old *Endpoint, now time.Duration) *Endpoint {
+	ep := &Endpoint{ID: old.ID, Name: old.Name, closedAt: old.closedAt}
+	if old.closed.Swap(true) {
+		ep.closed.Store(true)
+	} else {
+		old.closedAt = now
+	}
 	t.byName[ep.Name], t.byID[ep.ID] = ep, ep
 	return ep
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -387,6 +387,48 @@
 	}
 }
 
+// An endpoint that changes its address while it drains has drained since the first report: it is still sent nothing, and an attempt
+// that a faulty Transport begins after the grace period of that report counts as a violation.
+func TestAddressChangeWhileDraining(t *testing.T) {
+	l, network := start(t, balance.Limits{MaxAttempts: 1})
+	submit(l, 5*time.Second)
+	a, done := <-network.sent, <-network.done
+	name := a.Endpoint.Name
+	list := func(index int64, address string, state balance.State) (closedAt time.Duration, closed bool) {
+		l.UpdateEndpoints(balance.Delta, index, []Member{{Name: name, Address: address, State: state}})
+		waitForEvents(l)
+		return l.endpoints.byName[name].closedAt, l.endpoints.byName[name].Closed()
+	}
+	reported, _ := list(5, a.Endpoint.Address, balance.Draining)
+	time.Sleep(300 * time.Millisecond)
+	if closedAt, closed := list(6, "c:1", balance.Draining); !closed || closedAt != reported || a.Endpoint.closedAt != reported {
+		t.Errorf("after the change of address: closed %v since %v at the new address and %v at the old one, want closed since %v",
+			closed, closedAt, a.Endpoint.closedAt, reported)
+	}
+	time.Sleep(300 * time.Millisecond) // longer than the grace period since the report, but not since the change of address
+	for range 20 {
+		submit(l, 5*time.Second)
+		if next := <-network.sent; next.Endpoint.Name == name || next.Endpoint.Address == "c:1" {
+			t.Error("the draining endpoint was sent a request at its new address")
+		}
+		(<-network.done)(Result{Status: balance.OK})
+	}
+	a.Begin()
+	done(Result{Status: balance.OK})
+	waitForEvents(l)
+	if v := l.guard.Violations(); len(v) != 1 || v["drain"] != 1 {
+		t.Errorf("counted the violations %v, want one of drain", v)
+	}
+	if closedAt, closed := list(7, "d:1", balance.Ready); closed || closedAt != 0 {
+		t.Errorf("ready at a third address: closed %v since %v, want accepting requests", closed, closedAt)
+	}
+	former := l.endpoints.byName[name]
+	if closedAt, closed := list(8, "e:1", balance.Ready); closed || closedAt != 0 || !former.Closed() || former.closedAt == 0 {
+		t.Errorf("change of address while ready: closed %v since %v at the new address, and %v since %v at the old one, "+
+			"want only the old one closed", closed, closedAt, former.Closed(), former.closedAt)
+	}
+}
+
 // The machine's wall clock can be an hour off when the process starts. An endpoint whose start is newly reported counts as started
 // at about the time of the report, whatever its age by that clock; a start in the future counts as now.
 func TestStartTimesWithWrongWallClock(t *testing.T) {
