--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -11,15 +11,21 @@
 
 // Submit passes a request to the Loop, from any goroutine, and reports whether the Loop accepted it. If so, the request's
 // Done receives one answer, unless Abandon comes first. It returns false if the Loop is stuck or has not accepted the
-// request by its deadline; the request has then reached no endpoint.
+// request by its deadline; the request has then reached no endpoint. While a predecessor in which its key may be open is
+// stuck, or has not responded by the deadline, the answer is Failed.
 func (l *Loop) Submit(req *Request) bool {
 	l.pendingRequests.Add(1)
-	target, event := l, func() { l.admit(req) }
-	if previous := l.predecessor(); previous != nil && req.Key != "" {
-		target, event = previous, func() { l.admitUnlessOpenIn(previous, req) }
-	}
-	if stuck := l.Stuck() || target != l && target.Stuck(); !stuck && target.postUntil(event, req.Deadline) {
-		return true
+	if !l.Stuck() {
+		previous := l.predecessor()
+		if previous != nil && req.Key != "" {
+			if previous.Stuck() || !previous.postUntil(func() { l.admitUnlessOpenIn(previous, req) }, req.Deadline) {
+				l.failAsPossiblyOpen(req)
+			}
+			return true
+		}
+		if l.postUntil(func() { l.admit(req) }, req.Deadline) {
+			return true
+		}
 	}
 	l.pendingRequests.Add(-1)
 	return false
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -349,6 +349,54 @@
 	}
 }
 
+// While a predecessor does not respond, a copy of a request may be running in it. Its successors answer a request with a key that
+// may be open there as one that may have run, at once or by its deadline, and send it nowhere. One without a key is sent.
+func TestKeyMayBeOpenInStuckPredecessor(t *testing.T) {
+	previous, network := start(t, limits)
+	next, nextNetwork := start(t, limits)
+	next.TakeOver(previous)
+	third, thirdNetwork := start(t, limits)
+	third.TakeOver(next)
+	submitKey := func(l *Loop, key string, timeout time.Duration) (bool, chan Answer) {
+		answers := make(chan Answer, 9)
+		return l.Submit(&Request{Key: key, Deadline: l.Now() + timeout, Done: func(a Answer) { answers <- a }}), answers
+	}
+	submitKey(previous, "k", time.Minute)
+	<-network.sent
+	release, started := make(chan struct{}), make(chan struct{})
+	previous.post(func() { close(started); <-release })
+	<-started
+	expectFailed := func(state string, timeout time.Duration) {
+		for name, l := range map[string]*Loop{"successor": next, "second successor": third} {
+			accepted, answers := submitKey(l, "k", timeout)
+			if !accepted {
+				t.Errorf("%s, %s: not accepted, which states that the request did not run", state, name)
+				continue
+			}
+			if a := <-answers; a.Verdict != Failed || l.PendingRequests() != 0 {
+				t.Errorf("%s, %s: answered %+v with %d pending requests, want Failed", state, name, a, l.PendingRequests())
+			}
+		}
+	}
+	for range cap(previous.events) {
+		previous.post(func() {})
+	}
+	expectFailed("queue full", 50*time.Millisecond)
+	time.Sleep(stuckAfter + 50*time.Millisecond)
+	expectFailed("stuck", time.Minute)
+	if len(nextNetwork.sent)+len(thirdNetwork.sent) > 0 {
+		t.Error("a copy of the request was sent")
+	}
+	if accepted, _ := submitKey(third, "", time.Minute); !accepted || (<-thirdNetwork.sent).Request.Key != "" {
+		t.Error("a request without a key was not sent")
+	}
+	close(release)
+	waitForEvents(previous)
+	if accepted, answers := submitKey(third, "k", time.Minute); !accepted || (<-answers).Verdict != Duplicate {
+		t.Error("once the predecessor responds, its open key is not a duplicate")
+	}
+}
+
 // The guard checks the records of attempts: one that a faulty Transport begins although it is stale counts as a violation of the
 // invariant concerned.
 func TestGuardCountsViolations(t *testing.T) {
--- a/internal/routing/successor.go
+++ b/internal/routing/successor.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// admitUnlessOpenIn runs on a predecessor's goroutine. It admits a request to this Loop unless its key is open in the
-// predecessor, or in an earlier predecessor.
+// admitUnlessOpenIn runs on a predecessor's goroutine. It admits a request to this Loop unless its key is open, or may be open,
+// in the predecessor or in an earlier predecessor.
 func (l *Loop) admitUnlessOpenIn(prev *Loop, req *Request) {
 	if prev.requestsByKey[req.Key] != nil {
 		l.postAsync(func() { l.answer(req, Answer{Verdict: Duplicate}) })
@@ -71,10 +71,16 @@
 	case older == nil:
 		l.postAsync(func() { l.admit(req) })
 	case older.Stuck() || !older.postUntil(func() { l.admitUnlessOpenIn(older, req) }, 0):
-		l.postAsync(func() { l.answer(req, Answer{Verdict: Rejected}) }) // whether the key is open there is unknown
+		l.failAsPossiblyOpen(req)
 	}
 }
 
+// failAsPossiblyOpen answers a request whose key may be open in a predecessor that does not respond. A copy of the request may
+// have run there, so the answer must not state that a retry is safe.
+func (l *Loop) failAsPossiblyOpen(req *Request) {
+	l.postAsync(func() { l.answer(req, Answer{Verdict: Failed}) })
+}
+
 // postAsync enqueues an event without waiting for the Loop.
 func (l *Loop) postAsync(event func()) {
 	if !l.postUntil(event, 0) {
