--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -68,6 +68,8 @@
 	version         string               // state of the world: version of the last response, or the initial version of the proxy
 	responseDue     bool                 // names were added since the last response: a response is due even without a change
 	nonce           string               // of the last response
+	lastNames       []string             // resources that the last response contained or removed
+	rejected        map[string]bool      // resources whose last change was rejected, so that the proxy may have an older version
 	awaitingAck     bool                 // the last response has neither ACK nor NACK
 	sentAt          time.Duration        // when the last response was sent
 	urgentSince     time.Duration        // when the first unacknowledged urgent response was sent, 0 for none
@@ -136,7 +138,8 @@
 	sub := s.subscriptions[typeURL]
 	first := sub == nil
 	if first {
-		sub = &subscription{names: map[string]bool{}, sent: map[string]*Resource{}, initialVersions: map[string]string{}}
+		sub = &subscription{names: map[string]bool{}, sent: map[string]*Resource{}, initialVersions: map[string]string{},
+			rejected: map[string]bool{}}
 		s.subscriptions[typeURL] = sub
 	}
 	if !first && r.Nonce != "" && r.Nonce != sub.nonce {
@@ -163,6 +166,12 @@
 		return
 	}
 	s.awaitingAck = false
+	for _, name := range s.lastNames {
+		delete(s.rejected, name)
+		if r.NackReason != "" {
+			s.rejected[name] = true
+		}
+	}
 	if r.NackReason != "" {
 		// The resources count as sent: a rejected resource is not sent again before it changes.
 		s.nackReason = truncate(r.NackReason)
@@ -200,7 +209,7 @@
 	}
 	for name := range sub.sent {
 		if !wildcard && !names[name] {
-			delete(sub.sent, name)
+			sub.forget(name)
 		}
 	}
 	sub.names, sub.wildcard = names, wildcard
@@ -222,7 +231,7 @@
 			continue
 		}
 		sub.names[name] = true
-		delete(sub.sent, name) // subscribed again: sent again, as the proxy may have dropped it
+		sub.forget(name) // subscribed again: sent again, as the proxy may have dropped it
 	}
 	for _, name := range r.Unsubscribe {
 		if name == "*" {
@@ -231,7 +240,7 @@
 		}
 		delete(sub.names, name)
 		if !sub.wildcard {
-			delete(sub.sent, name)
+			sub.forget(name)
 		}
 	}
 	if len(sub.names) > MaxNames {
@@ -240,6 +249,12 @@
 	return nil
 }
 
+// forget discards what the proxy was sent and has rejected of a resource.
+func (s *subscription) forget(name string) {
+	delete(s.sent, name)
+	delete(s.rejected, name)
+}
+
 // Next returns the next response that is due, or nil, and the time after which a delayed response may be due, 0 for none. It is
 // to be called when a response can be written, so that a proxy that reads slowly receives the newest state without the states
 // in between.
@@ -385,13 +400,13 @@
 }
 
 // retainRoutedClusters adds removed clusters to subscribed for as long as the proxy may have routes to them, that is, until it
-// has accepted the routes of this snapshot.
+// has accepted the routes of this snapshot. While it has rejected them, it uses the ones that it accepted before.
 func (s *Stream) retainRoutedClusters(typeURL string, sub *subscription, subscribed map[string]*Resource) {
 	routes := s.subscriptions[TypeRoute]
 	if typeURL != TypeCluster || routes == nil {
 		return
 	}
-	if !routes.awaitingAck && s.hasCurrentRoutes(routes) {
+	if !routes.awaitingAck && s.acceptedCurrentRoutes(routes) {
 		return
 	}
 	for name, old := range sub.sent {
@@ -401,10 +416,12 @@
 	}
 }
 
-// hasCurrentRoutes reports whether the proxy was sent the routes of the snapshot.
-func (s *Stream) hasCurrentRoutes(sub *subscription) bool {
+// acceptedCurrentRoutes reports whether the proxy was sent the routes of the snapshot, and has rejected none of them. A route
+// that is gone counts as current once its removal was sent, or the proxy no longer subscribes to it.
+func (s *Stream) acceptedCurrentRoutes(sub *subscription) bool {
 	for name, r := range s.subscribed(TypeRoute, sub) {
-		if old := sub.sent[name]; r != nil && (old == nil || old.Version != r.Version) {
+		old := sub.sent[name]
+		if sub.rejected[name] || (old == nil) != (r == nil) || r != nil && old.Version != r.Version {
 			return false
 		}
 	}
@@ -422,8 +439,10 @@
 	if !s.delta && (r.TypeURL == TypeListener || r.TypeURL == TypeCluster) {
 		clear(sub.sent) // state of the world: a resource that is left out is removed
 	}
+	sub.lastNames = slices.Clone(r.Removed)
 	for _, x := range r.Resources {
 		sub.sent[x.Name] = x
+		sub.lastNames = append(sub.lastNames, x.Name)
 	}
 	for _, name := range r.Removed {
 		delete(sub.initialVersions, name)
--- a/internal/xds/stream_test.go
+++ b/internal/xds/stream_test.go
@@ -141,6 +141,7 @@
 }
 
 func TestStateOfTheWorld(t *testing.T) {
+	routesVersion := combinedVersion([]*Resource{{Name: "r", Version: "a"}})
 	for name, text := range map[string]string{
 		"all types in order, each once": `
 			> lds
@@ -254,6 +255,81 @@
 			<
 			ack rds r
 			< cds a=1`,
+		"a removed cluster stays while the proxy has rejected the routes without it": `
+			snap cds:a=1 cds:b=1 cds:c=1 rds:r=b
+			> cds
+			> rds r
+			< cds a=1 b=1 c=1
+			< rds r=b
+			ack cds
+			ack rds r
+			snap cds:a=1 cds:c=1 rds:r=a
+			< rds r=a
+			nack rds r
+			<
+			snap cds:a=1 rds:r=a
+			<
+			snap cds:a=2 rds:r=a2
+			< cds a=2 b=1 c=1
+			< rds r=a2
+			ack cds
+			<
+			ack rds r
+			< cds a=2`,
+		"routes accepted alone do not end the rejection of others": `
+			snap cds:a=1 cds:b=1 rds:q=b rds:r=b
+			> cds
+			> rds q r
+			< cds a=1 b=1
+			< rds q=b r=b
+			ack cds
+			ack rds q r
+			snap cds:a=1 rds:q=a rds:r=a
+			< rds q=a r=a
+			nack rds q r
+			snap cds:a=1 rds:q=a rds:r=a2
+			< rds r=a2
+			ack rds q r
+			<
+			snap cds:a=1 rds:q=a2 rds:r=a2
+			< rds q=a2
+			ack rds q r
+			< cds a=1`,
+		"rejected routes that are unsubscribed hold no cluster": `
+			snap cds:a=1 cds:b=1 rds:q=a rds:r=b
+			> cds
+			> rds q r
+			< cds a=1 b=1
+			< rds q=a r=b
+			ack cds
+			ack rds q r
+			snap cds:a=1 rds:q=a rds:r=a
+			< rds r=a
+			nack rds q r
+			<
+			> rds q
+			< cds a=1`,
+		"a removed cluster stays while the proxy has routes that are gone": `
+			snap cds:a=1 cds:b=1 rds:q=a rds:r=b
+			> cds
+			> rds q r
+			< cds a=1 b=1
+			< rds q=a r=b
+			ack cds
+			ack rds q r
+			snap cds:a=1 rds:q=a
+			<
+			> rds q
+			< cds a=1`,
+		"a proxy that reconnects with the current routes has accepted them": `
+			snap cds:a=1 cds:b=1 rds:r=a
+			> cds
+			> rds r v=` + routesVersion + `
+			< cds a=1 b=1
+			ack cds
+			<
+			snap cds:a=1 rds:r=a
+			< cds a=1`,
 		"a new cluster is sent before the routes to it": `
 			snap cds:a=1 rds:r=a
 			> cds
@@ -318,6 +394,43 @@
 			<
 			snap eds:a=1 eds:x=1
 			< eds x=1`,
+		"a removed cluster stays while the proxy has rejected the routes without it": `
+			snap cds:a=1 cds:b=1 rds:r=b
+			> cds
+			> rds +r
+			< cds a=1 b=1
+			< rds r=b
+			ack cds
+			ack rds
+			snap cds:a=1 rds:r=a
+			< rds r=a
+			nack rds
+			<
+			snap cds:a=1 rds:r=a2
+			< rds r=a2
+			<
+			ack rds
+			< cds -b`,
+		"a removed cluster stays until the removal of its routes is accepted": `
+			snap cds:a=1 cds:b=1 rds:r=b
+			> cds
+			> rds +r
+			< cds a=1 b=1
+			< rds r=b
+			ack cds
+			ack rds
+			snap cds:a=1
+			< rds -r
+			<
+			ack rds
+			< cds -b`,
+		"a proxy that reconnects with the current routes has accepted them": `
+			snap cds:a=1 cds:b=1 rds:r=a
+			> cds a@1 b@1
+			> rds +r r@a
+			<
+			snap cds:a=1 rds:r=a
+			< cds -b`,
 		"a repeated subscription is answered again": `
 			snap eds:a=1
 			> eds +a
@@ -522,6 +635,136 @@
 	})
 }
 
+// routedProxy models a proxy that subscribes to all clusters and to two routes, each of which names one cluster.
+type routedProxy struct {
+	stream   *Stream
+	delta    bool
+	now      time.Duration
+	clusters map[string]bool   // of the proxy
+	routes   map[string]string // of the proxy, with the cluster that they name
+	unacked  *Response         // routes that the proxy has not handled yet
+}
+
+// routeNames returns the names of the routes to which a routedProxy subscribes.
+func routeNames() []string { return []string{"q", "r"} }
+
+// request sends a discovery request.
+func (p *routedProxy) request(t *rapid.T, typeURL, nonce, nackReason string) {
+	q := &Request{TypeURL: typeURL, Nonce: nonce, NackReason: nackReason}
+	if typeURL == TypeRoute && !p.delta {
+		q.Names = routeNames()
+	}
+	if typeURL == TypeRoute && p.delta && nonce == "" {
+		q.Subscribe = routeNames()
+	}
+	if err := p.stream.HandleRequest(p.now, q); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// deliver receives the next response, if there is one. The proxy accepts clusters at once, and handles routes later.
+func (p *routedProxy) deliver(t *rapid.T) bool {
+	p.now += time.Second
+	r, _ := p.stream.Next(p.now)
+	if r == nil {
+		return false
+	}
+	if r.TypeURL == TypeRoute {
+		p.unacked = r
+		return true
+	}
+	if !p.delta {
+		clear(p.clusters)
+	}
+	for _, x := range r.Resources {
+		p.clusters[x.Name] = true
+	}
+	for _, name := range r.Removed {
+		delete(p.clusters, name)
+	}
+	p.request(t, r.TypeURL, r.Nonce, "")
+	return true
+}
+
+// handleRoutes accepts the routes that were received, or rejects them with a reason.
+func (p *routedProxy) handleRoutes(t *rapid.T, nackReason string) {
+	r := p.unacked
+	if p.unacked = nil; r == nil {
+		return
+	}
+	if nackReason == "" {
+		for _, x := range r.Resources {
+			p.routes[x.Name] = x.Version[:1]
+		}
+		for _, name := range r.Removed {
+			delete(p.routes, name)
+		}
+	}
+	p.request(t, r.TypeURL, r.Nonce, nackReason)
+}
+
+// check fails the test if the proxy lacks a cluster that one of its routes names.
+func (p *routedProxy) check(t *rapid.T, event string) {
+	for name, to := range p.routes {
+		if !p.clusters[to] {
+			t.Fatalf("after %s: route %s names cluster %s, and the proxy has %v", event, name, to, slices.Sorted(maps.Keys(p.clusters)))
+		}
+	}
+}
+
+// publishRouted sets a snapshot with some clusters and with routes to them, of which some may be missing. It returns the clusters.
+func publishRouted(t *rapid.T, s *Stream, version int, allRoutes bool) map[string]bool {
+	text, clusters := "", map[string]bool{}
+	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 3, rapid.ID[string]).Draw(t, "clusters") {
+		clusters[name] = true
+		text += " cds:" + name + "=1"
+	}
+	for _, name := range routeNames() {
+		to := rapid.SampledFrom(slices.Sorted(maps.Keys(clusters))).Draw(t, name)
+		if allRoutes || rapid.IntRange(0, 4).Draw(t, "gone") > 0 {
+			text += fmt.Sprintf(" rds:%s=%s%d", name, to, version)
+		}
+	}
+	s.SetSnapshot(parseSnapshot(t, text))
+	return clusters
+}
+
+// TestRoutedClustersStay checks that for any order of snapshots, ACKs and NACKs, a proxy has all clusters that the routes name which
+// it accepted last, and that once it accepts all routes, it has the clusters of the last snapshot alone.
+func TestRoutedClustersStay(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		delta := rapid.Bool().Draw(t, "delta")
+		p := &routedProxy{stream: NewStream(delta, ""), delta: delta, clusters: map[string]bool{}, routes: map[string]string{}}
+		p.request(t, TypeCluster, "", "")
+		p.request(t, TypeRoute, "", "")
+		for i := range rapid.IntRange(1, 40).Draw(t, "events") {
+			event := rapid.SampledFrom([]string{"snapshot", "delivery", "delivery", "ACK", "NACK"}).Draw(t, "event")
+			switch event {
+			case "snapshot":
+				publishRouted(t, p.stream, rapid.IntRange(0, 1).Draw(t, "version")+i/10, false)
+			case "delivery":
+				p.deliver(t)
+			case "ACK":
+				p.handleRoutes(t, "")
+			case "NACK":
+				p.handleRoutes(t, "odd")
+			}
+			p.check(t, event)
+		}
+		last := publishRouted(t, p.stream, 100, true) // a version that the proxy has not rejected
+		for i := 0; p.deliver(t) || p.unacked != nil; i++ {
+			p.handleRoutes(t, "")
+			p.check(t, "the last snapshot")
+			if i > 100 {
+				t.Fatal("the stream still sends responses after 100 rounds of ACKs")
+			}
+		}
+		if !maps.Equal(p.clusters, last) {
+			t.Fatalf("the proxy has the clusters %v, want %v", p.clusters, last)
+		}
+	})
+}
+
 // FuzzStream checks that for any requests, a stream does not panic, exceed its limits or send responses without end.
 func FuzzStream(f *testing.F) {
 	f.Add(false, "cds\neds a b\n!eds a\neds\n")
