--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -349,6 +349,54 @@
 	}
 }
 
+// While a predecessor does not respond, a copy of a request may be running in it. Its successors answer a request with a key that
+// may be open there as one that may have run, at once or by its deadline, and send it nowhere. One without a key is sent.
+func TestKeyMayBeOpenInStuckPredecessor(t *testing.T) {
+	previous, network := start(t, limits)
+	next, nextNetwork := start(t, limits)
+	next.TakeOver(previous)
+	third, thirdNetwork := start(t, limits)
+	third.TakeOver(next)
+	submitKey := func(l *Loop, key string, timeout time.Duration) (bool, chan Answer) {
+		answers := make(chan Answer, 9)
+		return l.Submit(&Request{Key: key, Deadline: l.Now() + timeout, Done: func(a Answer) { answers <- a }}), answers
+	}
+	submitKey(previous, "k", time.Minute)
+	<-network.sent
+	release, started := make(chan struct{}), make(chan struct{})
+	previous.post(func() { close(started); <-release })
+	<-started
+	expectFailed := func(state string, timeout time.Duration) {
+		for name, l := range map[string]*Loop{"successor": next, "second successor": third} {
+			accepted, answers := submitKey(l, "k", timeout)
+			if !accepted {
+				t.Errorf("%s, %s: not accepted, which states that the request did not run", state, name)
+				continue
+			}
+			if a := <-answers; a.Verdict != Failed || l.PendingRequests() != 0 {
+				t.Errorf("%s, %s: answered %+v with %d pending requests, want Failed", state, name, a, l.PendingRequests())
+			}
+		}
+	}
+	for range cap(previous.events) {
+		previous.post(func() {})
+	}
+	expectFailed("queue full", 50*time.Millisecond)
+	time.Sleep(stuckAfter + 50*time.Millisecond)
+	expectFailed("stuck", time.Minute)
+	if len(nextNetwork.sent)+len(thirdNetwork.sent) > 0 {
+		t.Error("a copy of the request was sent")
+	}
+	if accepted, _ := submitKey(third, "", time.Minute); !accepted || (<-thirdNetwork.sent).Request.Key != "" {
+		t.Error("a request without a key was not sent")
+	}
+	close(release)
+	waitForEvents(previous)
+	if accepted, answers := submitKey(third, "k", time.Minute); !accepted || (<-answers).Verdict != Duplicate {
+		t.Error("once the predecessor responds, its open key is not a duplicate")
+	}
+}
+
 // The guard checks the records of attempts: one that a faulty Transport begins although it is stale counts as a violation of the
 // invariant concerned.
 func TestGuardCountsViolations(t *testing.T) {
@@ -387,6 +435,48 @@
 	}
 }
 
+// An endpoint that changes its address while it drains has drained since the first report: it is still sent nothing, and an attempt
+// that a faulty Transport begins after the grace period of that report counts as a violation.
+func TestAddressChangeWhileDraining(t *testing.T) {
+	l, network := start(t, balance.Limits{MaxAttempts: 1})
+	submit(l, 5*time.Second)
+	a, done := <-network.sent, <-network.done
+	name := a.Endpoint.Name
+	list := func(index int64, address string, state balance.State) (closedAt time.Duration, closed bool) {
+		l.UpdateEndpoints(balance.Delta, index, []Member{{Name: name, Address: address, State: state}})
+		waitForEvents(l)
+		return l.endpoints.byName[name].closedAt, l.endpoints.byName[name].Closed()
+	}
+	reported, _ := list(5, a.Endpoint.Address, balance.Draining)
+	time.Sleep(300 * time.Millisecond)
+	if closedAt, closed := list(6, "c:1", balance.Draining); !closed || closedAt != reported || a.Endpoint.closedAt != reported {
+		t.Errorf("after the change of address: closed %v since %v at the new address and %v at the old one, want closed since %v",
+			closed, closedAt, a.Endpoint.closedAt, reported)
+	}
+	time.Sleep(300 * time.Millisecond) // longer than the grace period since the report, but not since the change of address
+	for range 20 {
+		submit(l, 5*time.Second)
+		if next := <-network.sent; next.Endpoint.Name == name || next.Endpoint.Address == "c:1" {
+			t.Error("the draining endpoint was sent a request at its new address")
+		}
+		(<-network.done)(Result{Status: balance.OK})
+	}
+	a.Begin()
+	done(Result{Status: balance.OK})
+	waitForEvents(l)
+	if v := l.guard.Violations(); len(v) != 1 || v["drain"] != 1 {
+		t.Errorf("counted the violations %v, want one of drain", v)
+	}
+	if closedAt, closed := list(7, "d:1", balance.Ready); closed || closedAt != 0 {
+		t.Errorf("ready at a third address: closed %v since %v, want accepting requests", closed, closedAt)
+	}
+	former := l.endpoints.byName[name]
+	if closedAt, closed := list(8, "e:1", balance.Ready); closed || closedAt != 0 || !former.Closed() || former.closedAt == 0 {
+		t.Errorf("change of address while ready: closed %v since %v at the new address, and %v since %v at the old one, "+
+			"want only the old one closed", closed, closedAt, former.Closed(), former.closedAt)
+	}
+}
+
 // The machine's wall clock can be an hour off when the process starts. An endpoint whose start is newly reported counts as started
 // at about the time of the report, whatever its age by that clock; a start in the future counts as now.
 func TestStartTimesWithWrongWallClock(t *testing.T) {
