--- a/internal/transport/connectionpool.go
+++ b/internal/transport/connectionpool.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"kitewood/balance"
+	"kitewood/internal/errnoclass"
 	"kitewood/internal/protocol"
 	"kitewood/internal/routing"
 )
@@ -30,9 +31,20 @@
 	Log                 *slog.Logger
 }
 
+// dialFunc opens a TCP connection to an address within a timeout.
+type dialFunc func(address string, timeout time.Duration) (net.Conn, error)
+
+// dialTCP is the dialFunc of every pool outside of tests.
+func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	return dialer.Dial("tcp", address)
+}
+
 // ConnectionPool sends attempts over pooled connections to the endpoints. It implements routing.Transport.
 type ConnectionPool struct {
 	ConnectionPoolOptions
+	connect dialFunc // replaced in tests only
+
 	mu     sync.Mutex
 	closed bool
 	idle   map[*routing.Endpoint][]*upstreamConn // newest last
@@ -40,7 +52,7 @@
 
 // NewConnectionPool returns a ConnectionPool without connections.
 func NewConnectionPool(o ConnectionPoolOptions) *ConnectionPool {
-	return &ConnectionPool{ConnectionPoolOptions: o, idle: map[*routing.Endpoint][]*upstreamConn{}}
+	return &ConnectionPool{ConnectionPoolOptions: o, connect: dialTCP, idle: map[*routing.Endpoint][]*upstreamConn{}}
 }
 
 // probeTimeout bounds a probe, from its start to its response.
@@ -136,6 +148,9 @@
 	}
 	conn, err := p.dial(ctx, d, until)
 	if err != nil {
+		if errnoclass.Of(errnoclass.Connect, err) == errnoclass.LocalFailure {
+			e.progress = routing.NotSent // must not count against the endpoint
+		}
 		return nil, err
 	}
 	uc := p.newUpstreamConn(d, conn)
@@ -160,8 +175,7 @@
 	}
 	dialDone := make(chan dialed, 1)
 	go func() {
-		dialer := net.Dialer{Timeout: max(time.Until(until), minDialTimeout), KeepAlive: -1}
-		conn, err := dialer.Dial("tcp", d.Address)
+		conn, err := p.connect(d.Address, max(time.Until(until), minDialTimeout))
 		if err != nil {
 			p.ConnectionLimiter.Release()
 		}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -40,14 +40,24 @@
 // function is called.
 func prepareSidecar(t *testing.T, maxConns int, endpoint string, set balance.Settings, discovery string) (*Server, net.Listener, func()) {
 	t.Helper()
-	clock := routing.NewClock()
+	return prepareSidecarWithPool(t, maxConns, []string{endpoint}, set, discovery, newTestPool(routing.NewClock()))
+}
+
+// prepareSidecarWithPool is prepareSidecar with several endpoints, named s, ss and so on, and a connection pool.
+func prepareSidecarWithPool(t *testing.T, maxConns int, endpoints []string, set balance.Settings, discovery string, pool *ConnectionPool) (*Server, net.Listener, func()) {
+	t.Helper()
+	clock := pool.Clock
 	loop, err := routing.New(set, routing.Names{}, clock, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	loop.UpdateEndpoints(balance.Cached, 1, []routing.Member{{Name: "s", Address: endpoint, State: balance.Ready}})
+	var members []routing.Member
+	for i, address := range endpoints {
+		members = append(members, routing.Member{Name: strings.Repeat("s", i+1), Address: address, State: balance.Ready})
+	}
+	loop.UpdateEndpoints(balance.Cached, 1, members)
 	classes := []protocol.Class{{Name: "look", Methods: []string{"GET"}, Deadline: 2 * time.Second, Keyed: set.Classes[0].Effect == balance.Keyed},
 		{Name: "pay", Methods: []string{"POST"}, Deadline: 2 * time.Second}}
 	srv := NewServer(clock, SinglePoolRouter(&Backend{Loop: loop}, classes), Budget{ClientConns: maxConns, OverflowConns: 2}, discardLog)
@@ -57,7 +67,7 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go srv.Serve(ln)
-	return srv, ln, func() { go loop.Run(ctx, newTestPool(clock), NewDiscoveryClient(ctx, discovery, loop, discardLog)) }
+	return srv, ln, func() { go loop.Run(ctx, pool, NewDiscoveryClient(ctx, discovery, loop, discardLog)) }
 }
 
 // loopOf returns the event loop that a server sends requests to.
