--- a/internal/transport/upstreamconn.go
+++ b/internal/transport/upstreamconn.go
@@ -69,6 +69,13 @@
 	e.mu.Unlock()
 }
 
+// noteWritten records that the last byte of the request has been written.
+func (e *exchange) noteWritten() {
+	e.mu.Lock()
+	e.progress = max(e.progress, routing.FullyWritten)
+	e.mu.Unlock()
+}
+
 // endWrite records the result of the write. It returns the error that ended the exchange during the write, else that of the write.
 func (e *exchange) endWrite(err error) error {
 	e.mu.Lock()
@@ -171,7 +178,14 @@
 func (uc *upstreamConn) write(e *exchange, text net.Buffers) {
 	uc.conn.SetWriteDeadline(e.deadline)
 	e.beginWrite()
-	_, err := text.WriteTo(uc.conn)
+	missing := 0
+	for _, part := range text {
+		missing += len(part)
+	}
+	n, err := text.WriteTo(uc.conn)
+	if missing -= int(n); missing == 0 { // the last byte is on its way: the request may run, whatever the write returned
+		e.noteWritten()
+	}
 	uc.finishWrite(e, err)
 }
 
--- a/internal/transport/upstreamconn_test.go
+++ b/internal/transport/upstreamconn_test.go
@@ -5,8 +5,10 @@
 	"errors"
 	"io"
 	"net"
+	"os"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -222,3 +224,28 @@
 		t.Errorf("%d connections, want 2", n)
 	}
 }
+
+// failingWriteConn reports an error from the write of an empty part, after all others have been written.
+type failingWriteConn struct{ net.Conn }
+
+func (c failingWriteConn) Write(p []byte) (int, error) {
+	if len(p) > 0 {
+		return c.Conn.Write(p)
+	}
+	return 0, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.EPIPE)}
+}
+
+// A write that fails once the last byte of the request is on its way does not make the request one that never ran: it would be sent
+// a second time.
+func TestWriteFailsAfterTheLastByte(t *testing.T) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	go io.Copy(io.Discard, remote)
+	ended := make(chan routing.Result, 1)
+	e := &exchange{done: func(r routing.Result) { ended <- r }, deadline: time.Now().Add(time.Minute)}
+	uc := &upstreamConn{pool: newTestPool(routing.NewClock()), endpoint: &routing.Endpoint{}, conn: failingWriteConn{local}, exchange: e}
+	uc.write(e, net.Buffers{[]byte("POST / HTTP/1.1\r\n\r\n"), nil})
+	if r := <-ended; r.Err == nil || r.Err.Status() != balance.Reset {
+		t.Errorf("got result %+v, want a reset", r)
+	}
+}
