--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -104,7 +104,10 @@
 		}
 		if head := c.parser.Head(); head != nil && !continued && head.Header.Get("Expect") != "" {
 			continued = true
-			c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+			if !c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) { // a response would follow the torn half of this one
+				c.setCloseReason(closedWriteFailed)
+				return
+			}
 		}
 		if c.closing && peek(c.conn) != peekData {
 			// A partial request gets as much time as in requestClose.
