--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"syscall"
+
+	"kitewood/internal/errnoclass"
 )
 
 // peekResult is what peek found on a connection.
@@ -28,15 +30,23 @@
 	result := peekClosed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		switch n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
-		case e == syscall.EAGAIN || e == syscall.EINTR:
-			result = peekNothing
-		case e == nil && n > 0:
-			result = peekData
-		}
+		n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		result = peekResultOf(n, e)
 	})
 	if err != nil {
 		return peekClosed
 	}
 	return result
 }
+
+// peekResultOf interprets the result of a recvfrom that does not wait. An interruption or a momentary lack of memory does not show
+// that the peer is gone.
+func peekResultOf(n int, err error) peekResult {
+	switch {
+	case err == nil && n > 0:
+		return peekData
+	case err != nil && errnoclass.Of(errnoclass.Transfer, err) == errnoclass.TryAgain:
+		return peekNothing
+	}
+	return peekClosed
+}
