--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -14,6 +14,8 @@
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"kitewood/internal/errnoclass"
 )
 
 // timeout bounds the time that a client may take to send its command and to read a value, so that no client holds a descriptor
@@ -53,30 +55,41 @@
 		return err
 	}
 	context.AfterFunc(ctx, func() { ln.Close() })
-	go func() {
-		var open atomic.Int32
-		for {
-			c, err := ln.Accept()
-			if errors.Is(err, net.ErrClosed) {
+	go acceptClients(ctx, ln, log, handlers)
+	return nil
+}
+
+// acceptClients serves the clients of a listener until it is closed. Of a run of failures only the first is logged.
+func acceptClients(ctx context.Context, ln net.Listener, log *slog.Logger, handlers map[string]Handler) {
+	var open atomic.Int32
+	failing := false
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			if errnoclass.Of(errnoclass.Accept, err) == errnoclass.GiveUp {
 				return
 			}
-			if err != nil {
+			if !failing {
 				log.Error("cannot accept a connection on the admin socket", "error", err)
-				time.Sleep(timeout) // for example, out of descriptors
-				continue
 			}
-			if open.Add(1) > maxClients {
-				open.Add(-1)
-				c.Close()
-				continue
+			failing = true
+			select { // for example, out of descriptors
+			case <-time.After(timeout):
+			case <-ctx.Done():
 			}
-			go func() {
-				defer open.Add(-1)
-				handleConn(ctx, c, handlers)
-			}()
+			continue
 		}
-	}()
-	return nil
+		failing = false
+		if open.Add(1) > maxClients {
+			open.Add(-1)
+			c.Close()
+			continue
+		}
+		go func() {
+			defer open.Add(-1)
+			handleConn(ctx, c, handlers)
+		}()
+	}
 }
 
 // handleConn serves one client.
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -9,7 +9,10 @@
 	"path/filepath"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"kitewood/internal/testkit"
 )
@@ -66,3 +69,34 @@
 	}
 	testkit.WaitUntil(t, "silent clients have timed out", func() bool { return Query(path, StateCommand, &state) == nil })
 }
+
+// failingListener fails to accept until it is closed.
+type failingListener struct {
+	net.Listener
+	closed   atomic.Bool
+	attempts atomic.Int64
+}
+
+func (l *failingListener) Accept() (net.Conn, error) {
+	l.attempts.Add(1)
+	if l.closed.Load() {
+		return nil, net.ErrClosed
+	}
+	return nil, &net.OpError{Op: "accept", Net: "unix", Err: syscall.EMFILE}
+}
+
+// While accept fails for ten seconds it is called a few times and logged once.
+func TestAcceptFailsForTenSeconds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var logged testkit.LogBuffer
+		ctx, cancel := context.WithCancel(t.Context())
+		ln := &failingListener{}
+		go acceptClients(ctx, ln, slog.New(slog.NewTextHandler(&logged, nil)), nil)
+		time.Sleep(10 * time.Second)
+		if n := ln.attempts.Load(); n > 20 || logged.Count("\n") != 1 {
+			t.Errorf("%d calls and %d log lines, want at most 20 and 1", n, logged.Count("\n"))
+		}
+		ln.closed.Store(true)
+		cancel()
+	})
+}
