--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -95,9 +95,10 @@
 	receiver routing.EndpointListReceiver
 	log      *slog.Logger
 
-	mu       sync.Mutex
-	version  int64
-	lastText string
+	mu        sync.Mutex
+	version   int64
+	lastText  string
+	lastError string // why the file was rejected last, empty once it is valid
 }
 
 var _ routing.Discovery = (*Source)(nil)
@@ -112,24 +113,51 @@
 // Watch does nothing, as changes are delivered without a request. It implements routing.Discovery.
 func (s *Source) Watch(int64) {}
 
-// reload loads the file and logs why it could not.
+// settleTime is how long a changed file must stay the same before it is read. A file that is overwritten in place can be a valid,
+// shorter list while it is being written.
+const settleTime = 100 * time.Millisecond
+
+// reload loads the file once it no longer changes, and logs once why it could not.
 func (s *Source) reload() {
-	if err := s.load(); err != nil {
-		s.log.Error("endpoint list rejected, the previous list stays in force", "error", yamlfile.OneLine(err))
+	before, errBefore := os.ReadFile(s.path)
+	time.Sleep(settleTime)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	// Read under the lock: of two reloads at the same time the later one must not deliver the older text.
+	text, err := os.ReadFile(s.path)
+	if string(text) != string(before) || (err == nil) != (errBefore == nil) {
+		return // another reload follows, as this change is reported, too
+	}
+	if err == nil {
+		err = s.deliver(text)
+	}
+	if err == nil {
+		s.lastError = ""
+	} else if reason := yamlfile.OneLine(err); reason != s.lastError {
+		s.lastError = reason
+		s.log.Error("endpoint list rejected, the previous list stays in force", "error", reason)
 	}
 }
 
-// load delivers the list of the file if the file has changed and is valid.
+// load delivers the list of the file.
 func (s *Source) load() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	text, err := os.ReadFile(s.path)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	return s.deliver(text)
+}
+
+// deliver delivers a list if it has changed and is valid. s.mu is held.
+func (s *Source) deliver(text []byte) error {
 	if s.version > 0 && string(text) == s.lastText {
 		return nil
 	}
+	if err := yamlfile.CheckEndMark(s.path, []byte(s.lastText), text); err != nil {
+		return err
+	}
 	members, err := Read(s.path, text)
 	if err != nil {
 		return err
--- a/internal/program/file.go
+++ b/internal/program/file.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"maps"
+	"os"
 	"os/signal"
 	"slices"
 	"strconv"
@@ -16,6 +17,7 @@
 
 	"kitewood/internal/config"
 	"kitewood/internal/pools"
+	"kitewood/internal/yamlfile"
 )
 
 // ServeFile runs the pools of a configuration file until a signal stops the process and no requests are pending. On SIGHUP it
@@ -25,7 +27,7 @@
 	defer cancel()
 	signals := notifySignals()
 	defer signal.Stop(signals)
-	f, err := config.Load(path)
+	f, inForce, err := readConfig(path, nil)
 	if err != nil {
 		return err
 	}
@@ -40,13 +42,14 @@
 	}
 	log.Info("serving", "name", f.Name, "listeners", len(f.Listeners), "pools", len(f.Pools), "routes", len(f.Routes))
 	waitForStop(ctx, signals, log, set.PendingRequests, func() error {
-		next, err := config.Load(path)
+		next, text, err := readConfig(path, inForce)
 		if err != nil {
 			return err
 		}
 		if err := set.Apply(next); err != nil {
 			return err
 		}
+		inForce = text
 		log.Info("configuration reloaded", "listeners", len(next.Listeners), "pools", len(next.Pools), "routes", len(next.Routes))
 		return nil
 	})
@@ -55,6 +58,19 @@
 	return nil
 }
 
+// readConfig reads a configuration file that is to replace the text in force, and returns its text with it.
+func readConfig(path string, inForce []byte) (*config.File, []byte, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := yamlfile.CheckEndMark(path, inForce, text); err != nil {
+		return nil, nil, err
+	}
+	f, err := config.Read(path, text)
+	return f, text, err
+}
+
 // CheckFile reads a configuration file like ServeFile and writes it with all defaults.
 func CheckFile(path string, out io.Writer) error {
 	f, err := config.Load(path)
--- a/internal/yamlfile/read.go
+++ b/internal/yamlfile/read.go
@@ -2,6 +2,7 @@
 package yamlfile
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -122,3 +123,17 @@
 	t := f.body.GetToken()
 	return t.Position.Line, 1
 }
+
+// CheckEndMark returns a *Problem if the text in force ends with the line "...", the end mark of a YAML document, and the text that
+// is to replace it does not: the file was cut off, and what is left of it may be valid.
+func CheckEndMark(name string, inForce, text []byte) error {
+	if !hasEndMark(inForce) || hasEndMark(text) {
+		return nil
+	}
+	return &Problem{File: name, Text: `the line "..." that ended the file before is missing: it may be written only in part`}
+}
+
+// hasEndMark reports whether the last line of a text is the end mark.
+func hasEndMark(text []byte) bool {
+	return bytes.HasSuffix(bytes.TrimRight(text, " \t\r\n"), []byte("\n..."))
+}
