--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -6,6 +6,7 @@
 	"crypto/x509"
 	"encoding/json"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"path/filepath"
@@ -20,6 +21,7 @@
 	"kitewood/internal/directory"
 	"kitewood/internal/filewatch"
 	"kitewood/internal/lab/etcd"
+	"kitewood/internal/membership"
 	"kitewood/internal/protocol"
 	"kitewood/internal/routing"
 	"kitewood/internal/testkit"
@@ -141,6 +143,59 @@
 	testkit.WaitUntil(t, "the removal of e is reported", func() bool { return <-changes == "e gone" })
 }
 
+// Endpoints that are listed faster than the batches are published are never reported as gone: the followed view agrees with what the
+// service has published.
+func TestFollowersSeeNoRemovalOfNewEndpoints(t *testing.T) {
+	text := strings.Replace(validConfig, "file: a.yaml", "etcd: {endpoints: [\"127.0.0.1:1\"], prefix: /a/}", 1)
+	f, err := Read("c.yaml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	clock, discardLog := routing.NewClock(), slog.New(slog.DiscardHandler)
+	loop, err := routing.New(balancerSettings(&f.File, &f.Pools[0]), routing.Names{}, clock, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := newMembers(ctx, &f.Pools[0], 1, clock, loop, discardLog)
+	go loop.Run(ctx, transport.NewConnectionPool(transport.ConnectionPoolOptions{Clock: clock, ConnectionLimiter: transport.NewConnLimiter(1), Log: discardLog}), m)
+	service := &Service{pools: map[string]*pool{"a": {members: m}}}
+	etcd := &etcdFeed{m}
+	position := func(revision int) membership.Position {
+		return membership.Position{History: "h", Revision: int64(revision)}
+	}
+	etcd.ApplyList(position(0), nil, nil)
+	const endpoints = 200
+	ready := 0
+	followed := make(chan error, 1)
+	go func() {
+		followed <- service.followMembers(ctx, func(v any) error {
+			c := v.(MemberChange)
+			if c.Now.State != "ready" {
+				return fmt.Errorf("%s is reported as %s", c.Now.Name, c.Now.State)
+			}
+			if ready++; ready == endpoints {
+				return io.EOF
+			}
+			return nil
+		})
+	}()
+	for n := range endpoints {
+		name := fmt.Sprintf("i%03d", n)
+		etcd.ApplyChanges(position(n+1), []routing.Member{{Name: name, Address: fmt.Sprintf("10.0.0.%d:1", n), State: balance.Ready, Weight: 1}})
+		time.Sleep(batchInterval / 20)
+	}
+	select {
+	case err := <-followed:
+		if err != io.EOF {
+			t.Error(err)
+		}
+	case <-time.After(time.Minute):
+		t.Error("not all endpoints are reported")
+	}
+}
+
 // Over TLS a service whose certificate is signed by the authority that etcd trusts receives the list; one with another certificate
 // receives nothing.
 func TestEtcdOverTLS(t *testing.T) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -106,7 +106,7 @@
 	published   map[string]*report // the list as Merge last returned it, without endpoints that are gone
 	wasReady    map[string]bool    // names that have been ready before
 	flaps       map[string]*flap
-	removedAt   map[string]time.Duration // when a name left the published list, for Config.Retention
+	removedAt   map[string]time.Duration // when a name left the published list, or was evaluated but not listed, for Config.Retention
 	initialized bool
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -204,6 +204,52 @@
 	report(balance.Draining, "x- ")
 }
 
+// The view has the states of the last Merge: an endpoint whose first report has not been merged yet is not shown, rather than shown as
+// gone, and one whose removal or return has not been merged yet is shown as it was published.
+func TestViewBeforeMerge(t *testing.T) {
+	m := New(Config{Sources: []string{"a", "b"}, Retention: time.Hour})
+	states := func() (out string) {
+		entries, _ := m.View(0)
+		for _, e := range entries {
+			out += e.Name + " " + e.State + ", "
+		}
+		return out
+	}
+	check := func(want string) {
+		t.Helper()
+		if got := states(); got != want {
+			t.Errorf("view %q, want %q", got, want)
+		}
+	}
+	change := func(revision int64, state balance.State, name string) {
+		t.Helper()
+		if !m.ApplyChanges(0, "a", Position{"h", revision}, []routing.Member{member(name, state, time.Duration(revision))}) {
+			t.Fatalf("the change of revision %d was rejected", revision)
+		}
+	}
+	m.ApplyList(0, "a", Position{"h", 1}, []routing.Member{member("x", balance.Ready, 1)})
+	check("")
+	m.ApplyList(0, "b", Position{"h", 1}, nil)
+	m.Merge(0)
+	check("x ready, ")
+	change(2, balance.Ready, "y")
+	check("x ready, ")
+	m.Merge(0)
+	check("x ready, y ready, ")
+	change(3, balance.Gone, "y")
+	check("x ready, y ready, ")
+	m.Merge(0)
+	check("x ready, y gone, ")
+	change(4, balance.Ready, "y")
+	check("x ready, y gone, ")
+	m.Merge(0)
+	check("x ready, y ready, ")
+	change(5, balance.Gone, "z") // the first report of a name is that it is gone
+	check("x ready, y ready, ")
+	m.Merge(0)
+	check("x ready, y ready, z gone, ")
+}
+
 // Negative reports that no source contradicts are forgotten after Config.Retention; others are kept for good.
 func TestRetention(t *testing.T) {
 	m := New(Config{Sources: []string{"a", "b"}, Retention: 10 * s})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -43,7 +43,14 @@
 
 var stateNames = map[balance.State]string{balance.Ready: "ready", balance.Draining: "draining", balance.Gone: "gone"}
 
-// View returns the state at a time: every name that is listed or has a retained negative report, and every source.
+// merged reports whether a Merge has evaluated a name: it is listed, or is noted as removed.
+func (m *Merger) merged(name string) bool {
+	_, removed := m.removedAt[name]
+	return removed || m.published[name] != nil
+}
+
+// View returns the state at a time: every name that is listed or has a retained negative report, with its state as of the last Merge,
+// and every source. A name that no Merge has evaluated yet is left out: it is not listed, but not gone either.
 func (m *Merger) View(now time.Duration) (entries []EntryView, sources []SourceView) {
 	names := map[string]bool{}
 	for _, from := range m.config.Sources {
@@ -64,6 +71,9 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if !m.merged(name) {
+			continue
+		}
 		e := EntryView{Name: name, State: stateNames[balance.Gone]}
 		if r := m.published[name]; r != nil {
 			e.State, e.Address = stateNames[r.State], r.Address
