--- a/internal/lab/drill/etcdburst.go
+++ b/internal/lab/drill/etcdburst.go
@@ -137,7 +137,7 @@
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	out := &Outcome{}
 	delays, last := map[string][]time.Duration{}, map[string][]time.Duration{}
-	unseen, late, before := 0, 0, 0
+	unseen, early, late, before := 0, 0, 0, 0
 	start := time.Now()
 	var removals []time.Duration
 	for range repeats {
@@ -175,6 +175,9 @@
 		}
 		for _, i := range removed {
 			recordDelay("service", i.name+" gone", i.removedAt)
+			if t, ok := rig.seenAt("service", i.name+" gone"); ok && t.Before(i.removedAt) {
+				early++
+			}
 			for n := range rig.tables {
 				recordDelay(fmt.Sprintf("proxy-%d", n), i.address+" out", i.removedAt)
 			}
@@ -205,6 +208,7 @@
 	reportPercentiles(out, "the same removals told by the platform's discovery, as the lab models it", platform)
 	stopLoad(out)
 	out.Check("changes that somebody has not seen", float64(unseen), "0", unseen == 0)
+	out.Check("removals reported before they were made", float64(early), "0", early == 0)
 	out.Check("senders at those that left, in the 500 ms before", float64(before), "above 0", before > 0)
 	out.Check("senders at them after 500 ms", float64(late), "0", late == 0)
 	for _, observer := range []string{"service", "proxy-0", "proxy-1"} {
--- a/internal/lab/drill/etcdcompact.go
+++ b/internal/lab/drill/etcdcompact.go
@@ -44,7 +44,7 @@
 	rng := rand.New(rand.NewPCG(o.Seed, 4))
 	out := &Outcome{}
 	var delays []time.Duration
-	late, affected := 0, 0
+	early, late, affected := 0, 0, 0
 	for range repeats {
 		for _, i := range p.instances {
 			if err := rig.waitUntil(ctx, "the service lists "+i.name, func() bool { _, ok := rig.seenAt("service", i.name+" ready"); return ok }); err != nil {
@@ -97,11 +97,10 @@
 			return nil, context.Cause(ctx)
 		}
 		for _, i := range removed {
-			for _, d := range i.lastRequests(reportedAt[i]) {
-				if d > drainGrace {
-					late++
-				}
+			if reportedAt[i].Before(i.removedAt) {
+				early++
 			}
+			late += i.lateSenders(reportedAt[i])
 			i.server.Close()
 		}
 		mu.Lock()
@@ -115,6 +114,7 @@
 	stopLoad(out)
 	out.Report("removals in gaps that were compacted", float64(repeats*15))
 	reportPercentiles(out, "return of etcd to removal seen", delays)
+	out.Check("removals reported before they were made", float64(early), "0", early == 0)
 	out.Check("senders at removed ones 500 ms after the word", float64(late), "0", late == 0)
 	out.Check("survivors of which something changed", float64(affected), "0", affected == 0)
 	return out, nil
--- a/internal/lab/drill/etcdrig.go
+++ b/internal/lab/drill/etcdrig.go
@@ -79,6 +79,16 @@
 	return out
 }
 
+// lateSenders counts the senders whose last request came more than drainGrace after the given time.
+func (i *etcdInstance) lateSenders(from time.Time) (n int) {
+	for _, d := range i.lastRequests(from) {
+		if d > drainGrace {
+			n++
+		}
+	}
+	return n
+}
+
 // etcdRig is an emulated etcd cluster, a control service that watches it, and proxies and sidecars that send to the instances
 // it lists.
 type etcdRig struct {
