--- a/internal/lab/etcd/cluster.go
+++ b/internal/lab/etcd/cluster.go
@@ -11,6 +11,8 @@
 	"google.golang.org/grpc/metadata"
 
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
+
+	"kitewood/internal/lab/child"
 )
 
 // Options configures a Cluster.
@@ -38,9 +40,10 @@
 
 // Member is one server of a Cluster.
 type Member struct {
-	Address string
-	cluster *Cluster
-	id      uint64
+	Address  string
+	cluster  *Cluster
+	id       uint64
+	reserved *child.Address // keeps the port while the member is stopped; nil once the cluster has stopped
 
 	server       *grpc.Server
 	ln           net.Listener
@@ -52,14 +55,17 @@
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{opts: o, id: 1, store: newStore(), changed: make(chan struct{}), activeLeases: map[int64]*lease{}, nextLeaseID: 1}
 	for n := range max(o.Members, 1) {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		reserved, err := child.Reserve()
 		if err != nil {
 			c.Stop()
 			return nil, err
 		}
-		m := &Member{cluster: c, id: uint64(n + 1), Address: ln.Addr().String()}
+		m := &Member{cluster: c, id: uint64(n + 1), Address: reserved.String(), reserved: reserved}
 		c.Members = append(c.Members, m)
-		m.serve(ln)
+		if err := m.Start(); err != nil {
+			c.Stop()
+			return nil, err
+		}
 	}
 	return c, nil
 }
@@ -72,7 +78,7 @@
 	return out
 }
 
-// Stop stops all members and the lease timers.
+// Stop stops all members and the lease timers, and releases the members' addresses.
 func (c *Cluster) Stop() {
 	for _, m := range c.Members {
 		m.Stop()
@@ -82,6 +88,10 @@
 	for _, l := range c.activeLeases {
 		l.timer.Stop()
 	}
+	for _, m := range c.Members {
+		m.reserved.Release()
+		m.reserved = nil
+	}
 }
 
 // notify wakes all goroutines that wait for a change. The caller holds c.mu.
@@ -105,7 +115,7 @@
 	go g.Serve(ln)
 }
 
-// Stop stops a member and closes its connections.
+// Stop stops a member and closes its connections. Its address stays reserved for Start.
 func (m *Member) Stop() {
 	m.Resume() // calls on a paused member would never end
 	m.cluster.mu.Lock()
--- a/internal/lab/etcd/etcd_test.go
+++ b/internal/lab/etcd/etcd_test.go
@@ -5,9 +5,12 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"net"
+	"net/netip"
 	"slices"
 	"strconv"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -51,6 +54,45 @@
 	return c
 }
 
+// portRange is the socket option IP_LOCAL_PORT_RANGE, which limits the ports that the system assigns to a socket.
+const portRange = 51
+
+// While a member is stopped, the system assigns its port to no other socket, neither to one that connects nor to one that listens on any
+// port, even if it is the only port that it could assign. So the member can start again at its address.
+func TestStoppedMemberKeepsItsPort(t *testing.T) {
+	c, err := New(Options{Members: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Stop()
+	m := c.Members[0]
+	port := netip.MustParseAddrPort(m.Address).Port()
+	onlyThatPort := func(_, _ string, raw syscall.RawConn) (err error) {
+		raw.Control(func(fd uintptr) {
+			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, portRange, int(port)|int(port)<<16)
+		})
+		return err
+	}
+	m.Stop()
+	if conn, err := (&net.Dialer{Control: onlyThatPort}).Dial("tcp", c.Members[1].Address); err == nil {
+		t.Error("a connection got the port of the stopped member")
+		defer conn.Close()
+	} else if errors.Is(err, syscall.ENOPROTOOPT) {
+		t.Skipf("this system does not support IP_LOCAL_PORT_RANGE: %v", err)
+	} else if !errors.Is(err, syscall.EADDRNOTAVAIL) {
+		t.Errorf("connecting from any port while the only one is reserved: %v, want EADDRNOTAVAIL", err)
+	}
+	if ln, err := (&net.ListenConfig{Control: onlyThatPort}).Listen(t.Context(), "tcp", "127.0.0.1:0"); err == nil {
+		t.Error("a listener got the port of the stopped member")
+		defer ln.Close()
+	} else if !errors.Is(err, syscall.EADDRINUSE) {
+		t.Errorf("listening on any port while the only one is reserved: %v, want EADDRINUSE", err)
+	}
+	if err := m.Start(); err != nil {
+		t.Errorf("starting the member again: %v", err)
+	}
+}
+
 // Calls of etcd's client library get the responses that etcd's documentation specifies.
 func TestClientLibraryCalls(t *testing.T) {
 	c, k := startCluster(t, Options{})
