--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -130,6 +130,7 @@
 			endpoints = append(endpoints, balance.Endpoint{ID: ep.ID, State: balance.Gone})
 		}
 	}
+	l.listReceived = l.listReceived || kind != balance.Cached
 	l.logEndpointList(kind, index, members, closed)
 	l.balancer.UpdateEndpoints(l.Now(), kind, endpoints)
 }
@@ -137,9 +138,14 @@
 // maxStartReportLag is the longest delay after which a start is reported while the endpoint list's lease is valid.
 const maxStartReportLag = 30 * time.Second
 
+// maxClockSkew is by how much the clocks of two machines that are set by the same source may differ. A start that lies further in
+// the future shows that a clock is wrong.
+const maxClockSkew = 2 * time.Second
+
 // startTime returns when an endpoint started, on this process's clock. The list has the time on discovery's wall clock, from
 // which this machine's clock may differ by any amount. A start that is newly reported is therefore taken to be no earlier than
-// the last renewal of the lease minus maxStartReportLag, and never to lie in the future.
+// the last renewal of the lease minus maxStartReportLag, and never to lie in the future. If a list was received from discovery
+// before, an earlier time shows that the clocks differ, as that list did not have the start: it was about the last renewal then.
 func (l *Loop) startTime(ep *Endpoint, m Member) time.Duration {
 	switch m.StartedAt {
 	case 0:
@@ -147,11 +153,25 @@
 	case ep.member.StartedAt:
 		return ep.startedAt
 	}
-	startedAt := min(m.StartedAt, l.Now())
-	if l.confirmedAt > 0 {
-		startedAt = max(startedAt, l.confirmedAt-maxStartReportLag)
+	startedAt := l.Now() - max(l.ageOf(m.StartedAt), 0)
+	if l.confirmedAt == 0 || startedAt >= l.confirmedAt-maxStartReportLag {
+		return startedAt
+	}
+	if l.listReceived {
+		return l.confirmedAt
+	}
+	return l.confirmedAt - maxStartReportLag
+}
+
+// ageOf returns the time since a start by the wall clock, which can be stepped while the process runs. Discovery's clock may be
+// stepped with it or not, so the age is taken by the clock as it is now and as it was when the process started: the smaller of the
+// two, or the one that is possible.
+func (l *Loop) ageOf(startedAt time.Duration) time.Duration {
+	steady, current := l.Now()-startedAt, l.wallClock()-startedAt
+	if steady < -maxClockSkew || current >= -maxClockSkew && current < steady {
+		return current
 	}
-	return startedAt
+	return steady
 }
 
 // setClosed sets whether an endpoint accepts no new requests, and reports whether it was just closed. Attempts that are
--- a/internal/routing/loop.go
+++ b/internal/routing/loop.go
@@ -46,7 +46,9 @@
 	lastExpiryUpdate uint64        // number of the last one that was applied
 	confirmedAt      time.Duration // when the endpoint list's lease was last renewed; 0 for never
 	timers           timers
-	timersRequested  uint64 // timers requested so far
+	timersRequested  uint64               // timers requested so far
+	wallClock        func() time.Duration // the system's Unix time, which can be stepped; for times from other processes only
+	listReceived     bool                 // a list was received from discovery
 }
 
 // Names holds discovery's names of zones and kinds, in the order of the lists in the settings.
@@ -56,7 +58,7 @@
 func New(settings balance.Settings, names Names, clock Clock, log *slog.Logger) (*Loop, error) {
 	l := &Loop{Clock: clock, guard: guard.New(log), settings: settings, names: names, log: log, events: make(chan func(), 256),
 		done: make(chan struct{}), requests: map[balance.RequestID]*Request{}, requestsByKey: map[string]*Request{},
-		endpoints: newEndpointTable()}
+		endpoints: newEndpointTable(), wallClock: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
 	var err error
 	l.balancer, err = balance.New(settings, host{l}, l.Now())
 	return l, err
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -501,3 +501,33 @@
 		}
 	}
 }
+
+// The wall clock is stepped while the process runs, and discovery's clock with it or not, or the machine's clock is an hour off
+// from the start. An endpoint that has just started never counts as older than it is, beyond what its report may be late. One that
+// started a while ago does not count as new because of a step by an hour.
+func TestStartTimesAfterClockStep(t *testing.T) {
+	const slack = time.Second
+	for _, c := range []struct{ step, list time.Duration }{ // of this process's clock while it runs, of discovery's from the start on
+		{0, 0}, {time.Hour, 0}, {-time.Hour, 0}, {time.Hour, time.Hour}, {-time.Hour, -time.Hour}, {5 * time.Second, 0},
+		{-5 * time.Second, 0}, {5 * time.Second, 5 * time.Second}, {-5 * time.Second, -5 * time.Second}, {0, time.Hour}, {0, -time.Hour},
+	} {
+		l, _ := start(t, balance.Limits{MaxAttempts: 1})
+		l.post(func() { l.wallClock = func() time.Duration { return l.Now() + c.step } })
+		ageOf := func(name string, age time.Duration) time.Duration {
+			l.UpdateEndpoints(balance.Delta, 5, []Member{{Name: name, Address: name + ":1", State: balance.Ready, StartedAt: l.Now() + c.list - age}})
+			waitForEvents(l)
+			return l.Now() - l.endpoints.byName[name].startedAt
+		}
+		l.UpdateEndpoints(balance.Full, 5, nil)
+		l.SetLeaseExpiry(l.Now() + time.Hour) // renews the lease
+		if age := ageOf("new", time.Second); age < 0 || age > time.Second+slack {
+			t.Errorf("step %v, discovery's clock %v off: an endpoint that started 1 s ago has the age %v", c.step, c.list, age)
+		}
+		if c.step == 0 && c.list != 0 { // nothing tells how old it is
+			continue
+		}
+		if age := ageOf("older", 20*time.Second); age < 14*time.Second || age > 20*time.Second+slack {
+			t.Errorf("step %v, discovery's clock %v off: an endpoint that started 20 s ago has the age %v", c.step, c.list, age)
+		}
+	}
+}
