--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -301,7 +301,7 @@
 		deadline = min(deadline, time.Duration(c.server.drainDeadline.Load()))
 	}
 	req := &routing.Request{Class: meta.Class, Deadline: deadline, CostHint: meta.CostHint,
-		ClientRetry: meta.ClientRetry, Payload: m, Key: meta.ID, OnFirstSend: sent, Origin: backend.originHash(m), Header: nextHeader, ClientGone: func() bool { return peek(c.conn) == peekClosed }}
+		ClientRetry: meta.ClientRetry, Payload: m, Key: meta.ID, OnFirstSend: sent, Origin: backend.originHash(m), Header: nextHeader, ClientGone: func() bool { return clientGone(c.conn) }}
 	c.lastID = meta.ID
 	if req.ClientGone() { // the client has disconnected: nothing is started for it
 		c.setCloseReason(closedMidRequest)
--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"syscall"
+
+	"golang.org/x/sys/unix"
 )
 
 // peekResult is what peek found on a connection.
@@ -40,3 +42,22 @@
 	}
 	return result
 }
+
+// clientGone reports whether the client has closed its side of a connection, also where bytes that it sent before are still unread.
+func clientGone(conn net.Conn) bool {
+	c, ok := conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return true
+	}
+	closed := true
+	err = raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, pollErr := unix.Poll(fds, 0)
+		closed = pollErr == nil && n > 0
+	})
+	return err != nil || closed
+}
