--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -37,6 +37,7 @@
 	readAhead         []byte     // read from the connection and not yet parsed
 	readMarks         []readMark // when the bytes of readAhead, and those parsed last, were read
 	bytesRead         int        // in total
+	requestEnd        int        // offset behind the most recently parsed request
 	closing           bool       // the connection closes once all that was read is answered
 	readAheadExceeded bool       // the client sent more than is buffered: the connection closes after its next response
 
@@ -97,8 +98,8 @@
 		}
 		if !c.parser.Idle() && state != clientReading {
 			if state == clientIdle {
-				since = time.Now()
-				readDeadline = since.Add(requestReadTimeout)
+				since = c.partialBegan()
+				readDeadline = later(since.Add(requestReadTimeout), time.Now().Add(partialRequestGrace))
 			}
 			state, requestBegan = clientReading, time.Now()
 		}
@@ -207,6 +208,25 @@
 	return c.readMarks[0].at
 }
 
+// partialBegan returns when the first byte behind the most recently parsed request was read. The time that a request may take to
+// arrive counts from there: its first part may have waited for the response before it.
+func (c *clientConn) partialBegan() time.Time {
+	for _, mark := range c.readMarks {
+		if mark.offset > c.requestEnd {
+			return mark.at
+		}
+	}
+	return time.Now()
+}
+
+// later returns the later of two times.
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
 // setState records the state of the connection and reports whether it has been asked to close, which can happen in every state
 // but clientActive.
 func (c *clientConn) setState(state clientState, since time.Time) bool {
@@ -236,6 +256,9 @@
 	if c.readAhead = c.readAhead[used:]; len(c.readAhead) == 0 {
 		c.readAhead = nil
 	}
+	if msg != nil {
+		c.requestEnd = c.bytesRead - len(c.readAhead)
+	}
 	return msg, err
 }
 
