--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -531,3 +531,45 @@
 		}
 	}
 }
+
+// Each attempt of a request, the first, a retry or a hedge, is given at most the time that the client has left when it begins, however
+// late its connection comes up.
+func TestTimeLeftOfRetriesAndHedges(t *testing.T) {
+	class := balance.Class{LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Utility: 1, LateUtility: 0.5}
+	l, err := New(balance.Settings{Balancers: 1, Classes: []balance.Class{class}, Limits: balance.Limits{MaxAttempts: 3, Hedging: true, Cancel: true,
+		RetryShare: 1, RetryBurst: 8}, Rules: balance.Rules{DrainGrace: time.Second / 2}}, Names{}, NewClock(), noLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	network := &fakeNet{make(chan *Attempt, 99), make(chan func(Result), 99), make(chan int64, 99), make(chan *Endpoint, 99)}
+	go l.Run(t.Context(), network, network)
+	l.UpdateEndpoints(balance.Cached, 4, []Member{{Name: "b", Address: "b:1", State: balance.Ready}, {Name: "a", Address: "a:1", State: balance.Ready},
+		{Name: "c", Address: "c:1", State: balance.Ready}})
+	for range 40 { // answers teach the class's latency, after which a hedge follows
+		_, answers := submit(l, 3*time.Second)
+		<-network.sent
+		time.Sleep(2 * time.Millisecond)
+		(<-network.done)(Result{Status: balance.OK})
+		<-answers
+	}
+	req, _ := submit(l, 3*time.Second)
+	for i, kind := range []string{"first", "retry", "hedge"} {
+		var a *Attempt
+		select {
+		case a = <-network.sent:
+		case <-time.After(2 * time.Second):
+			t.Fatalf("no %s attempt", kind)
+		}
+		time.Sleep(30 * time.Millisecond)
+		now := l.Now()
+		if left := a.Begin(); left > req.Deadline-now || left < req.Deadline-now-time.Second {
+			t.Errorf("%s attempt: given %v, the client has %v left", kind, left, req.Deadline-now)
+		}
+		if done := <-network.done; i == 0 {
+			done(Result{Err: &AttemptError{Connecting, errors.New("refused")}})
+		}
+	}
+	if v := l.guard.Violations(); len(v) > 0 {
+		t.Errorf("counted the violations %v, want none", v)
+	}
+}
