--- a/internal/transport/peek.go
+++ b/internal/transport/peek.go
@@ -4,6 +4,8 @@
 	"net"
 	"syscall"
 
+	"golang.org/x/sys/unix"
+
 	"kitewood/internal/errnoclass"
 )
 
@@ -50,3 +52,34 @@
 	}
 	return peekClosed
 }
+
+// clientGone reports whether the client has closed its side of a connection, also where bytes that it sent before are still unread.
+func clientGone(conn net.Conn) bool {
+	switch peek(conn) {
+	case peekClosed:
+		return true
+	case peekData:
+		return closedBehindUnreadBytes(conn)
+	}
+	return false
+}
+
+// closedBehindUnreadBytes reports whether the peer has closed its side of a connection that has unread bytes. Where the system does
+// not tell, it has not.
+func closedBehindUnreadBytes(conn net.Conn) bool {
+	c, ok := conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	closed := false
+	raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		closed = err == nil && n > 0
+	})
+	return closed
+}
