--- a/internal/transport/backoff.go
+++ b/internal/subscription/backoff.go
@@ -1,4 +1,4 @@
-package transport
+package subscription
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 type backoff struct {
 	pushed    bool          // lists are pushed by an agent beside the sidecar
 	reloaded  bool          // its address comes from a reload
-	startedAt time.Time     // of the subscription
+	startedAt time.Duration // when the subscription made its first call
 	pause     time.Duration // the last one of doublePause
 	failures  int           // consecutive calls that were refused, unanswered or failed; those that found discovery unreachable do not count
 }
@@ -37,36 +37,36 @@
 	minWatchDuration = time.Second            // a watch that ended sooner is not called again at once
 )
 
-// next returns the pause after a call has ended.
-func (b *backoff) next(result callResult, rng *rand.Rand) time.Duration {
+// next returns the pause after a call whose end is handled now.
+func (b *backoff) next(end CallEnded, now time.Duration, rng *rand.Rand) time.Duration {
 	jitter := func(of time.Duration) time.Duration { return time.Duration(rng.Float64() * float64(of)) }
 	jitterAround := func(d time.Duration) time.Duration { return d/2 + jitter(d) }
-	failed := result.outcome == callFailed || result.outcome == callUnanswered || result.outcome == callRefused
-	if !failed && result.outcome != callUnreachable {
+	failed := end.Outcome == Failed || end.Outcome == Unanswered || end.Outcome == Refused
+	if !failed && end.Outcome != Unreachable {
 		b.failures = 0
 	}
 	switch {
-	case b.pushed && result.outcome != callSilent && result.outcome != callUnanswered:
+	case b.pushed && end.Outcome != Silent && end.Outcome != Unanswered:
 		return jitterAround(b.doublePause(maxPushedPause))
-	case result.outcome == callSilent:
+	case end.Outcome == Silent:
 		return jitter(silentWatchSpread)
-	case (result.outcome == callEnded || result.outcome == callTruncated) && result.duration > minWatchDuration:
+	case (end.Outcome == Ended || end.Outcome == Truncated) && end.Duration > minWatchDuration:
 		return jitter(endedWatchSpread)
-	case b.reloaded && result.outcome != callRefused && result.duration < maxRefusalDelay && time.Since(b.startedAt) < reloadSettleTime:
+	case b.reloaded && end.Outcome != Refused && end.Duration < MaxRefusalDelay && now-b.startedAt < reloadSettleTime:
 		return jitterAround(b.doublePause(maxReloadPause))
-	case result.outcome == callBroken, result.outcome == callTruncated:
+	case end.Outcome == Broken, end.Outcome == Truncated:
 		return jitter(initialSpread)
-	case result.outcome == callUnreachable:
+	case end.Outcome == Unreachable:
 		// The call took none of discovery's time and renewed the lease, so the next one must come before that expires.
 		return jitter(initialSpread)
 	case !failed:
 		return jitterAround(isolatedFailurePause)
 	}
 	b.failures++
-	if b.failures == 1 && result.outcome == callRefused {
+	if b.failures == 1 && end.Outcome == Refused {
 		return jitter(firstRefusalSpread)
 	}
-	return jitter(b.failureSpread(result.duration))
+	return jitter(b.failureSpread(end.Duration))
 }
 
 // failureSpread returns the spread of the pause after a call that failed after duration. The first ones leave time for
--- a/internal/transport/backoff_test.go
+++ b/internal/subscription/backoff_test.go
@@ -1,4 +1,4 @@
-package transport
+package subscription
 
 import (
 	"container/heap"
@@ -14,7 +14,7 @@
 // caller is one sidecar without a list. It calls discovery, with a backoff between its calls, until it is served.
 type caller struct {
 	nextEvent time.Duration // time of its next call, or of the end of the call in flight
-	result    *callResult   // of the call in flight; nil for none, and for one that will be served
+	result    *CallEnded    // of the call in flight; nil for none, and for one that will be served
 	inFlight  bool
 	backoff   backoff
 	rng       *rand.Rand
@@ -60,7 +60,7 @@
 	var all, waiting callers
 	for i := range c.callers {
 		one := &caller{rng: rand.New(rand.NewPCG(seed, uint64(i)))}
-		one.nextEvent = one.backoff.next(callResult{outcome: callBroken, duration: time.Minute}, one.rng)
+		one.nextEvent = one.backoff.next(CallEnded{Outcome: Broken, Duration: time.Minute}, 0, one.rng)
 		if c.startTogether {
 			one.nextEvent = time.Duration(max(one.rng.Float64()*float64(balancerSpread), one.rng.Float64()*float64(initialSpread)))
 		}
@@ -89,27 +89,27 @@
 		heap.Pop(waiting)
 		return
 	case one.inFlight:
-		one.inFlight, one.nextEvent = false, one.nextEvent+one.backoff.next(*one.result, one.rng)
+		one.inFlight, one.nextEvent = false, one.nextEvent+one.backoff.next(*one.result, one.nextEvent, one.rng)
 	case one.nextEvent < c.outage:
-		one.failAfter(callFailed, c.timeout)
+		one.failAfter(Failed, c.timeout)
 	default:
 		at, served := discovery.Call(one.nextEvent)
 		elapsed := at - one.nextEvent
 		switch {
 		case served:
 			one.inFlight, one.result, one.nextEvent = true, nil, at
-		case elapsed < maxRefusalDelay:
-			one.failAfter(callRefused, elapsed)
+		case elapsed < MaxRefusalDelay:
+			one.failAfter(Refused, elapsed)
 		default:
-			one.failAfter(callFailed, elapsed)
+			one.failAfter(Failed, elapsed)
 		}
 	}
 	heap.Fix(waiting, 0)
 }
 
 // failAfter records a call that will fail after some time.
-func (c *caller) failAfter(outcome callOutcome, after time.Duration) {
-	c.inFlight, c.result = true, &callResult{outcome: outcome, duration: after}
+func (c *caller) failAfter(outcome Outcome, after time.Duration) {
+	c.inFlight, c.result = true, &CallEnded{Outcome: outcome, Duration: after}
 	c.nextEvent += after
 }
 
@@ -164,13 +164,13 @@
 func TestBackoffKeepsLeaseWhileUnreachable(t *testing.T) {
 	const outage = 10 * time.Minute
 	for _, failedBefore := range []int{0, 3, 9} {
-		for _, connectTime := range []time.Duration{0, discoveryConnectTimeout} {
+		for _, connectTime := range []time.Duration{0, ConnectTimeout} {
 			t.Run(fmt.Sprintf("%d failed calls before, connections fail after %v", failedBefore, connectTime), func(t *testing.T) {
 				for seed := range uint64(100) {
 					rng := rand.New(rand.NewPCG(seed, 1))
 					var delays backoff
 					for range failedBefore {
-						delays.next(callResult{outcome: callFailed, duration: 2 * time.Second}, rng)
+						delays.next(CallEnded{Outcome: Failed, Duration: 2 * time.Second}, 0, rng)
 					}
 					l := lease.New(lease.PullRules(500*time.Millisecond), 0)
 					for now := time.Duration(0); now < outage; {
@@ -180,7 +180,7 @@
 							t.Fatalf("seed %d: at %v the lease has been expired for %v", seed, now, expired)
 						}
 						l.RecordUnreachable(began)
-						now += delays.next(callResult{outcome: callUnreachable, duration: connectTime}, rng)
+						now += delays.next(CallEnded{Outcome: Unreachable, Duration: connectTime}, 0, rng)
 					}
 				}
 			})
@@ -195,11 +195,11 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var delays backoff
 		for range 20 {
-			if pause := delays.next(callResult{outcome: callUnreachable}, rng); pause > initialSpread {
+			if pause := delays.next(CallEnded{Outcome: Unreachable}, 0, rng); pause > initialSpread {
 				t.Fatalf("seed %d: pause of %v after an unreachable discovery, at most %v", seed, pause, initialSpread)
 			}
 		}
-		if pause := delays.next(callResult{outcome: callFailed, duration: 2 * time.Second}, rng); pause > initialSpread {
+		if pause := delays.next(CallEnded{Outcome: Failed, Duration: 2 * time.Second}, 0, rng); pause > initialSpread {
 			t.Fatalf("seed %d: pause of %v after the first failed call, at most %v", seed, pause, initialSpread)
 		}
 	}
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -15,6 +15,7 @@
 
 	"kitewood/balance"
 	"kitewood/internal/routing"
+	"kitewood/internal/subscription"
 	"kitewood/internal/testkit"
 )
 
@@ -406,11 +407,11 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	testkit.WaitUntil(t, "each address was called", func() bool { return called.Load() >= reloads })
-	if n := maxOpen.Load(); n > maxSubscriptions+1 { // one may be closing
+	if n := maxOpen.Load(); n > subscription.MaxSubscriptions+1 { // one may be closing
 		t.Errorf("too many concurrent connections: %d", n)
 	}
-	if n := open.Load(); n < maxSubscriptions {
-		t.Errorf("%d calls are pending, want %d", n, maxSubscriptions)
+	if n := open.Load(); n < subscription.MaxSubscriptions {
+		t.Errorf("%d calls are pending, want %d", n, subscription.MaxSubscriptions)
 	}
 }
 
@@ -418,13 +419,11 @@
 // does not extend the lease again, however many pools follow one another.
 func TestTakeOverKeepsListAge(t *testing.T) {
 	listTime := time.Now().Add(-time.Minute)
-	d := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), initialListTime: listTime}
-	d.addSubscription(0, "127.0.0.1:1")
+	d := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), address: "127.0.0.1:1", initialListTime: listTime}
 	d.initLease()
 	for range 9 {
 		d.lease.RecordFailedCall(d.Clock.Now())
-		next := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), initialListTime: time.Now()}
-		next.addSubscription(0, "127.0.0.1:1")
+		next := &DiscoveryClient{Context: t.Context(), Log: discardLog, Clock: routing.NewClock(), address: "127.0.0.1:1", initialListTime: time.Now()}
 		next.TakeOver(d)
 		next.initLease()
 		d = next
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -11,50 +11,15 @@
 	"time"
 
 	"kitewood/internal/protocol"
+	"kitewood/internal/subscription"
 )
 
-// callOutcome says how a call to discovery, or the watch that it opened, has ended.
-type callOutcome uint8
-
-// The outcomes.
-const (
-	callUnreachable  callOutcome = iota // no connection was established
-	callFailed                          // the connection broke before a response, or an error came after a wait: discovery is down or overloaded
-	callUnanswered                      // connected, but no response within the time that discovery gives a call
-	callRefused                         // discovery is up and accepts no more calls
-	callUnreadable                      // the response is not a valid endpoint list
-	callSilent                          // the watch missed its heartbeats
-	callBroken                          // the connection of the watch broke
-	callEnded                           // discovery ended the watch with a complete response
-	callTruncated                       // discovery closed the connection in the middle of the response
-	callLocalFailure                    // this machine lacks the resources to make the call
-	callOutcomes
-)
-
-func (o callOutcome) String() string {
-	return [...]string{"unreachable", "failed", "unanswered", "refused", "unreadable", "silent", "broken", "ended in order", "cut", "local failure"}[o]
-}
-
-// callResult is the result of a call.
-type callResult struct {
-	outcome   callOutcome
-	err       error
-	startedAt time.Time
-	duration  time.Duration // to the end of the call or its watch
-}
-
 const (
 	heartbeatInterval        = 2 * time.Second                     // discovery sends an empty line this often while nothing changes
 	heartbeatTimeout         = heartbeatInterval + 3*time.Second/4 // a watch without a line for so long has missed a heartbeat
-	discoveryConnectTimeout  = 1200 * time.Millisecond             // for a connection to discovery
 	discoveryResponseTimeout = 3200 * time.Millisecond             // from the call to the start of the response; discovery gives a call 3 s
 
 	silentWatchTimeout = 30 * time.Second // after this long without a line a silent watch is closed
-
-	// maxRefusalDelay separates refusals from failures. A call that is refused at once has met a full queue. A call that
-	// fails later has waited for all the time that discovery gives it, 2 s or 3 s: discovery is down, or its queue is too
-	// long.
-	maxRefusalDelay = 500 * time.Millisecond
 )
 
 // errWatchEnded is the error of a watch whose response is complete.
@@ -65,31 +30,27 @@
 
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered with status %d", int(e)) }
 
-// call makes one call for a subscription and runs the watch that it opens until that ends.
-func (d *DiscoveryClient) call(s *subscription) (result callResult) {
+// runCall makes one call for a subscription, runs the watch that it opens until that ends, and returns how it ended.
+func (d *DiscoveryClient) runCall(s *openSubscription, ask subscription.Call) (end subscription.CallEnded) {
 	startedAt := time.Now()
-	w := &discoveryWatch{client: d, subscription: s, ctx: s.ctx}
+	end = subscription.CallEnded{Generation: s.generation, StartedAt: d.Clock.Now()}
+	w := &discoveryWatch{client: d, subscription: s, ctx: s.ctx, callNumber: ask.Number}
 	defer func() {
 		if p := recover(); p != nil {
-			result.outcome, result.err = callUnreadable, fmt.Errorf("panic: %v", p)
+			end.Outcome, end.Err = subscription.Unreadable, fmt.Errorf("panic: %v", p)
 		}
-		result.startedAt, result.duration = startedAt, time.Since(startedAt)
+		end.Duration = time.Since(startedAt)
 	}()
-	d.mu.Lock()
-	d.calls++
-	w.callNumber = d.calls
-	s.awaitingResponse = true
-	since := s.version
-	d.mu.Unlock()
-	d.Log.Info("discovery is asked", "call", w.callNumber, "address", s.address, "since", since, "generation", s.generation)
-	err := w.run(since)
-	return callResult{outcome: w.outcomeOf(err, time.Since(startedAt)), err: err}
+	d.Log.Info("discovery is asked", "call", ask.Number, "address", ask.Address, "since", ask.Version, "generation", ask.Generation)
+	err := w.run(ask.Version)
+	end.Outcome, end.Err = w.outcomeOf(err, time.Since(startedAt)), err
+	return end
 }
 
 // discoveryWatch is one call on its own connection.
 type discoveryWatch struct {
 	client       *DiscoveryClient
-	subscription *subscription
+	subscription *openSubscription
 	ctx          context.Context // ends the watch when done
 	callNumber   int
 	startedAt    time.Time
@@ -105,7 +66,7 @@
 // run calls discovery, reads until the watch ends and returns the error that ended it. A watch that falls silent lingers.
 func (w *discoveryWatch) run(since int64) error {
 	w.startedAt = time.Now()
-	dialer := net.Dialer{Timeout: discoveryConnectTimeout, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: subscription.ConnectTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(w.ctx, "tcp", w.subscription.address)
 	if err != nil {
 		return err
@@ -134,27 +95,39 @@
 func (w *discoveryWatch) linger() {
 	ctx, cancel := context.WithCancelCause(w.subscription.ctx)
 	w.ctx, w.lingering = ctx, true
-	w.client.mu.Lock()
-	if w.subscription.cancelLingering != nil {
-		w.subscription.cancelLingering(errOtherCallAnswered)
-	}
-	w.subscription.cancelLingering = cancel
-	w.client.mu.Unlock()
+	w.client.keepSilentWatch(w, cancel)
 	conn := w.conn
 	go func() {
 		defer conn.Close()
 		defer context.AfterFunc(ctx, func() { conn.Close() })()
-		defer cancel(errOtherCallAnswered)
+		defer cancel(subscription.OtherCallAnswered)
 		defer func() {
 			if p := recover(); p != nil {
 				w.client.Log.Error("panic in a silent discovery watch", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			}
 		}()
 		err := w.read(silentWatchTimeout)
+		w.client.endSilentWatch(w)
 		w.client.Log.Info("silent discovery watch closed", "call", w.callNumber, "address", w.subscription.address, "error", err, "cause", context.Cause(ctx))
 	}()
 }
 
+// keepSilentWatch tells the core of a silent watch that is still read, and how to end it.
+func (d *DiscoveryClient) keepSilentWatch(w *discoveryWatch, cancel context.CancelCauseFunc) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := w.subscription
+	if s.ctx.Err() == nil {
+		d.handle(subscription.WatchSilent{Generation: s.generation, Call: w.callNumber}) // ends an earlier one
+	}
+	s.cancelSilent = cancel
+}
+
+// endSilentWatch tells the core that a silent watch is no longer read.
+func (d *DiscoveryClient) endSilentWatch(w *discoveryWatch) {
+	d.handleFor(w.subscription, subscription.SilentWatchEnded{Generation: w.subscription.generation, Call: w.callNumber})
+}
+
 // read reads the response until it ends, or until nothing arrives for the idle timeout.
 func (w *discoveryWatch) read(idleTimeout time.Duration) error {
 	buf := make([]byte, 16<<10)
@@ -205,40 +178,45 @@
 func (w *discoveryWatch) noteResponse(status int, waited time.Duration) {
 	w.responded, w.established = true, status == 200
 	if w.established {
-		w.client.mu.Lock()
-		w.client.longestWait = max(w.client.longestWait, waited)
-		w.client.mu.Unlock()
+		w.client.recordWait(waited)
 	}
 	w.client.Log.Info("discovery has responded", "call", w.callNumber, "status", status, "waited", waited.Round(time.Millisecond))
 }
 
+// recordWait tells the core how long a call has waited for its watch.
+func (d *DiscoveryClient) recordWait(waited time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.handle(subscription.ResponseBegun{Waited: waited})
+}
+
 // outcomeOf classifies the error that ended the call after some time.
-func (w *discoveryWatch) outcomeOf(err error, duration time.Duration) callOutcome {
+func (w *discoveryWatch) outcomeOf(err error, duration time.Duration) subscription.Outcome {
 	var status statusError
 	timedOut := isTimeout(err)
 	switch {
 	case w.conn == nil && isLocalFailure(err):
-		return callLocalFailure
+		return subscription.LocalFailure
 	case w.conn == nil:
-		return callUnreachable
-	case errors.As(err, &status) && duration >= maxRefusalDelay:
-		return callFailed
+		return subscription.Unreachable
+	case errors.As(err, &status) && duration >= subscription.MaxRefusalDelay:
+		return subscription.Failed
 	case errors.As(err, &status):
-		return callRefused
+		return subscription.Refused
 	case !w.responded && timedOut:
-		return callUnanswered
+		return subscription.Unanswered
 	case !w.responded && isConnectionEnd(err):
-		return callFailed
+		return subscription.Failed
 	case timedOut:
-		return callSilent
+		return subscription.Silent
 	case errors.Is(err, errWatchEnded):
-		return callEnded
+		return subscription.Ended
 	case errors.Is(err, io.EOF):
-		return callTruncated
+		return subscription.Truncated
 	case isConnectionEnd(err):
-		return callBroken
+		return subscription.Broken
 	}
-	return callUnreadable
+	return subscription.Unreadable
 }
 
 // isTimeout reports whether an error is a timeout of a connection.
--- a/internal/transport/discoveryclient.go
+++ b/internal/transport/discoveryclient.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
@@ -12,13 +12,14 @@
 	"kitewood/internal/lease"
 	"kitewood/internal/protocol"
 	"kitewood/internal/routing"
+	"kitewood/internal/subscription"
 )
 
 // DiscoveryClient subscribes to discovery and keeps a lease on the endpoint list. It implements routing.Discovery.
 //
-// After a reload with another address the old subscription stays until the new one has delivered its first list (make
-// before break): the old watch goes on delivering lists, and a call that is queued at discovery keeps its place. A
-// subscription that a later reload has superseded makes no further call once its current call or watch has ended.
+// It drives a subscription.Core, which decides when discovery is called and what its answers show: it makes the calls, reads
+// the watches, runs the timers and writes the log. After a reload with another address the old watch goes on delivering lists
+// until the new one has delivered its first list (make before break).
 //
 // The latest subscription is called again, with backoff, for as long as Context is not done.
 type DiscoveryClient struct {
@@ -35,60 +36,32 @@
 	// nil where no requests are routed by the list.
 	OnLeaseExpiry func(from time.Duration)
 
-	mu               sync.Mutex
-	subscriptions    []*subscription // oldest first, so the last one is of the configured address
-	created          time.Time
-	initialListTime  time.Time // when the list that the client starts with was current
-	started          bool      // Watch or SwitchAddress has started a subscription
-	lease            *lease.Lease
-	unconfirmedSince time.Time // time of the first reload whose discovery has delivered no list yet; zero for none
-	rng              *rand.Rand
-	calls            int                  // to discovery since the start
-	callEnds         [callOutcomes]uint64 // number of ended calls and watches by outcome
-	longestWait      time.Duration        // longest time from a call to the start of its watch
+	mu              sync.Mutex
+	address         string // configured
+	created         time.Time
+	initialListTime time.Time                 // when the list that the client starts with was current
+	lease           *lease.Lease              // nil before initLease, like core
+	core            *subscription.Core        // decides; its events are in the order in which mu was held
+	subscriptions   map[int]*openSubscription // that the core has opened, by generation
 
 	deliverMu sync.Mutex // held while a list is delivered, so that lists are delivered in the order in which they were accepted
 }
 
-// subscription is the subscription at one address of discovery, which is or was the configured one.
-type subscription struct {
-	generation       int // number of reloads before it
-	address          string
-	version          int64         // of the last list from this address, 0 for none
-	superseded       chan struct{} // closed when a later reload names another address
-	ctx              context.Context
-	cancel           context.CancelCauseFunc
-	established      bool                    // a watch is open and has delivered a list
-	awaitingResponse bool                    // a call is in progress
-	cancelLingering  context.CancelCauseFunc // ends the silent watch that is still read; nil for none
+// openSubscription is what the driver holds for one subscription of the core.
+type openSubscription struct {
+	generation   int
+	address      string
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	cancelSilent context.CancelCauseFunc // ends the silent watch that is still read; nil for none
 }
 
-const (
-	// maxSubscriptions bounds the connections to discovery; the descriptor budget reserves descriptors for them.
-	maxSubscriptions = 3
-
-	// While an old watch is open, a reload waits for further reloads before it calls: each call takes a place in discovery's
-	// queue, even when it is cancelled.
-	switchDebounce    = time.Second
-	maxSwitchDebounce = 2 * time.Second
-	// An agent beside the sidecar responds at once, and a change that it has counts as delivered sooner.
-	switchDebouncePushed    = 150 * time.Millisecond
-	maxSwitchDebouncePushed = 300 * time.Millisecond
-)
-
-var (
-	errAddressChanged    = errors.New("superseded by a subscription at another address")
-	errTooManyReloads    = errors.New("too many subscriptions pending after reloads")
-	errOtherCallAnswered = errors.New("superseded by another call that was answered")
-)
-
 var _ routing.Discovery = (*DiscoveryClient)(nil)
 
 // NewDiscoveryClient returns a client of discovery at an address. It makes no call before Watch or SwitchAddress.
 func NewDiscoveryClient(ctx context.Context, address string, receiver routing.EndpointListReceiver, log *slog.Logger) *DiscoveryClient {
-	d := &DiscoveryClient{Context: ctx, Receiver: receiver, Log: log, Clock: routing.NewClock(), created: time.Now(), initialListTime: time.Now()}
-	d.addSubscription(0, address)
-	return d
+	return &DiscoveryClient{Context: ctx, Receiver: receiver, Log: log, Clock: routing.NewClock(), address: address,
+		created: time.Now(), initialListTime: time.Now()}
 }
 
 // Watch starts the subscription at the configured address; further calls do nothing. It implements routing.Discovery. The
@@ -97,38 +70,20 @@
 func (d *DiscoveryClient) Watch(since int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.started {
-		return
-	}
-	first := d.latest()
-	if first.generation == 0 {
-		first.version = since
-	}
-	d.startSubscription(first)
+	d.initLease()
+	runAll(d.handle(subscription.Started{Version: since}))
 }
 
 // SwitchAddress subscribes to discovery at another address. That counts its own versions, so its whole list is requested.
 func (d *DiscoveryClient) SwitchAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.latest()
-	if address == old.address {
+	if address == d.address {
 		return
 	}
 	d.initLease()
-	if d.unconfirmedSince.IsZero() {
-		d.unconfirmedSince = time.Now()
-	}
-	close(old.superseded)
-	if !d.started {
-		d.removeSubscription(old, errAddressChanged)
-	}
-	for len(d.subscriptions) >= maxSubscriptions {
-		d.removeSubscription(d.evictionCandidate(), errTooManyReloads)
-	}
-	next := d.addSubscription(d.lease.AddressChanged(d.Clock.Now()), address)
-	d.publishLeaseExpiry()
-	d.startSubscription(next)
+	d.address = address
+	runAll(d.handle(subscription.AddressChanged{Address: address}))
 }
 
 // TakeOver has the client start with the list of another client, and with that list's age. It is called before Watch.
@@ -140,24 +95,6 @@
 	}
 }
 
-// latest returns the subscription at the configured address. d.mu is held, or the client is not shared yet.
-func (d *DiscoveryClient) latest() *subscription { return d.subscriptions[len(d.subscriptions)-1] }
-
-// addSubscription appends a subscription, which becomes the latest. d.mu is held, or the client is not shared yet.
-func (d *DiscoveryClient) addSubscription(generation int, address string) *subscription {
-	s := &subscription{generation: generation, address: address, superseded: make(chan struct{})}
-	s.ctx, s.cancel = context.WithCancelCause(d.Context)
-	d.subscriptions = append(d.subscriptions, s)
-	return s
-}
-
-// startSubscription starts the goroutine of a subscription. d.mu is held.
-func (d *DiscoveryClient) startSubscription(s *subscription) {
-	d.initLease()
-	d.started = true
-	go d.runSubscription(s)
-}
-
 // initLease creates, once, what depends on fields that are set after NewDiscoveryClient. d.mu is held.
 func (d *DiscoveryClient) initLease() {
 	if d.lease != nil {
@@ -167,195 +104,115 @@
 	if d.Pushed {
 		rules = lease.PushRules(d.DrainGrace)
 	}
-	d.lease = lease.New(rules, d.Clock.Now()-time.Since(d.initialListTime))
-	d.rng = rand.New(rand.NewPCG(d.Seed, 0x6469726563746f72))
-	d.publishLeaseExpiry()
+	now := d.Clock.Now()
+	d.lease = lease.New(rules, now-time.Since(d.initialListTime))
+	settings := subscription.Settings{Pushed: d.Pushed, NoInitialDelay: d.NoInitialDelay, CreatedAt: now - time.Since(d.created)}
+	d.core = subscription.New(settings, d.lease, rand.New(rand.NewPCG(d.Seed, 0x6469726563746f72)), d.address)
+	d.subscriptions = map[int]*openSubscription{}
+	d.publishLeaseExpiry(d.lease.ExpiresAt())
 }
 
-// evictionCandidate returns the subscription to remove for a new one: the oldest with neither a watch nor a call in
-// progress, else the oldest without a watch, else the oldest. d.mu is held.
-func (d *DiscoveryClient) evictionCandidate() *subscription {
-	for _, evictable := range []func(*subscription) bool{
-		func(s *subscription) bool { return !s.established && !s.awaitingResponse },
-		func(s *subscription) bool { return !s.established },
-	} {
-		for _, s := range d.subscriptions {
-			if evictable(s) {
-				return s
-			}
-		}
+// publishLeaseExpiry reports when the lease expires. d.mu is held.
+func (d *DiscoveryClient) publishLeaseExpiry(at time.Duration) {
+	if d.OnLeaseExpiry != nil {
+		d.OnLeaseExpiry(at)
 	}
-	return d.subscriptions[0]
 }
 
-// removeSubscription cancels a subscription and drops it. d.mu is held.
-func (d *DiscoveryClient) removeSubscription(s *subscription, cause error) {
-	s.cancel(cause)
-	for i, other := range d.subscriptions {
-		if other == s {
-			d.subscriptions = append(d.subscriptions[:i:i], d.subscriptions[i+1:]...)
-			return
-		}
-	}
+// handle has the core handle an event, and carries out its actions. It returns those that wait until d.mu is released: the
+// log, the receiver, and the timers and calls that come after these. d.mu is held.
+func (d *DiscoveryClient) handle(event subscription.Event) []func() {
+	return d.carryOut(d.core.Handle(d.Clock.Now(), event))
 }
 
-// runSubscription calls discovery for a subscription until it is cancelled, or superseded with its current call ended.
-func (d *DiscoveryClient) runSubscription(s *subscription) {
-	if s.generation == 0 {
-		d.awaitInitialDelay(s)
-	} else {
-		d.debounceSwitch(s)
-	}
-	delays := backoff{pushed: d.Pushed, reloaded: s.generation > 0, startedAt: time.Now()}
-	for s.ctx.Err() == nil && !s.isSuperseded() {
-		result := d.call(s)
-		if s.ctx.Err() != nil {
-			d.Log.Info("discovery watch cancelled", "address", s.address, "cause", context.Cause(s.ctx),
-				"stood", result.duration.Round(time.Millisecond))
-			break
-		}
-		pause := d.handleCallEnd(s, result, &delays)
-		select {
-		case <-s.ctx.Done():
-		case <-s.superseded:
-		case <-time.After(pause):
+// carryOut is handle for the actions of an event that has been handled.
+func (d *DiscoveryClient) carryOut(actions []subscription.Action) (later []func()) {
+	for _, action := range actions {
+		switch a := action.(type) {
+		case subscription.Open:
+			d.open(a)
+		case subscription.Close:
+			d.subscriptions[a.Generation].cancel(a.Cause)
+			delete(d.subscriptions, a.Generation)
+		case subscription.CloseSilentWatch:
+			d.subscriptions[a.Generation].cancelSilent(subscription.OtherCallAnswered)
+		case subscription.SetLeaseExpiry:
+			d.publishLeaseExpiry(a.At)
+		case subscription.SourceLost:
+			later = append(later, func() { d.Receiver.SourceLost() })
+		case subscription.ReportCallEnd:
+			later = append(later, func() { d.logCallEnd(a) })
+		case subscription.Wait:
+			s := d.subscriptions[a.Generation]
+			later = append(later, func() { go d.wait(s, a.For) })
+		case subscription.Call:
+			s := d.subscriptions[a.Generation]
+			later = append(later, func() { go d.call(s, a) })
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.latest() != s {
-		d.removeSubscription(s, errAddressChanged)
-	}
+	return later
 }
 
-// isSuperseded reports whether a later reload has named another address.
-func (s *subscription) isSuperseded() bool {
-	select {
-	case <-s.superseded:
-		return true
-	default:
-		return false
+// runAll runs functions in order.
+func runAll(functions []func()) {
+	for _, f := range functions {
+		f()
 	}
 }
 
-// awaitInitialDelay waits for a random delay since the client was created, to spread the first calls of sidecars that start
-// together.
-func (d *DiscoveryClient) awaitInitialDelay(s *subscription) {
-	if d.Pushed || d.NoInitialDelay {
-		return
-	}
-	d.mu.Lock()
-	wait := time.Duration(d.rng.Float64()*float64(initialSpread)) - time.Since(d.created)
-	d.mu.Unlock()
-	select {
-	case <-s.ctx.Done():
-	case <-s.superseded:
-	case <-time.After(wait):
-	}
+// open prepares a subscription. d.mu is held.
+func (d *DiscoveryClient) open(a subscription.Open) *openSubscription {
+	s := &openSubscription{generation: a.Generation, address: a.Address}
+	s.ctx, s.cancel = context.WithCancelCause(d.Context)
+	d.subscriptions[a.Generation] = s
+	return s
 }
 
-// debounceSwitch waits for further reloads in quick succession, for as long as an older watch is open.
-func (d *DiscoveryClient) debounceSwitch(s *subscription) {
-	debounce, maxDebounce := switchDebounce, maxSwitchDebounce
-	if d.Pushed {
-		debounce, maxDebounce = switchDebouncePushed, maxSwitchDebouncePushed
-	}
-	d.mu.Lock()
-	wait := min(debounce, time.Until(d.unconfirmedSince.Add(maxDebounce)))
-	if !d.Pushed {
-		wait += time.Duration(d.rng.Float64() * float64(reloadSpread))
-	}
-	if !d.hasEstablishedWatch() {
-		wait = 0
-	}
-	d.mu.Unlock()
-	for until := time.Now().Add(wait); time.Now().Before(until); {
+// wait tells the core when the pause of a subscription is over, unless the subscription has ended.
+func (d *DiscoveryClient) wait(s *openSubscription, pause time.Duration) {
+	if pause > 0 {
 		select {
 		case <-s.ctx.Done():
-			return
-		case <-s.superseded:
-			return
-		case <-time.After(min(time.Until(until), 50*time.Millisecond)):
-		}
-		d.mu.Lock()
-		established := d.hasEstablishedWatch()
-		d.mu.Unlock()
-		if !established {
-			return
-		}
-	}
-}
-
-// hasEstablishedWatch reports whether any watch is open and has delivered a list. d.mu is held.
-func (d *DiscoveryClient) hasEstablishedWatch() bool {
-	for _, s := range d.subscriptions {
-		if s.established {
-			return true
+		case <-time.After(pause):
 		}
 	}
-	return false
+	runAll(d.handleFor(s, subscription.TimerFired{Generation: s.generation}))
 }
 
-// handleCallEnd handles the end of a call and returns the delay before the next one.
-func (d *DiscoveryClient) handleCallEnd(s *subscription, result callResult, delays *backoff) time.Duration {
+// handleFor is handle with d.mu not held, for an event of a subscription. An event after the end of the subscription is
+// dropped.
+func (d *DiscoveryClient) handleFor(s *openSubscription, event subscription.Event) []func() {
 	d.mu.Lock()
-	wasEstablished := s.established
-	s.established, s.awaitingResponse = false, false
-	latest := d.latest() == s
-	d.callEnds[result.outcome]++
-	d.updateLease(result, wasEstablished, latest)
-	d.publishLeaseExpiry()
-	pause := delays.next(result, d.rng)
-	established, since, state := d.hasEstablishedWatch(), s.version, d.stateLocked()
-	d.mu.Unlock()
-	d.Log.Warn("the watch of discovery has ended", "address", s.address, "since", since, "kind", result.outcome.String(), "error", result.err,
-		"stood", result.duration.Round(time.Millisecond), "next", pause.Round(time.Millisecond), "superseded", !latest,
-		"discovery", state)
-	if !established {
-		d.Receiver.SourceLost()
+	defer d.mu.Unlock()
+	if s.ctx.Err() != nil {
+		return nil
 	}
-	return pause
+	return d.handle(event)
 }
 
-// updateLease records in the lease what the end of a call, or of an established watch, shows about discovery. For a
-// superseded subscription only the end of its watch counts. d.mu is held.
-func (d *DiscoveryClient) updateLease(result callResult, wasEstablished, latest bool) {
-	now := d.Clock.Now()
-	if result.outcome == callEnded || result.outcome == callTruncated {
-		d.lease.RecordEndedWatch(now)
-	}
-	if !latest {
+// call makes a call for a subscription, runs the watch that it opens until that ends, and tells the core how it ended.
+func (d *DiscoveryClient) call(s *openSubscription, ask subscription.Call) {
+	end := d.runCall(s, ask)
+	d.mu.Lock()
+	if s.ctx.Err() == nil {
+		later := d.handle(end)
+		d.mu.Unlock()
+		runAll(later)
 		return
 	}
-	switch result.outcome {
-	case callBroken, callTruncated: // a truncated watch may have been ended by discovery, or show an outage
-		if wasEstablished {
-			d.lease.RecordBrokenWatch(now)
-		}
-	case callUnreachable:
-		d.lease.RecordUnreachable(now - time.Since(result.startedAt))
-	case callFailed, callUnanswered:
-		d.lease.RecordFailedCall(now)
-	case callRefused:
-		d.lease.RecordRefusedCall()
-	}
-}
-
-// publishLeaseExpiry reports when the lease expires. d.mu is held.
-func (d *DiscoveryClient) publishLeaseExpiry() {
-	if d.OnLeaseExpiry != nil {
-		d.OnLeaseExpiry(d.lease.ExpiresAt())
-	}
-}
-
-// confirmLease renews the lease after a list or a heartbeat of a subscription's watch.
-func (d *DiscoveryClient) confirmLease(s *subscription) {
+	d.mu.Unlock()
+	d.Log.Info("discovery watch cancelled", "address", s.address, "cause", context.Cause(s.ctx),
+		"stood", end.Duration.Round(time.Millisecond))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s.ctx.Err() == nil {
-		d.lease.Confirm(d.Clock.Now(), s.generation)
-		d.publishLeaseExpiry()
-	}
+	d.handle(subscription.CallCancelled{Generation: s.generation})
+}
+
+// logCallEnd writes the line of the log on the end of a call.
+func (d *DiscoveryClient) logCallEnd(a subscription.ReportCallEnd) {
+	d.Log.Warn("the watch of discovery has ended", "address", a.Address, "since", a.Version, "kind", a.End.Outcome.String(), "error", a.End.Err,
+		"stood", a.End.Duration.Round(time.Millisecond), "next", a.Pause.Round(time.Millisecond), "superseded", a.Superseded,
+		"discovery", discoveryState(a.State))
 }
 
 // handleList handles one list of a watch. An invalid list ends the watch: the last list is kept, and the next watch starts
@@ -371,7 +228,7 @@
 	}
 	d.deliverMu.Lock()
 	defer d.deliverMu.Unlock()
-	if err := d.promote(w, list.Index); err != nil {
+	if err := d.acceptList(w, list.Index); err != nil {
 		return err
 	}
 	d.Receiver.UpdateEndpoints(kind, list.Index, Members(list))
@@ -380,32 +237,26 @@
 	return nil
 }
 
-// promote accepts a list's version from a watch and makes the watch the current one: older subscriptions are removed. A
-// lingering watch only has its version recorded.
-func (d *DiscoveryClient) promote(w *discoveryWatch, index int64) error {
+// acceptList has the core accept a list of a watch. It returns why the list is not to be delivered, nil if it is.
+func (d *DiscoveryClient) acceptList(w *discoveryWatch, version int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w.ctx.Err() != nil { // a later watch has delivered a list meanwhile
 		return context.Cause(w.ctx)
 	}
-	s := w.subscription
-	if s.version = index; w.lingering {
-		return nil
-	}
-	if s.cancelLingering != nil {
-		s.cancelLingering(errOtherCallAnswered)
-		s.cancelLingering = nil
-	}
-	s.established, s.awaitingResponse = true, false
-	for d.subscriptions[0] != s {
-		d.removeSubscription(d.subscriptions[0], errAddressChanged)
-	}
-	if d.latest() == s {
-		d.unconfirmedSince = time.Time{}
+	actions := d.core.Handle(d.Clock.Now(), subscription.ListReceived{Generation: w.subscription.generation, Call: w.callNumber, Version: version})
+	runAll(d.carryOut(actions))
+	if !slices.Contains(actions, subscription.Action(subscription.Deliver{})) {
+		return subscription.OtherCallAnswered
 	}
 	return nil
 }
 
+// confirmLease renews the lease after a list or a heartbeat of a subscription's watch.
+func (d *DiscoveryClient) confirmLease(s *openSubscription) {
+	runAll(d.handleFor(s, subscription.Reported{Generation: s.generation}))
+}
+
 // Members converts an endpoint list to the members of package routing.
 func Members(list protocol.EndpointList) []routing.Member {
 	states := map[protocol.State]balance.State{protocol.Ready: balance.Ready, protocol.Draining: balance.Draining,
--- a/internal/transport/discoverystate.go
+++ b/internal/transport/discoverystate.go
@@ -1,6 +1,10 @@
 package transport
 
-import "log/slog"
+import (
+	"log/slog"
+
+	"kitewood/internal/subscription"
+)
 
 // DiscoveryState is a snapshot of what a DiscoveryClient knows about discovery, for operators.
 type DiscoveryState struct {
@@ -18,23 +22,18 @@
 func (d *DiscoveryClient) State() DiscoveryState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stateLocked()
+	if d.core == nil {
+		return DiscoveryState{Address: d.address, CallEnds: map[string]uint64{}}
+	}
+	return discoveryState(d.core.Snapshot(d.Clock.Now()))
 }
 
-// stateLocked is State with d.mu held.
-func (d *DiscoveryClient) stateLocked() DiscoveryState {
-	out := DiscoveryState{Address: d.latest().address, Watching: d.hasEstablishedWatch(), Calls: d.calls, CallEnds: map[string]uint64{},
-		LongestWaitMS: d.longestWait.Milliseconds()}
-	for outcome, n := range d.callEnds {
-		if n > 0 {
-			out.CallEnds[callOutcome(outcome).String()] = n
-		}
-	}
-	if d.lease != nil {
-		now := d.Clock.Now()
-		out.Evidence = d.lease.Evidence().String()
-		out.ListAgeMS = (now - d.lease.LastReport()).Milliseconds()
-		out.LeaseLeftMS = (d.lease.ExpiresAt() - now).Milliseconds()
+// discoveryState converts a snapshot of the core.
+func discoveryState(s subscription.Snapshot) DiscoveryState {
+	out := DiscoveryState{Address: s.Address, Watching: s.Watching, Evidence: s.Evidence.String(), ListAgeMS: s.ListAge.Milliseconds(),
+		LeaseLeftMS: s.LeaseLeft.Milliseconds(), Calls: s.Calls, CallEnds: map[string]uint64{}, LongestWaitMS: s.LongestWait.Milliseconds()}
+	for outcome, n := range s.CallEnds {
+		out.CallEnds[outcome.String()] = n
 	}
 	return out
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -15,6 +15,7 @@
 	"kitewood/internal/guard"
 	"kitewood/internal/protocol"
 	"kitewood/internal/routing"
+	"kitewood/internal/subscription"
 	"kitewood/internal/testkit"
 )
 
@@ -263,13 +264,14 @@
 
 // An invalid response or invalid data ends a discovery watch, and no part of it is used.
 func TestWatchRejectsBadResponses(t *testing.T) {
-	for response, want := range map[string]callOutcome{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": callRefused, "": callFailed,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{x}\n\r\n": callUnreadable} {
+	for response, want := range map[string]subscription.Outcome{"HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n": subscription.Refused, "": subscription.Failed,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{x}\n\r\n": subscription.Unreadable} {
 		address := startTestServer(t, func(conn net.Conn) { readRequest(conn); io.WriteString(conn, response); conn.Close() })
 		d := NewDiscoveryClient(context.Background(), address, nil, discardLog)
 		d.initLease()
-		if end := d.call(d.latest()); end.err == nil || end.outcome != want {
-			t.Errorf("response %q: watch ended as %v with %v, want %v", response, end.outcome, end.err, want)
+		s := d.open(subscription.Open{Address: address})
+		if end := d.runCall(s, subscription.Call{Number: 1, Address: address}); end.Err == nil || end.Outcome != want {
+			t.Errorf("response %q: watch ended as %v with %v, want %v", response, end.Outcome, end.Err, want)
 		}
 	}
 }
