--- a/internal/transport/nolength_test.go
+++ b/internal/transport/nolength_test.go
@@ -12,6 +12,7 @@
 
 // Without a length a response ends with its connection: one that is reset is none, and one that comes whole is passed on.
 func TestResponseWithoutLength(t *testing.T) {
+	t.Parallel()
 	for name, c := range map[string]struct {
 		parts []string
 		reset bool
--- a/internal/transport/partialrequest_test.go
+++ b/internal/transport/partialrequest_test.go
@@ -11,6 +11,7 @@
 // A client that stops half way in a request and stays gets its error within 3 s, on a new connection, after an answer, and where the
 // first half came while an earlier request was in flight.
 func TestClientStopsHalfWay(t *testing.T) {
+	t.Parallel()
 	const serviceTime = 1200 * time.Millisecond
 	slow := strings.Replace(lookRequest, "GET /look", "GET /look/slow", 1)
 	body := "POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 2\r\nContent-Length: 10\r\n\r\nhalf"
