--- a/internal/transport/dialfailure_test.go
+++ b/internal/transport/dialfailure_test.go
@@ -11,6 +11,7 @@
 
 	"kitewood/balance"
 	"kitewood/internal/routing"
+	"kitewood/internal/subscription"
 )
 
 // dialError returns the error of package net for a system call that failed while connecting.
@@ -102,3 +103,16 @@
 		}
 	}
 }
+
+// A call to discovery that fails for want of a local resource proves nothing about discovery, so it must not renew the lease as an
+// unreachable discovery does.
+func TestLocalDialFailureIsNoProofOfAnOutage(t *testing.T) {
+	for errno, want := range map[syscall.Errno]subscription.Outcome{syscall.EMFILE: subscription.LocalFailure, syscall.ENFILE: subscription.LocalFailure,
+		syscall.ENOBUFS: subscription.LocalFailure, syscall.ENOMEM: subscription.LocalFailure, syscall.EADDRNOTAVAIL: subscription.LocalFailure,
+		syscall.EAGAIN: subscription.LocalFailure, syscall.ENOSPC: subscription.LocalFailure, syscall.EINTR: subscription.LocalFailure,
+		syscall.ECONNREFUSED: subscription.Unreachable, syscall.EHOSTUNREACH: subscription.Unreachable, syscall.ETIMEDOUT: subscription.Unreachable} {
+		if got := new(discoveryWatch).outcomeOf(dialError(errno), time.Second); got != want {
+			t.Errorf("%v: outcome %v, want %v", errno, got, want)
+		}
+	}
+}
--- a/internal/transport/discoverycall.go
+++ b/internal/transport/discoverycall.go
@@ -7,9 +7,9 @@
 	"io"
 	"net"
 	"runtime/debug"
-	"syscall"
 	"time"
 
+	"kitewood/internal/errnoclass"
 	"kitewood/internal/protocol"
 	"kitewood/internal/subscription"
 )
@@ -195,7 +195,7 @@
 	var status statusError
 	timedOut := isTimeout(err)
 	switch {
-	case w.conn == nil && isLocalFailure(err):
+	case w.conn == nil && errnoclass.Of(errnoclass.Connect, err) == errnoclass.LocalFailure:
 		return subscription.LocalFailure
 	case w.conn == nil:
 		return subscription.Unreachable
@@ -230,14 +230,3 @@
 	var opErr *net.OpError
 	return errors.Is(err, io.EOF) || errors.As(err, &opErr)
 }
-
-// isLocalFailure reports whether a connection could not be opened because this machine lacks a resource, which says nothing
-// about the remote side.
-func isLocalFailure(err error) bool {
-	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
